--- a/src/compat/base.rs
+++ b/src/compat/base.rs
@@ -9,7 +9,7 @@
 use super::command::Encoded;
 use crate::directory::{self, Born, Incarnation, TargetState};
 use crate::group::loads::Loads;
-use crate::group::message::Elsewhere;
+use crate::group::message::BlobSource;
 use crate::parcel::ParcelId;
 use crate::raft::{Envelope, Index, StoreId};
 use crate::store::{Answer, Revision};
@@ -240,7 +240,7 @@
     /// Bytes of parcels that the gateway lacks.
     pub parcels: Cow<'a, [Bytes]>,
     /// A parcel that it lacks and is to fetch.
-    pub elsewhere: Option<Elsewhere>,
+    pub elsewhere: Option<BlobSource>,
     /// Where members are reached, when that changed.
     pub members: Option<Vec<SocketAddr>>,
     /// Gateways alive.
--- a/src/gateway/bootstrap.rs
+++ b/src/gateway/bootstrap.rs
@@ -110,9 +110,9 @@
     let since = Instant::now();
     let mut first = Update::default();
     loop {
-        first = next_update(&mut receiver).await?.after(first);
+        first = next_update(&mut receiver).await?.merge_earlier(first);
         let lives = first.fresh && since.elapsed() >= TELLS_WITHIN;
-        if !first.parcels.is_empty() || first.elsewhere.is_some() || lives {
+        if !first.blobs.is_empty() || first.blob_source.is_some() || lives {
             return Ok(Subscribed { member, sender, receiver, first: Some(first) });
         }
     }
--- a/src/gateway/feed.rs
+++ b/src/gateway/feed.rs
@@ -179,20 +179,20 @@
     fn subscription(&self) -> Subscription {
         Subscription {
             gateway: self.gateway.settings.host.clone(),
-            knows: Level::NEWEST,
+            supported_level: Level::NEWEST,
             version: self.news.version(),
             directory: self.news.directory(),
             evacuations: read(&self.gateway.targets).halls_revision(),
             rollouts: read(&self.gateway.targets).rollouts_revision(),
             data_hall: self.gateway.settings.data_hall.clone(),
-            looks: false,
-            passes_on_at: self.gateway.passes_on_at,
+            status_only: false,
+            serves_blobs_at: self.gateway.passes_on_at,
         }
     }
 
     /// A subscription that only looks, and neither passes parcels on nor is given any to fetch.
     fn subscription_to_look(&self) -> Subscription {
-        Subscription { looks: true, passes_on_at: None, ..self.subscription() }
+        Subscription { status_only: true, serves_blobs_at: None, ..self.subscription() }
     }
 
     /// Takes what a member tells; tells why no longer.
@@ -330,7 +330,7 @@
             return Ok(());
         }
         self.told_none = loads.is_empty();
-        let frame = ToMember::Loads { loads, outcomes, keepers, tallies };
+        let frame = ToMember::Loads { loads, outcomes, prefix_holders: keepers, tallies };
         let sending = sender.send(&frame);
         tokio::time::timeout(SILENCE, sending).await.map_err(|_| LinkError::Timeout)?
     }
--- a/src/gateway/neighbours.rs
+++ b/src/gateway/neighbours.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use super::Gateway;
-use crate::group::message::{FromNeighbour, ToNeighbour};
+use crate::group::message::{FromPeer, ToPeer};
 use crate::link::{FrameReceiver, LinkError, LinkTiming, dial, frames};
 use crate::parcel::{Parcel, ParcelId};
 use crate::sync::lock;
@@ -50,12 +50,12 @@
 
 async fn answer(gateway: &Gateway, stream: TcpStream) -> Result<(), LinkError> {
     let (mut sender, mut receiver) = frames(stream, TIMING)?;
-    let ToNeighbour::Fetch(id) = receiver.receive().await?;
+    let ToPeer::Fetch(id) = receiver.receive().await?;
     let kept = lock(&gateway.shelf).get(id).map(|parcel| parcel.bytes().clone());
     gateway.metrics.asked_for_parcel(kept.is_some());
-    sender.send(&kept.map_or(FromNeighbour::Unknown, FromNeighbour::Parcel)).await?;
+    sender.send(&kept.map_or(FromPeer::Unknown, FromPeer::Blob)).await?;
     // Closed by the other side, once it has all.
-    receiver.receive::<ToNeighbour>().await.map(|_| ())
+    receiver.receive::<ToPeer>().await.map(|_| ())
 }
 
 /// Fetches a parcel from another gateway.
@@ -68,8 +68,8 @@
     id: ParcelId,
 ) -> Result<Parcel, LinkError> {
     let (mut sender, mut receiver) = dial(source, from, TIMING).await?;
-    sender.send(&ToNeighbour::Fetch(id)).await?;
-    let FromNeighbour::Parcel(bytes) = receive(&mut receiver).await? else {
+    sender.send(&ToPeer::Fetch(id)).await?;
+    let FromPeer::Blob(bytes) = receive(&mut receiver).await? else {
         return Err(LinkError::Closed);
     };
     let parcel = Parcel::of(bytes);
@@ -77,7 +77,7 @@
 }
 
 /// Waits for an answer for as long as bytes come.
-async fn receive(receiver: &mut FrameReceiver) -> Result<FromNeighbour, LinkError> {
+async fn receive(receiver: &mut FrameReceiver) -> Result<FromPeer, LinkError> {
     let mut silent_at = Instant::now() + SILENCE;
     loop {
         tokio::select! {
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -11,7 +11,7 @@
 use super::{Gateway, neighbours};
 use crate::document::{Document, Packed};
 use crate::group::listing::PackedDelta;
-use crate::group::message::{Elsewhere, Evacuation, HallNews, ToMember, Update};
+use crate::group::message::{BlobSource, Evacuation, EvacuationsUpdate, ToMember, Update};
 use crate::link::{FrameSender, LinkError};
 use crate::parcel::{Content, Parcel, ParcelId};
 use crate::rollout::RolloutNews;
@@ -65,22 +65,22 @@
         update: Update,
         sender: &mut FrameSender,
     ) -> Result<(), LinkError> {
-        if let Some(halls) = update.halls.clone().filter(|halls| self.lacks_halls(halls)) {
+        if let Some(halls) = update.evacuations.clone().filter(|halls| self.lacks_halls(halls)) {
             self.take_halls(halls, member, sender).await?;
         }
         if let Some(rollouts) = update.rollouts.clone() {
             self.take_rollouts(rollouts, member);
         }
         self.take_signs(&update);
-        let brings = !update.parcels.is_empty() || update.elsewhere.is_some();
+        let brings = !update.blobs.is_empty() || update.blob_source.is_some();
         if brings && !self.knows_orders() {
             // Requests could reach a hall that is evacuated, or a version that was rolled back.
             return Err(LinkError::Garbled);
         }
-        for bytes in update.parcels {
+        for bytes in update.blobs {
             self.take_parcel(Parcel::of(bytes), member, sender).await?;
         }
-        if let Some(elsewhere) = update.elsewhere {
+        if let Some(elsewhere) = update.blob_source {
             self.fetches.spawn(fetch(self.gateway.settings.source, elsewhere));
         }
         Ok(())
@@ -118,7 +118,7 @@
             Err(error) => {
                 info!(self.gateway.log, "parcel not fetched"; "event" => "not_fetched",
                     "from" => %fetched.from, "error" => %error);
-                sender.send(&ToMember::Lacks(fetched.id)).await
+                sender.send(&ToMember::BlobFetchFailed(fetched.id)).await
             }
         }
     }
@@ -138,10 +138,10 @@
         if parcel.is_large() {
             let id = parcel.id();
             lock(&self.gateway.shelf).keep(parcel);
-            sender.send(&ToMember::Has(id)).await?;
+            sender.send(&ToMember::HasBlob(id)).await?;
         }
         if self.gateway.version() != version {
-            sender.send(&ToMember::InForce(self.gateway.version())).await?;
+            sender.send(&ToMember::ConfigurationInForce(self.gateway.version())).await?;
         }
         Ok(())
     }
@@ -161,14 +161,14 @@
     }
 
     /// Whether word of orders about data halls may be new. Members of the first build always tell that there are none.
-    fn lacks_halls(&self, halls: &HallNews) -> bool {
+    fn lacks_halls(&self, halls: &EvacuationsUpdate) -> bool {
         halls.revision > 0 || read(&self.gateway.targets).halls_revision().is_none()
     }
 
     /// Takes orders about data halls, and tells the member up to which one they are obeyed.
     async fn take_halls(
         &self,
-        halls: HallNews,
+        halls: EvacuationsUpdate,
         from: SocketAddr,
         sender: &mut FrameSender,
     ) -> Result<(), LinkError> {
@@ -181,7 +181,7 @@
                 "revision" => revision, "evacuated" => evacuated, "from" => %from);
         }
         let obeys = read(&self.gateway.targets).halls_revision().unwrap_or(0);
-        sender.send(&ToMember::Obeys(obeys)).await
+        sender.send(&ToMember::EvacuationsInForce(obeys)).await
     }
 
     /// Whether anything was ever heard of orders about data halls and of roll-outs.
@@ -220,7 +220,7 @@
             let mut targets = write(&self.gateway.targets);
             targets.take_mixes(self.gateway.now(), update.mixes.clone());
         }
-        lock(&self.gateway.keepers).hear(self.gateway.now(), &update.keepers);
+        lock(&self.gateway.keepers).hear(self.gateway.now(), &update.prefix_holders);
         self.gateway.take_poison_news(&update.poison);
         if let Some(evidence) = &update.evidence {
             self.gateway.take_evidence(evidence);
@@ -267,8 +267,8 @@
 }
 
 /// Fetches a parcel from another gateway.
-async fn fetch(source: Option<IpAddr>, elsewhere: Elsewhere) -> Fetched {
-    let Elsewhere { parcel: id, at: from } = elsewhere;
+async fn fetch(source: Option<IpAddr>, elsewhere: BlobSource) -> Fetched {
+    let BlobSource { blob: id, addr: from } = elsewhere;
     let parcel = neighbours::fetch(source, from, id).await;
     Fetched { id, from, parcel }
 }
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -8,7 +8,7 @@
 use super::target::Target;
 use crate::clock::Instant;
 use crate::directory::{DirectoryDelta, Listed, Moved, TargetState};
-use crate::group::message::{Evacuation, HallNews};
+use crate::group::message::{Evacuation, EvacuationsUpdate};
 use crate::rollout::division::RolloutMix;
 use crate::rollout::tally::RouteKey;
 use crate::rollout::{RolloutNews, RolloutTold, Stage};
@@ -31,7 +31,7 @@
 pub(super) struct Targets {
     revision: Revision,
     /// Orders about data halls; `None` before any word of them.
-    halls: Option<HallNews>,
+    halls: Option<EvacuationsUpdate>,
     /// Roll-outs of services; `None` before any word of them.
     rollouts: Option<RolloutNews>,
     /// What part of a service's requests each route has, for roll-outs under way, and when that was told.
@@ -102,7 +102,7 @@
 
     /// Takes orders about data halls, unless they are older than those that are obeyed; tells whether they
     /// were taken.
-    pub(super) fn obey(&mut self, now: Duration, news: HallNews) -> bool {
+    pub(super) fn obey(&mut self, now: Duration, news: EvacuationsUpdate) -> bool {
         if self.halls_revision().is_some_and(|known| news.revision < known) {
             return false;
         }
--- a/src/group/background.rs
+++ b/src/group/background.rs
@@ -47,7 +47,7 @@
         }
         for (addr, messages) in batches {
             let (from, knows) = (shared.own, shared.knows());
-            shared.peers.send(addr, ToMember::Agreement { from, messages, knows });
+            shared.peers.send(addr, ToMember::Raft { from, messages, supported_level: knows });
         }
     }
 }
@@ -84,7 +84,7 @@
         }
         asked.push(addr);
         let (store, own) = (shared.store, shared.own);
-        let call = Call::Join { store, addr: own, knows: Level::NEWEST };
+        let call = Call::Join { store, addr: own, supported_level: Level::NEWEST };
         match shared.peers.call(addr, call, JOIN_TIMEOUT).await {
             Ok(Reply::Done) => return,
             Ok(Reply::NotLeader(Some(leader))) => waiting.push(leader),
@@ -116,7 +116,8 @@
             let evidence = lock(&shared.evidence).here(shared.now());
             let keepers = lock(&shared.keepers).next_for_members(shared.now(), &mut told);
             let (from, tallies) = (shared.own, lock(&shared.rollouts).here());
-            let word = ToMember::MemberLoads { from, loads, evidence, keepers, tallies };
+            let word =
+                ToMember::MemberLoads { from, loads, evidence, prefix_holders: keepers, tallies };
             shared.tell_others(&word);
         }
     }
@@ -197,7 +198,7 @@
         let newest = now.version();
         if newest != version {
             version = newest;
-            lock(&shared.propagation).hold(shared.now(), version);
+            lock(&shared.propagation).add_version(shared.now(), version);
             info!(shared.log, "configuration held"; "event" => "configuration",
                 "version" => version, "index" => now.applied, "term" => term);
         }
--- a/src/group/batches.rs
+++ b/src/group/batches.rs
@@ -10,7 +10,7 @@
 
 use tokio::sync::{Notify, oneshot};
 
-use super::heartbeats::Taken;
+use super::heartbeats::HeartbeatOutcome;
 use super::message::{Call, Reply};
 use super::{Shared, Unavailable};
 use crate::directory::Announcement;
@@ -25,7 +25,7 @@
 const UNDER_WAY: usize = 2;
 
 /// What waits for an announcement's answer.
-type Waiter = oneshot::Sender<Result<Taken, Unavailable>>;
+type Waiter = oneshot::Sender<Result<HeartbeatOutcome, Unavailable>>;
 
 /// An announcement that waits.
 struct Waiting {
@@ -45,7 +45,7 @@
     fn push(
         &self,
         announcement: Announcement,
-    ) -> Option<oneshot::Receiver<Result<Taken, Unavailable>>> {
+    ) -> Option<oneshot::Receiver<Result<HeartbeatOutcome, Unavailable>>> {
         let (waiter, answer) = oneshot::channel();
         let mut waiting = lock(&self.waiting);
         if waiting.len() >= MOST_WAITING {
@@ -76,7 +76,10 @@
 
 impl Shared {
     /// Has an announcement go to the leader with the next batch, and waits for its answer.
-    pub(super) async fn announce(&self, announcement: Announcement) -> Result<Taken, Unavailable> {
+    pub(super) async fn announce(
+        &self,
+        announcement: Announcement,
+    ) -> Result<HeartbeatOutcome, Unavailable> {
         let answer = self.batches.push(announcement).ok_or(Unavailable)?;
         let longest = Duration::from_millis(self.settings.answer_within_ms);
         match tokio::time::timeout(longest, answer).await {
@@ -110,17 +113,17 @@
 }
 
 /// What a leader took of a batch, from its beginning: one of the first build takes a single announcement.
-fn taken(reply: Reply) -> Option<Vec<Taken>> {
+fn taken(reply: Reply) -> Option<Vec<HeartbeatOutcome>> {
     match reply {
-        Reply::Taken(taken) => Some(taken),
-        Reply::Answer(_) => Some(vec![Taken::News]),
-        Reply::Done => Some(vec![Taken::Known]),
+        Reply::Announced(taken) => Some(taken),
+        Reply::Answer(_) => Some(vec![HeartbeatOutcome::Changed]),
+        Reply::Done => Some(vec![HeartbeatOutcome::Unchanged]),
         _ => None,
     }
 }
 
 /// Carries batches to the leader, a few at a time.
-pub(super) fn carry(shared: &Arc<Shared>) {
+pub(super) fn spawn_senders(shared: &Arc<Shared>) {
     for _ in 0..UNDER_WAY {
         let shared = shared.clone();
         tokio::spawn(async move {
--- a/src/group/endpoints.rs
+++ b/src/group/endpoints.rs
@@ -16,7 +16,7 @@
 use tokio::net::TcpListener;
 
 use super::evacuation::OrderError;
-use super::heartbeats::Taken;
+use super::heartbeats::HeartbeatOutcome;
 use super::rollout::RolloutError;
 use super::{Shared, Unavailable};
 use crate::dialect::Door;
@@ -188,15 +188,15 @@
         Ok(announcement) => announcement,
         Err(faults) => return refuse_announcement(shared, id, &faults),
     };
-    match shared.take_heartbeat(announcement.clone()).await {
-        Ok(Taken::News) => {
+    match shared.handle_heartbeat(announcement.clone()).await {
+        Ok(HeartbeatOutcome::Changed) => {
             info!(shared.log, "target announced"; "event" => "target_announced", "target" => id,
                 "service" => &announcement.service, "state" => ?announcement.state,
                 "addr" => %announcement.addr, "born" => announcement.born.0,
                 "sequence" => announcement.sequence);
             heartbeat_answer(shared)
         }
-        Ok(Taken::Known) => heartbeat_answer(shared),
+        Ok(HeartbeatOutcome::Unchanged) => heartbeat_answer(shared),
         Err(Unavailable) => unavailable(shared, "heartbeat"),
     }
 }
@@ -208,7 +208,7 @@
         return Err(vec![Fault::new("id", message)]);
     }
     let announcement = shared.dialect.announcement(id, body)?;
-    if shared.names_another(&announcement) {
+    if shared.conflicts_with_target(&announcement) {
         let message = "is not the service of the target that has this identity";
         return Err(vec![Fault::new("service", message)]);
     }
@@ -233,7 +233,7 @@
 }
 
 fn heartbeat_answer(shared: &Shared) -> Answered {
-    let next = shared.own_door();
+    let next = shared.own_api_addr();
     json(StatusCode::OK, shared.dialect.heartbeat_answer(next).into())
 }
 
--- a/src/group/evacuation.rs
+++ b/src/group/evacuation.rs
@@ -5,8 +5,8 @@
 
 use slog::info;
 
-use super::message::{Evacuation, HallNews, HallState};
-use super::propagation::Connection;
+use super::message::{Evacuation, EvacuationsUpdate, HallState};
+use super::propagation::ConnectionId;
 use super::{Shared, Unavailable};
 use crate::control::member::Published;
 use crate::evacuations::{EvacuationOrder, Evacuations, HallOrder, OrderVerdict, WarmAgain};
@@ -129,7 +129,7 @@
     }
 
     /// Orders about data halls, for a gateway.
-    pub(super) fn hall_news(&self) -> HallNews {
+    pub(super) fn hall_news(&self) -> EvacuationsUpdate {
         let evacuations = self.member.published().borrow().evacuations.clone();
         let (now, returns) = (self.now(), lock(&self.returns));
         let told = |order: &HallOrder| order.since > 0 && !order.warm_again;
@@ -142,7 +142,7 @@
             };
             HallState { data_hall: hall.to_owned(), since: order.since, state }
         });
-        HallNews { revision: evacuations.revision(), halls: halls.collect() }
+        EvacuationsUpdate { revision: evacuations.revision(), halls: halls.collect() }
     }
 
     /// Halls that were taken back so long ago that their targets are surely warm, as far as this member has
@@ -172,7 +172,8 @@
     pub(super) fn note_orders(&self, evacuations: &Evacuations) {
         let now = self.now();
         lock(&self.returns).note(now, evacuations);
-        lock(&self.orders_propagation).hold(now, propagation_number(Some(evacuations.revision())));
+        lock(&self.orders_propagation)
+            .add_version(now, propagation_number(Some(evacuations.revision())));
         let halls = evacuations.halls().filter(|(_, order)| order.evacuated);
         let evacuated: Vec<&str> = halls.map(|(hall, _)| hall).collect();
         info!(self.log, "orders about data halls"; "event" => "evacuations",
@@ -180,8 +181,8 @@
     }
 
     /// A gateway tells up to which revision it obeys.
-    pub(super) fn note_obeyed(&self, connection: Connection, revision: Revision) {
-        let waited = lock(&self.orders_propagation).in_force(
+    pub(super) fn note_obeyed(&self, connection: ConnectionId, revision: Revision) {
+        let waited = lock(&self.orders_propagation).set_in_force(
             self.now(),
             connection,
             propagation_number(Some(revision)),
@@ -194,9 +195,9 @@
 
     /// Logs orders that all gateways here obey, with the gateway that waited longest.
     pub(super) fn tell_obeyed_everywhere(&self) {
-        let all = lock(&self.orders_propagation).take_everywhere();
+        let all = lock(&self.orders_propagation).take_propagated();
         for everywhere in all {
-            let last = everywhere.last.as_ref();
+            let last = everywhere.slowest.as_ref();
             info!(self.log, "orders obeyed by all gateways"; "event" => "evacuations_everywhere",
                 "revision" => everywhere.version - 1, "gateways" => everywhere.reached,
                 "last" => last.map(|last| last.gateway.as_str()),
--- a/src/group/fan_out.rs
+++ b/src/group/fan_out.rs
@@ -21,7 +21,7 @@
 
 /// A gateway that passes parcels on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Neighbour {
+pub struct PeerGateway {
     /// Where others fetch from it.
     pub addr: SocketAddr,
     /// Data hall that it stands in.
@@ -30,7 +30,7 @@
 
 #[derive(Debug)]
 struct Holder {
-    neighbour: Neighbour,
+    neighbour: PeerGateway,
     /// Places that are free.
     places: u32,
 }
@@ -50,7 +50,7 @@
 impl FanOut {
     /// Names a gateway that has the parcel and a place free, in the data hall of `to` if there is one,
     /// and takes the place.
-    pub fn lend(&mut self, parcel: ParcelId, to: &Neighbour) -> Option<SocketAddr> {
+    pub fn assign_source(&mut self, parcel: ParcelId, to: &PeerGateway) -> Option<SocketAddr> {
         let spread = self.known(parcel)?;
         let free = spread.holders.iter_mut();
         let free = free.filter(|holder| holder.places > 0 && holder.neighbour.addr != to.addr);
@@ -61,7 +61,7 @@
     }
 
     /// A gateway has the parcel.
-    pub fn hold(&mut self, parcel: ParcelId, neighbour: &Neighbour) {
+    pub fn add_holder(&mut self, parcel: ParcelId, neighbour: &PeerGateway) {
         let spread = self.spread(parcel);
         if spread.holders.iter().any(|holder| holder.neighbour.addr == neighbour.addr) {
             return;
@@ -71,7 +71,7 @@
     }
 
     /// A gateway that was named has passed the parcel on.
-    pub fn passed_on(&mut self, parcel: ParcelId, from: SocketAddr) {
+    pub fn release_upload(&mut self, parcel: ParcelId, from: SocketAddr) {
         let Some(spread) = self.known(parcel) else {
             return;
         };
@@ -83,21 +83,21 @@
     }
 
     /// A gateway that was named did not pass the parcel on.
-    pub fn failed(&mut self, parcel: ParcelId, from: SocketAddr) {
+    pub fn fetch_failed(&mut self, parcel: ParcelId, from: SocketAddr) {
         if let Some(spread) = self.known(parcel) {
             spread.holders.retain(|holder| holder.neighbour.addr != from);
         }
     }
 
     /// A gateway is gone, and all that it had.
-    pub fn forget(&mut self, gone: SocketAddr) {
+    pub fn remove_gateway(&mut self, gone: SocketAddr) {
         for spread in &mut self.0 {
             spread.holders.retain(|holder| holder.neighbour.addr != gone);
         }
     }
 
     /// What wakes one of those that wait for a place.
-    pub fn room(&mut self, parcel: ParcelId) -> Arc<Notify> {
+    pub fn upload_freed(&mut self, parcel: ParcelId) -> Arc<Notify> {
         self.spread(parcel).room.clone()
     }
 
--- a/src/group/feed.rs
+++ b/src/group/feed.rs
@@ -7,8 +7,8 @@
 use super::evacuation::propagation_number;
 use super::keepers::Teller;
 use super::message::{Subscription, ToMember};
-use super::propagation::Connection;
-use super::push::{Push, Word};
+use super::propagation::ConnectionId;
+use super::update_sender::{Push, Word};
 use crate::link::{FrameReceiver, FrameSender, LinkError};
 use crate::sync::lock;
 
@@ -24,7 +24,7 @@
 ) -> Result<(), LinkError> {
     let gateway = subscription.gateway.clone();
     lock(&shared.presence).connect(&gateway);
-    lock(&shared.behind).connect(&gateway, subscription.knows);
+    lock(&shared.behind).connect(&gateway, subscription.supported_level);
     let connection =
         lock(&shared.propagation).connect(shared.now(), &gateway, subscription.version);
     let obeys = propagation_number(subscription.evacuations);
@@ -34,17 +34,19 @@
         loop {
             let now = shared.now();
             match receiver.receive().await? {
-                ToMember::Loads { loads, outcomes, keepers, tallies } => {
+                ToMember::Loads { loads, outcomes, prefix_holders: keepers, tallies } => {
                     lock(&shared.load_totals).hear_gateway(now, &gateway, loads);
                     lock(&shared.evidence).hear_gateway(now, &gateway, &outcomes);
                     lock(&shared.keepers).hear(now, Teller::Gateway, &keepers);
                     lock(&shared.rollouts).hear_gateway(&tallies);
                 }
                 ToMember::Poison(word) => shared.hear_poison_of(&gateway, word)?,
-                ToMember::InForce(version) => note_in_force(shared, connection, version),
-                ToMember::Obeys(revision) => shared.note_obeyed(obeying, revision),
-                ToMember::Has(parcel) => tell(&words, Word::Has(parcel)).await?,
-                ToMember::Lacks(parcel) => tell(&words, Word::Lacks(parcel)).await?,
+                ToMember::ConfigurationInForce(version) => {
+                    note_in_force(shared, connection, version)
+                }
+                ToMember::EvacuationsInForce(revision) => shared.note_obeyed(obeying, revision),
+                ToMember::HasBlob(parcel) => tell(&words, Word::Has(parcel)).await?,
+                ToMember::BlobFetchFailed(parcel) => tell(&words, Word::Lacks(parcel)).await?,
                 _ => return Err(LinkError::Garbled),
             }
         }
@@ -71,8 +73,8 @@
 }
 
 /// The gateway tells which configuration it now works by.
-fn note_in_force(shared: &Shared, connection: Connection, version: u64) {
-    let waited = lock(&shared.propagation).in_force(shared.now(), connection, version);
+fn note_in_force(shared: &Shared, connection: ConnectionId, version: u64) {
+    let waited = lock(&shared.propagation).set_in_force(shared.now(), connection, version);
     if let Some(waited) = waited {
         shared.metrics.in_force.observe(waited.as_secs_f64());
     }
@@ -81,9 +83,9 @@
 
 /// Logs configurations that have come to all gateways here, with the gateway that waited longest.
 fn tell_everywhere(shared: &Shared) {
-    let all = lock(&shared.propagation).take_everywhere();
+    let all = lock(&shared.propagation).take_propagated();
     for everywhere in all {
-        let last = everywhere.last.as_ref();
+        let last = everywhere.slowest.as_ref();
         info!(shared.log, "configuration at all gateways"; "event" => "configuration_everywhere",
             "version" => everywhere.version, "gateways" => everywhere.reached,
             "last" => last.map(|last| last.gateway.as_str()),
--- a/src/group/frames/from_member.rs
+++ b/src/group/frames/from_member.rs
@@ -8,9 +8,9 @@
 use crate::compat::base;
 use crate::compat::parts::{self, Parts};
 use crate::group::evidence::Evidence;
-use crate::group::heartbeats::Taken;
+use crate::group::heartbeats::HeartbeatOutcome;
 use crate::group::keepers::Keeper;
-use crate::group::message::{FromMember, HallNews, Reply, Update};
+use crate::group::message::{EvacuationsUpdate, FromMember, Reply, Update};
 use crate::link::{LinkError, Message};
 use crate::poison::Report;
 use crate::rollout::RolloutNews;
@@ -19,7 +19,7 @@
 
 /// Parts of frames of a member, each with what it holds.
 mod tag {
-    /// What became of each announcement of a batch: [`super::Taken`].
+    /// What became of each announcement of a batch: [`super::HeartbeatOutcome`].
     pub(super) const TAKEN: u8 = 1;
     /// [`super::News`].
     pub(super) const NEWS: u8 = 2;
@@ -28,7 +28,7 @@
 /// News for a gateway.
 #[derive(Serialize, Deserialize)]
 struct News<'a> {
-    halls: Option<Cow<'a, HallNews>>,
+    halls: Option<Cow<'a, EvacuationsUpdate>>,
     rollouts: Option<Cow<'a, RolloutNews>>,
     evidence: Option<Cow<'a, [Evidence]>>,
     keepers: Cow<'a, [Keeper]>,
@@ -49,7 +49,7 @@
         Ok(match message {
             base::FromMember::Reply { id, reply } => {
                 let taken = parts.get(tag::TAKEN)?;
-                let reply = taken.map_or_else(|| reply_of(reply), Reply::Taken);
+                let reply = taken.map_or_else(|| reply_of(reply), Reply::Announced);
                 FromMember::Reply { id, reply }
             }
             base::FromMember::Update(update) => {
@@ -65,10 +65,10 @@
         Reply::Answer(answer) => parts::encode(&frame(base::Reply::Answer(answer.clone()))),
         Reply::ReadIndex(index) => parts::encode(&frame(base::Reply::ReadIndex(*index))),
         Reply::Done => parts::encode(&frame(base::Reply::Done)),
-        Reply::Taken(taken) => {
+        Reply::Announced(taken) => {
             // A caller of the first build announced one.
             let reply = match taken.first() {
-                Some(Taken::News) => base::Reply::Answer(Answer::Listed),
+                Some(HeartbeatOutcome::Changed) => base::Reply::Answer(Answer::Listed),
                 _ => base::Reply::Done,
             };
             with(&frame(reply), tag::TAKEN, taken)
@@ -92,17 +92,17 @@
     let message = base::Update {
         fresh: update.fresh,
         version: update.version,
-        parcels: Cow::Borrowed(&update.parcels),
-        elsewhere: update.elsewhere,
+        parcels: Cow::Borrowed(&update.blobs),
+        elsewhere: update.blob_source,
         members: update.members.clone(),
         gateways: update.gateways,
         loads: update.loads.as_ref().map(Cow::Borrowed),
     };
     let news = News {
-        halls: update.halls.as_ref().map(Cow::Borrowed),
+        halls: update.evacuations.as_ref().map(Cow::Borrowed),
         rollouts: update.rollouts.as_ref().map(Cow::Borrowed),
         evidence: update.evidence.as_deref().map(Cow::Borrowed),
-        keepers: Cow::Borrowed(&update.keepers),
+        keepers: Cow::Borrowed(&update.prefix_holders),
         mixes: Cow::Borrowed(&update.mixes),
         poison: Cow::Borrowed(&update.poison),
     };
@@ -113,7 +113,7 @@
 fn update_of(base: base::Update<'static>, parts: Parts<'_>) -> Result<Update, LinkError> {
     let news = parts.get::<News<'static>>(tag::NEWS)?;
     let news = news.unwrap_or_else(|| News {
-        halls: Some(Cow::Owned(HallNews::default())),
+        halls: Some(Cow::Owned(EvacuationsUpdate::default())),
         rollouts: Some(Cow::Owned(RolloutNews::default())),
         evidence: None,
         keepers: Cow::default(),
@@ -123,15 +123,15 @@
     Ok(Update {
         fresh: base.fresh,
         version: base.version,
-        halls: news.halls.map(Cow::into_owned),
+        evacuations: news.halls.map(Cow::into_owned),
         rollouts: news.rollouts.map(Cow::into_owned),
-        parcels: base.parcels.into_owned(),
-        elsewhere: base.elsewhere,
+        blobs: base.parcels.into_owned(),
+        blob_source: base.elsewhere,
         members: base.members,
         gateways: base.gateways,
         loads: base.loads.map(Cow::into_owned),
         evidence: news.evidence.map(Cow::into_owned),
-        keepers: news.keepers.into_owned(),
+        prefix_holders: news.keepers.into_owned(),
         mixes: news.mixes.into_owned(),
         poison: news.poison.into_owned(),
     })
--- a/src/group/frames/mod.rs
+++ b/src/group/frames/mod.rs
@@ -8,7 +8,7 @@
 
 use serde::Serialize;
 
-use super::message::{FromNeighbour, ToNeighbour};
+use super::message::{FromPeer, ToPeer};
 use crate::compat::parts;
 use crate::link::{LinkError, Message};
 
@@ -19,7 +19,7 @@
     Ok(bytes)
 }
 
-impl Message for ToNeighbour {
+impl Message for ToPeer {
     fn to_bytes(&self) -> Result<Vec<u8>, LinkError> {
         parts::encode(self)
     }
@@ -29,7 +29,7 @@
     }
 }
 
-impl Message for FromNeighbour {
+impl Message for FromPeer {
     fn to_bytes(&self) -> Result<Vec<u8>, LinkError> {
         parts::encode(self)
     }
--- a/src/group/frames/to_member.rs
+++ b/src/group/frames/to_member.rs
@@ -65,7 +65,7 @@
 impl Message for ToMember {
     fn to_bytes(&self) -> Result<Vec<u8>, LinkError> {
         match self {
-            ToMember::Agreement { from, messages, knows } => {
+            ToMember::Raft { from, messages, supported_level: knows } => {
                 let messages = Cow::Borrowed(messages.as_slice());
                 with(&base::ToMember::Agreement { from: *from, messages }, tag::KNOWS, knows)
             }
@@ -73,7 +73,7 @@
             ToMember::Presence(gateways) => {
                 parts::encode(&base::ToMember::Presence(Cow::Borrowed(gateways)))
             }
-            ToMember::MemberLoads { from, loads, evidence, keepers, tallies } => {
+            ToMember::MemberLoads { from, loads, evidence, prefix_holders: keepers, tallies } => {
                 let loads = Cow::Borrowed(loads);
                 let saw = MemberSaw {
                     evidence: Cow::Borrowed(evidence),
@@ -83,7 +83,7 @@
                 let message = base::ToMember::MemberLoads { from: *from, loads };
                 with(&message, tag::MEMBER_SAW, &saw)
             }
-            ToMember::Loads { loads, outcomes, keepers, tallies } => {
+            ToMember::Loads { loads, outcomes, prefix_holders: keepers, tallies } => {
                 let saw = GatewaySaw {
                     outcomes: Cow::Borrowed(outcomes),
                     keepers: Cow::Borrowed(keepers),
@@ -98,13 +98,21 @@
                 let message = base::ToMember::Agreement { from: *from, messages };
                 with(&message, tag::POISON, reports)
             }
-            ToMember::InForce(version) => parts::encode(&base::ToMember::InForce(*version)),
-            ToMember::Obeys(revision) => with(&passed_over(), tag::OBEYS, revision),
-            ToMember::Has(parcel) => parts::encode(&base::ToMember::Has(*parcel)),
-            ToMember::Lacks(parcel) => parts::encode(&base::ToMember::Lacks(*parcel)),
+            ToMember::ConfigurationInForce(version) => {
+                parts::encode(&base::ToMember::InForce(*version))
+            }
+            ToMember::EvacuationsInForce(revision) => with(&passed_over(), tag::OBEYS, revision),
+            ToMember::HasBlob(parcel) => parts::encode(&base::ToMember::Has(*parcel)),
+            ToMember::BlobFetchFailed(parcel) => parts::encode(&base::ToMember::Lacks(*parcel)),
             ToMember::Subscribe(subscription) => {
-                let Subscription { gateway, version, directory, data_hall, passes_on_at, .. } =
-                    subscription.clone();
+                let Subscription {
+                    gateway,
+                    version,
+                    directory,
+                    data_hall,
+                    serves_blobs_at: passes_on_at,
+                    ..
+                } = subscription.clone();
                 let message = base::ToMember::Subscribe(base::Subscription {
                     gateway,
                     version,
@@ -113,10 +121,10 @@
                     passes_on_at,
                 });
                 let has = GatewayHas {
-                    knows: subscription.knows,
+                    knows: subscription.supported_level,
                     evacuations: subscription.evacuations,
                     rollouts: subscription.rollouts,
-                    looks: subscription.looks,
+                    looks: subscription.status_only,
                 };
                 with(&message, tag::SUBSCRIBES, &has)
             }
@@ -136,7 +144,7 @@
                     saw.map(|saw| (saw.evidence, saw.keepers, saw.tallies)).unwrap_or_default();
                 let (evidence, keepers) = (evidence.into_owned(), keepers.into_owned());
                 let tallies = tallies.into_owned();
-                ToMember::MemberLoads { from, loads, evidence, keepers, tallies }
+                ToMember::MemberLoads { from, loads, evidence, prefix_holders: keepers, tallies }
             }
             base::ToMember::Loads(loads) => {
                 let loads = loads.into_owned();
@@ -144,10 +152,15 @@
                 let (outcomes, keepers, tallies) =
                     saw.map(|saw| (saw.outcomes, saw.keepers, saw.tallies)).unwrap_or_default();
                 let (outcomes, keepers) = (outcomes.into_owned(), keepers.into_owned());
-                ToMember::Loads { loads, outcomes, keepers, tallies: tallies.into_owned() }
+                ToMember::Loads {
+                    loads,
+                    outcomes,
+                    prefix_holders: keepers,
+                    tallies: tallies.into_owned(),
+                }
             }
-            base::ToMember::InForce(version) => ToMember::InForce(version),
-            base::ToMember::Has(parcel) => ToMember::Has(parcel),
+            base::ToMember::InForce(version) => ToMember::ConfigurationInForce(version),
+            base::ToMember::Has(parcel) => ToMember::HasBlob(parcel),
             base::ToMember::Lacks(parcel) => lacks(parcel, parts)?,
             base::ToMember::Subscribe(subscription) => {
                 ToMember::Subscribe(subscription_of(subscription, parts)?)
@@ -170,15 +183,15 @@
         return Ok(ToMember::MemberPoison { from, reports });
     }
     let knows = parts.get(tag::KNOWS)?.unwrap_or_default();
-    Ok(ToMember::Agreement { from, messages: messages.into_owned(), knows })
+    Ok(ToMember::Raft { from, messages: messages.into_owned(), supported_level: knows })
 }
 
 fn lacks(parcel: ParcelId, parts: Parts<'_>) -> Result<ToMember, LinkError> {
     if let Some(reports) = parts.get(tag::POISON)? {
         return Ok(ToMember::Poison(reports));
     }
-    let obeys = parts.get(tag::OBEYS)?.map(ToMember::Obeys);
-    Ok(obeys.unwrap_or(ToMember::Lacks(parcel)))
+    let obeys = parts.get(tag::OBEYS)?.map(ToMember::EvacuationsInForce);
+    Ok(obeys.unwrap_or(ToMember::BlobFetchFailed(parcel)))
 }
 
 fn subscription_of(base: base::Subscription, parts: Parts<'_>) -> Result<Subscription, LinkError> {
@@ -186,14 +199,14 @@
     let base::Subscription { gateway, version, directory, data_hall, passes_on_at } = base;
     Ok(Subscription {
         gateway,
-        knows: has.as_ref().map_or(Level::BASE, |has| has.knows),
+        supported_level: has.as_ref().map_or(Level::BASE, |has| has.knows),
         version,
         directory,
         evacuations: has.as_ref().and_then(|has| has.evacuations),
         rollouts: has.as_ref().and_then(|has| has.rollouts),
         data_hall,
-        looks: has.is_some_and(|has| has.looks),
-        passes_on_at,
+        status_only: has.is_some_and(|has| has.looks),
+        serves_blobs_at: passes_on_at,
     })
 }
 
@@ -209,8 +222,10 @@
             let first = all.first().ok_or(LinkError::Garbled)?.clone();
             with(&frame(base::Call::Announce(first.into())), tag::ANNOUNCED, all)
         }
-        Call::Heard(targets) => parts::encode(&frame(base::Call::Heard(targets.clone()))),
-        Call::Join { store, addr, knows } => {
+        Call::ReportHeartbeats(targets) => {
+            parts::encode(&frame(base::Call::Heard(targets.clone())))
+        }
+        Call::Join { store, addr, supported_level: knows } => {
             let join = base::Call::Join { store: *store, addr: *addr };
             with(&frame(join), tag::KNOWS, knows)
         }
@@ -225,10 +240,10 @@
             let all = parts.get::<Vec<Announcement>>(tag::ANNOUNCED)?;
             Call::Announce(all.unwrap_or_else(|| vec![first.into()]))
         }
-        base::Call::Heard(targets) => Call::Heard(targets),
+        base::Call::Heard(targets) => Call::ReportHeartbeats(targets),
         base::Call::Join { store, addr } => {
             let knows = parts.get(tag::KNOWS)?.unwrap_or_default();
-            Call::Join { store, addr, knows }
+            Call::Join { store, addr, supported_level: knows }
         }
     })
 }
--- a/src/group/heartbeats.rs
+++ b/src/group/heartbeats.rs
@@ -30,22 +30,22 @@
 
 /// What a heartbeat that was taken brought.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Taken {
+pub enum HeartbeatOutcome {
     /// Something that every gateway will be told.
-    News,
+    Changed,
     /// Nothing new.
-    Known,
+    Unchanged,
 }
 
 /// Targets heard here that the leader has not been told of.
 #[derive(Debug, Default)]
-pub(super) struct Heard {
+pub(super) struct PendingReport {
     targets: HashSet<u64>,
     /// When the leader last took a heartbeat or a report from here.
     confirmed_at: Option<Duration>,
 }
 
-impl Heard {
+impl PendingReport {
     /// Notes a heartbeat that was answered here.
     pub(super) fn note(&mut self, target: u64) {
         self.targets.insert(target);
@@ -61,7 +61,7 @@
         self.confirmed_at.is_some_and(|at| now < at + TRUSTED_FOR)
     }
 
-    /// Targets to report; they come back by [`Heard::note`] if the leader does not take them.
+    /// Targets to report; they come back by [`PendingReport::note`] if the leader does not take them.
     pub(super) fn take(&mut self) -> Vec<u64> {
         self.targets.drain().collect()
     }
@@ -69,15 +69,15 @@
 
 impl Shared {
     /// Takes a heartbeat.
-    pub(super) async fn take_heartbeat(
+    pub(super) async fn handle_heartbeat(
         &self,
         announcement: Announcement,
-    ) -> Result<Taken, Unavailable> {
+    ) -> Result<HeartbeatOutcome, Unavailable> {
         // The leader decides what of it the log may hold.
         let held = announcement.clone().at(self.level());
         if self.answers_alone(&held) {
             lock(&self.heard).note(held.key());
-            return Ok(Taken::Known);
+            return Ok(HeartbeatOutcome::Unchanged);
         }
         self.announce(announcement).await
     }
@@ -92,7 +92,7 @@
 
     /// Whether an announcement bears the identity of a target of another service, and so comes from another writer:
     /// a start of a target keeps its service, and a new one has a service that there is.
-    pub(super) fn names_another(&self, announcement: &Announcement) -> bool {
+    pub(super) fn conflicts_with_target(&self, announcement: &Announcement) -> bool {
         let published = self.member.published();
         let published = published.borrow();
         let Some(known) = published.directory.get(&announcement.id) else {
@@ -127,7 +127,11 @@
                 let announcement = announcement.at(level);
                 liveness.hear(now, announcement.key());
                 let news = directory.judge(&announcement) == Heartbeat::News;
-                taken.push(if news { Taken::News } else { Taken::Known });
+                taken.push(if news {
+                    HeartbeatOutcome::Changed
+                } else {
+                    HeartbeatOutcome::Unchanged
+                });
                 if news {
                     let at_once = liveness.forming(now, &announcement.service, &directory);
                     sights.push(Sight { announcement, at_once });
@@ -135,10 +139,10 @@
             }
         }
         if sights.is_empty() {
-            return if self.leads() { Reply::Taken(taken) } else { Reply::Unknown };
+            return if self.leads() { Reply::Announced(taken) } else { Reply::Unknown };
         }
         match self.propose_sights(level, sights).await {
-            Some(()) => Reply::Taken(taken),
+            Some(()) => Reply::Announced(taken),
             None => Reply::Unknown,
         }
     }
@@ -156,7 +160,7 @@
     }
 
     /// Takes another member's report as the leader.
-    pub(super) fn take_report(&self, targets: &[u64]) -> Reply {
+    pub(super) fn record_report(&self, targets: &[u64]) -> Reply {
         if !self.leads() {
             return Reply::Unknown;
         }
@@ -167,7 +171,7 @@
     }
 
     /// Where targets best send their next heartbeat: here, since they reached this member.
-    pub(super) fn own_door(&self) -> Option<SocketAddr> {
+    pub(super) fn own_api_addr(&self) -> Option<SocketAddr> {
         let port = self.settings.listen?.port();
         Some(SocketAddr::new(self.own.ip(), port))
     }
@@ -183,7 +187,7 @@
         if targets.is_empty() {
             continue;
         }
-        match shared.call_leader(Call::Heard(targets.clone())).await {
+        match shared.call_leader(Call::ReportHeartbeats(targets.clone())).await {
             Ok(_) => lock(&shared.heard).confirm(shared.now()),
             Err(Unavailable) => {
                 let mut heard = lock(&shared.heard);
--- a/src/group/incoming.rs
+++ b/src/group/incoming.rs
@@ -36,7 +36,7 @@
     let mut waiting = Some(waiting);
     loop {
         match receiver.receive().await? {
-            ToMember::Agreement { from, messages, knows } => {
+            ToMember::Raft { from, messages, supported_level: knows } => {
                 if let Some(first) = messages.first() {
                     lock(&shared.book).insert(first.from, from);
                     lock(&shared.readiness).hear(shared.now(), first.from, knows);
@@ -46,7 +46,7 @@
             ToMember::Presence(gateways) => {
                 lock(&shared.presence).hear(shared.run_clock.ran(), gateways);
             }
-            ToMember::MemberLoads { from, loads, evidence, keepers, tallies } => {
+            ToMember::MemberLoads { from, loads, evidence, prefix_holders: keepers, tallies } => {
                 lock(&shared.load_totals).hear_member(shared.now(), from, loads);
                 lock(&shared.evidence).hear_member(shared.now(), from, evidence);
                 lock(&shared.keepers).hear(shared.now(), Teller::Member, &keepers);
@@ -57,10 +57,10 @@
             }
             ToMember::Loads { .. }
             | ToMember::Poison(_)
-            | ToMember::InForce(_)
-            | ToMember::Obeys(_)
-            | ToMember::Has(_)
-            | ToMember::Lacks(_) => {
+            | ToMember::ConfigurationInForce(_)
+            | ToMember::EvacuationsInForce(_)
+            | ToMember::HasBlob(_)
+            | ToMember::BlobFetchFailed(_) => {
                 return Err(LinkError::Garbled);
             }
             ToMember::Call { id, call } => {
--- a/src/group/message.rs
+++ b/src/group/message.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::evidence::{Evidence, Outcomes};
-use super::heartbeats::Taken;
+use super::heartbeats::HeartbeatOutcome;
 use super::keepers::Keeper;
 use super::loads::Loads;
 use crate::directory::Announcement;
@@ -23,13 +23,13 @@
 #[derive(Clone, Debug)]
 pub enum ToMember {
     /// Messages of the agreement.
-    Agreement {
+    Raft {
         /// Where the sender is reached.
         from: SocketAddr,
         /// The messages.
         messages: Vec<Envelope>,
         /// Level that the sender and the gateways connected to it know.
-        knows: Level,
+        supported_level: Level,
     },
     /// A call that awaits a [`Reply`].
     Call {
@@ -49,7 +49,7 @@
         /// How their attempts at targets went, where any failed.
         evidence: Vec<Evidence>,
         /// Targets that keep prompts, as they told since the last word.
-        keepers: Vec<Keeper>,
+        prefix_holders: Vec<Keeper>,
         /// What they saw of roll-outs under way, since the orders.
         tallies: Tallies,
     },
@@ -60,7 +60,7 @@
         /// How its attempts went since its last word.
         outcomes: Vec<Outcomes>,
         /// Targets that keep prompts, since its last word.
-        keepers: Vec<Keeper>,
+        prefix_holders: Vec<Keeper>,
         /// What it saw of roll-outs under way, since its last word.
         tallies: Tallies,
     },
@@ -74,13 +74,13 @@
         reports: Vec<Report>,
     },
     /// The gateway on this connection now works by the configuration of this version.
-    InForce(u64),
+    ConfigurationInForce(u64),
     /// The gateway on this connection now obeys the orders about data halls up to this revision.
-    Obeys(Revision),
+    EvacuationsInForce(Revision),
     /// The gateway on this connection has a large parcel, from wherever it came.
-    Has(ParcelId),
+    HasBlob(ParcelId),
     /// The gateway on this connection could not fetch the parcel that it was told of.
-    Lacks(ParcelId),
+    BlobFetchFailed(ParcelId),
     /// A gateway wants to be told of every change.
     Subscribe(Subscription),
 }
@@ -109,7 +109,7 @@
     /// Take heartbeats of targets.
     Announce(Vec<Announcement>),
     /// Take note of targets whose heartbeats the caller answered, in their short form.
-    Heard(Vec<u64>),
+    ReportHeartbeats(Vec<u64>),
     /// Take a store in.
     Join {
         /// Its identity.
@@ -117,7 +117,7 @@
         /// Where it is reached.
         addr: SocketAddr,
         /// Level that it knows.
-        knows: Level,
+        supported_level: Level,
     },
 }
 
@@ -131,7 +131,7 @@
     /// Taken.
     Done,
     /// What each of the heartbeats brought.
-    Taken(Vec<Taken>),
+    Announced(Vec<HeartbeatOutcome>),
     /// This member does not lead.
     NotLeader(Option<SocketAddr>),
     /// The outcome is not known; the same may be called again.
@@ -144,7 +144,7 @@
     /// Name of the gateway.
     pub gateway: String,
     /// Level that it knows.
-    pub knows: Level,
+    pub supported_level: Level,
     /// Version of the configuration in force there; 0 for none.
     pub version: u64,
     /// Revision of its directory; 0 for none.
@@ -157,32 +157,32 @@
     pub data_hall: String,
     /// Whether it only wants to know where members are and whether this one hears a leader, and is sent neither
     /// configurations nor targets.
-    pub looks: bool,
+    pub status_only: bool,
     /// Where other gateways fetch parcels from it, if it passes them on and fetches some itself.
-    pub passes_on_at: Option<SocketAddr>,
+    pub serves_blobs_at: Option<SocketAddr>,
 }
 
 /// A parcel that another gateway has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Elsewhere {
+pub struct BlobSource {
     /// The parcel.
-    pub parcel: ParcelId,
+    pub blob: ParcelId,
     /// Where to fetch it.
-    pub at: SocketAddr,
+    pub addr: SocketAddr,
 }
 
 /// A frame on a connection that a gateway made to another.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub enum ToNeighbour {
+pub enum ToPeer {
     /// Wants a parcel.
     Fetch(ParcelId),
 }
 
 /// A frame on the way back.
 #[derive(Clone, Debug, Serialize, Deserialize)]
-pub enum FromNeighbour {
+pub enum FromPeer {
     /// The bytes of the parcel.
-    Parcel(Bytes),
+    Blob(Bytes),
     /// The parcel is not here.
     Unknown,
 }
@@ -196,13 +196,13 @@
     pub version: u64,
     /// Data halls that ever had an order, when the gateway lacks the newest. They go with whatever is sent first,
     /// so that no gateway has targets or a configuration before.
-    pub halls: Option<HallNews>,
+    pub evacuations: Option<EvacuationsUpdate>,
     /// Roll-outs of services, when the gateway lacks the newest. They go like the orders about data halls.
     pub rollouts: Option<RolloutNews>,
     /// Bytes of parcels that the gateway lacks.
-    pub parcels: Vec<Bytes>,
+    pub blobs: Vec<Bytes>,
     /// A parcel that it lacks and is to fetch.
-    pub elsewhere: Option<Elsewhere>,
+    pub blob_source: Option<BlobSource>,
     /// Where members are reached, when that changed.
     pub members: Option<Vec<SocketAddr>>,
     /// Gateways alive.
@@ -212,7 +212,7 @@
     /// How attempts of all gateways at targets went, where any failed, when it is time for that.
     pub evidence: Option<Vec<Evidence>>,
     /// Targets that keep prompts, since the last word, when it is time for that.
-    pub keepers: Vec<Keeper>,
+    pub prefix_holders: Vec<Keeper>,
     /// What part of a service's requests each route has, for roll-outs under way, when it is time for that.
     pub mixes: Vec<RolloutMix>,
     /// Requests under which targets ended and that gateways are to know, since the last word.
@@ -221,21 +221,21 @@
 
 impl Update {
     /// This and the update before it, as one.
-    pub fn after(self, earlier: Update) -> Update {
-        let mut parcels = earlier.parcels;
-        parcels.extend(self.parcels);
-        let mut keepers = earlier.keepers;
-        keepers.extend(self.keepers);
+    pub fn merge_earlier(self, earlier: Update) -> Update {
+        let mut blobs = earlier.blobs;
+        blobs.extend(self.blobs);
+        let mut prefix_holders = earlier.prefix_holders;
+        prefix_holders.extend(self.prefix_holders);
         let mut poison = earlier.poison;
         poison.extend(self.poison);
         Update {
-            parcels,
-            keepers,
+            blobs,
+            prefix_holders,
             poison,
             mixes: if self.mixes.is_empty() { earlier.mixes } else { self.mixes },
-            elsewhere: self.elsewhere.or(earlier.elsewhere),
+            blob_source: self.blob_source.or(earlier.blob_source),
             members: self.members.or(earlier.members),
-            halls: self.halls.or(earlier.halls),
+            evacuations: self.evacuations.or(earlier.evacuations),
             rollouts: self.rollouts.or(earlier.rollouts),
             loads: self.loads.or(earlier.loads),
             evidence: self.evidence.or(earlier.evidence),
@@ -246,7 +246,7 @@
 
 /// Orders about data halls, as gateways are told of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HallNews {
+pub struct EvacuationsUpdate {
     /// Revision that last changed anything for a hall; 0 before the first order.
     pub revision: Revision,
     /// Halls that are not as they were at first.
--- a/src/group/metrics.rs
+++ b/src/group/metrics.rs
@@ -205,7 +205,7 @@
         self.level_known.set(shared.knows().0.into());
         self.gateways_behind.set(shared.gateways_behind() as i64);
         self.announcements_waiting.set(shared.batches.len() as i64);
-        self.followers.set(lock(&shared.propagation).followers() as i64);
+        self.followers.set(lock(&shared.propagation).connections() as i64);
         self.set.render()
     }
 }
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -30,9 +30,9 @@
 mod poison_file;
 mod presence;
 pub mod propagation;
-mod push;
 mod rollout;
 pub mod settings;
+mod update_sender;
 mod upgrade;
 
 use std::collections::HashMap;
@@ -67,7 +67,7 @@
 use self::evacuation::Returns;
 use self::evidence::EvidenceBoard;
 use self::fan_out::FanOut;
-use self::heartbeats::Heard;
+use self::heartbeats::PendingReport;
 use self::keepers::KeeperBoard;
 use self::liveness::Liveness;
 use self::load_totals::LoadTotals;
@@ -148,7 +148,7 @@
     load_totals: Mutex<LoadTotals>,
     evidence: Mutex<EvidenceBoard>,
     keepers: Mutex<KeeperBoard>,
-    heard: Mutex<Heard>,
+    heard: Mutex<PendingReport>,
     batches: Batches,
     refused_lines: Mutex<Sampler>,
     /// Requests under which targets ended, as all gateways tell.
@@ -234,11 +234,11 @@
             poison_news: watch::Sender::new(0),
             poison_heard: Notify::new(),
             poison_turned: Notify::new(),
-            pace_of_small: Pacer::new(settings.link_mbps, pacer::PART_FOR_SMALL),
-            pace_of_large: Pacer::new(settings.link_mbps, pacer::PART_FOR_LARGE)
-                .with_burst(pacer::BURST_FOR_LARGE),
-            pace_of_poison: Pacer::new(settings.link_mbps, pacer::PART_FOR_POISON)
-                .with_burst(pacer::BURST_FOR_LARGE),
+            pace_of_small: Pacer::new(settings.link_mbps, pacer::SMALL_BLOBS_SHARE),
+            pace_of_large: Pacer::new(settings.link_mbps, pacer::LARGE_BLOBS_SHARE)
+                .with_burst(pacer::LARGE_BLOBS_BURST),
+            pace_of_poison: Pacer::new(settings.link_mbps, pacer::POISON_SHARE)
+                .with_burst(pacer::LARGE_BLOBS_BURST),
             metrics,
             started: Instant::now(),
             run_clock: RunClock::start(&log),
@@ -259,7 +259,7 @@
         tokio::spawn(rollout::watch(shared.clone()));
         tokio::spawn(upgrade::watch(shared.clone()));
         tokio::spawn(heartbeats::report(shared.clone()));
-        batches::carry(&shared);
+        batches::spawn_senders(&shared);
         tokio::spawn(background::log_beliefs(shared.clone()));
         if let Some(scrapes) = scrapes {
             tokio::spawn(metrics::serve(shared.clone(), scrapes));
@@ -396,9 +396,11 @@
         match call {
             Call::Propose(command) => self.propose_here(command).await,
             Call::Announce(announcements) => self.announce_here(announcements).await,
-            Call::Heard(targets) => self.take_report(&targets),
+            Call::ReportHeartbeats(targets) => self.record_report(&targets),
             Call::ReadIndex => self.read_index().await,
-            Call::Join { store, knows, .. } if !self.may_join(store, knows) => Reply::Unknown,
+            Call::Join { store, supported_level, .. } if !self.may_join(store, supported_level) => {
+                Reply::Unknown
+            }
             Call::Join { store, addr, .. } => {
                 lock(&self.book).insert(store, addr);
                 let joined = self.member.query(move |replica, now| replica.join(now, store, addr));
--- a/src/group/pacer.rs
+++ b/src/group/pacer.rs
@@ -13,20 +13,20 @@
 
 /// Part of the link for small parcels: word of targets that leave, and most configurations, which
 /// nothing else may keep waiting.
-pub const PART_FOR_SMALL: f64 = 0.25;
+pub const SMALL_BLOBS_SHARE: f64 = 0.25;
 /// Part of the link for large parcels, which gateways pass on. With the small ones and with words about
 /// loads (0.25 at most) a fifth of the link is left for the agreement and for calls.
-pub const PART_FOR_LARGE: f64 = 0.3;
+pub const LARGE_BLOBS_SHARE: f64 = 0.3;
 
 /// Part of the link for word of requests under which targets ended. In virtual time 372 gateways of 790 targets, a tenth of
 /// which end each second, would be told some 2 MB a second by each member, of the 0.75 MB that a link of 6 Mbit/s takes.
-pub const PART_FOR_POISON: f64 = 0.1;
+pub const POISON_SHARE: f64 = 0.1;
 
 /// What may be sent of large parcels at once after a rest, as time that it takes at their part of
 /// the link: after a loss of all power many gateways start together, and refuse their clients until
 /// some have everything and pass it on. It is 22 KB on 6 Mbit/s; more would keep
 /// the names of those that have it waiting.
-pub const BURST_FOR_LARGE: Duration = Duration::from_millis(100);
+pub const LARGE_BLOBS_BURST: Duration = Duration::from_millis(100);
 
 /// Lets senders go one after the other, as fast as the rate allows.
 #[derive(Debug)]
@@ -57,7 +57,7 @@
     }
 
     /// How long so many bytes keep the next sender waiting.
-    pub fn takes(&self, bytes: usize) -> Duration {
+    pub fn send_time(&self, bytes: usize) -> Duration {
         takes(bytes, self.bytes_per_s)
     }
 
--- a/src/group/propagation.rs
+++ b/src/group/propagation.rs
@@ -15,12 +15,12 @@
     held_at: Duration,
     /// Gateways that it came into force at.
     reached: u32,
-    last: Option<Last>,
+    last: Option<Slowest>,
 }
 
 /// The gateway that waited longest so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Last {
+pub struct Slowest {
     /// Its name.
     pub gateway: String,
     /// How long it waited.
@@ -29,18 +29,18 @@
 
 /// A configuration that all gateways have.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Everywhere {
+pub struct Propagated {
     /// Its version.
     pub version: u64,
     /// Gateways that it came into force at.
     pub reached: u32,
     /// The one that waited longest, if any had to wait.
-    pub last: Option<Last>,
+    pub slowest: Option<Slowest>,
 }
 
 /// A connection of a gateway; a gateway may have two for a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Connection(u64);
+pub struct ConnectionId(u64);
 
 #[derive(Debug)]
 struct Follower {
@@ -55,13 +55,13 @@
 pub struct Propagation {
     /// Those that some gateway lacks, the oldest first.
     changes: VecDeque<Change>,
-    followers: HashMap<Connection, Follower>,
+    followers: HashMap<ConnectionId, Follower>,
     connections: u64,
 }
 
 impl Propagation {
     /// The member holds a configuration.
-    pub fn hold(&mut self, now: Duration, version: u64) {
+    pub fn add_version(&mut self, now: Duration, version: u64) {
         if self.changes.len() >= FOLLOWED {
             self.changes.pop_front();
         }
@@ -69,21 +69,21 @@
     }
 
     /// A gateway connected that works by `version`; 0 for none.
-    pub fn connect(&mut self, now: Duration, gateway: &str, version: u64) -> Connection {
+    pub fn connect(&mut self, now: Duration, gateway: &str, version: u64) -> ConnectionId {
         self.connections += 1;
-        let connection = Connection(self.connections);
+        let connection = ConnectionId(self.connections);
         let follower = Follower { gateway: gateway.to_owned(), version, since: now };
         self.followers.insert(connection, follower);
         connection
     }
 
     /// A connection ended.
-    pub fn disconnect(&mut self, connection: Connection) {
+    pub fn disconnect(&mut self, connection: ConnectionId) {
         self.followers.remove(&connection);
     }
 
     /// Connections of gateways.
-    pub fn followers(&self) -> usize {
+    pub fn connections(&self) -> usize {
         self.followers.len()
     }
 
@@ -91,10 +91,10 @@
     /// the member held it or the gateway connected.
     ///
     /// `None` where it did not wait: the first configuration of a gateway waited for the gateway.
-    pub fn in_force(
+    pub fn set_in_force(
         &mut self,
         now: Duration,
-        connection: Connection,
+        connection: ConnectionId,
         version: u64,
     ) -> Option<Duration> {
         let follower = self.followers.get_mut(&connection)?;
@@ -109,14 +109,14 @@
             let waited = now.saturating_sub(change.held_at.max(follower.since));
             longest = longest.max(Some(waited));
             if change.last.as_ref().is_none_or(|last| last.waited < waited) {
-                change.last = Some(Last { gateway: follower.gateway.clone(), waited });
+                change.last = Some(Slowest { gateway: follower.gateway.clone(), waited });
             }
         }
         longest
     }
 
     /// Takes out the changes that no gateway lacks any more.
-    pub fn take_everywhere(&mut self) -> Vec<Everywhere> {
+    pub fn take_propagated(&mut self) -> Vec<Propagated> {
         let lowest = self.followers.values().map(|follower| follower.version).min();
         let everywhere =
             |change: &mut Change| lowest.is_some_and(|lowest| change.version <= lowest);
@@ -125,7 +125,7 @@
             let Change { version, reached, last, .. } = change;
             // Gateways that all had it when they connected have nothing to tell of.
             if reached > 0 {
-                taken.push(Everywhere { version, reached, last });
+                taken.push(Propagated { version, reached, slowest: last });
             }
         }
         taken
--- a/src/group/push.rs
+++ b/src/group/update_sender.rs
@@ -13,9 +13,9 @@
 
 use super::Shared;
 use super::cursor::{Cursor, Lacked, Loan, Piece};
-use super::fan_out::Neighbour;
+use super::fan_out::PeerGateway;
 use super::loads::Loads;
-use super::message::{Elsewhere, FromMember, HallNews, Subscription, Update};
+use super::message::{BlobSource, EvacuationsUpdate, FromMember, Subscription, Update};
 use super::metrics::ParcelWay;
 use super::pacer::Turn;
 use crate::clock::Instant;
@@ -49,7 +49,7 @@
     /// Whether it is sent neither configurations nor targets.
     looks: bool,
     /// The gateway as others see it, if it passes parcels on.
-    neighbour: Option<Neighbour>,
+    neighbour: Option<PeerGateway>,
     cursor: Cursor,
     sender: FrameSender,
     /// When the gateway must hear that this member lives.
@@ -67,12 +67,12 @@
         sender: FrameSender,
     ) -> Self {
         let data_hall = subscription.data_hall.clone();
-        let neighbour = subscription.passes_on_at.map(|addr| Neighbour { addr, data_hall });
+        let neighbour = subscription.serves_blobs_at.map(|addr| PeerGateway { addr, data_hall });
         let now = tokio::time::Instant::now();
         Push {
             shared,
             gateway: subscription.gateway.clone(),
-            looks: subscription.looks,
+            looks: subscription.status_only,
             neighbour,
             cursor: Cursor::at(subscription),
             sender,
@@ -128,7 +128,7 @@
     /// What wakes this when another gateway can pass on what this one lacks.
     fn room(&self, lacked: &Lacked) -> Arc<Notify> {
         match (&lacked.large, &self.neighbour) {
-            (Some(large), Some(_)) => lock(&self.shared.fan_out).room(large.parcel.id()),
+            (Some(large), Some(_)) => lock(&self.shared.fan_out).upload_freed(large.parcel.id()),
             _ => Arc::default(),
         }
     }
@@ -202,7 +202,7 @@
     }
 
     /// Orders about data halls, if the gateway lacks any.
-    fn next_halls(&mut self) -> Option<HallNews> {
+    fn next_halls(&mut self) -> Option<EvacuationsUpdate> {
         if !self.lacks_evacuations() {
             return None;
         }
@@ -234,7 +234,7 @@
     /// A gateway that can pass on the parcel now; its place is taken.
     fn find_neighbour(&self, large: &Piece) -> Option<SocketAddr> {
         let to = self.neighbour.as_ref()?;
-        lock(&self.shared.fan_out).lend(large.parcel.id(), to)
+        lock(&self.shared.fan_out).assign_source(large.parcel.id(), to)
     }
 
     /// Tells the gateway to fetch a parcel from another.
@@ -242,8 +242,8 @@
         let parcel = large.parcel.id();
         self.cursor.loan = Some(Loan { parcel, from: at, brings: large.brings });
         self.shared.metrics.large_parcel(ParcelWay::Named);
-        let elsewhere = Some(Elsewhere { parcel, at });
-        let update = Update { elsewhere, ..self.sign() };
+        let elsewhere = Some(BlobSource { blob: parcel, addr: at });
+        let update = Update { blob_source: elsewhere, ..self.sign() };
         self.send(update).await
     }
 
@@ -257,7 +257,7 @@
         self.shared.metrics.large_parcel(ParcelWay::Sent);
         turn.spend(large.parcel.bytes().len());
         let parcels = vec![large.parcel.bytes().clone()];
-        let update = Update { parcels, ..self.sign() };
+        let update = Update { blobs: parcels, ..self.sign() };
         self.send(update).await
     }
 
@@ -273,7 +273,7 @@
         let addrs = member_addrs(&published);
         let members = (addrs != self.cursor.members).then(|| addrs.clone());
         self.cursor.members = addrs;
-        let update = Update { parcels, members, ..self.sign() };
+        let update = Update { blobs: parcels, members, ..self.sign() };
         self.cursor.fresh = update.fresh;
         let frame = encode(&FromMember::Update(Box::new(update)))?;
         turn.spend(frame.len());
@@ -314,8 +314,8 @@
         let mixes = loads.as_ref().map(|_| lock(&self.shared.rollouts).mixes());
         let mixes = mixes.unwrap_or_default();
         let fresh = self.fresh();
-        let rest = Update { keepers, mixes, ..Update::default() };
-        Update { fresh, version, halls, rollouts, gateways, loads, evidence, ..rest }
+        let rest = Update { prefix_holders: keepers, mixes, ..Update::default() };
+        Update { fresh, version, evacuations: halls, rollouts, gateways, loads, evidence, ..rest }
     }
 
     /// What is in flight at the targets, when it is time to tell.
@@ -342,16 +342,16 @@
         if let Some(loan) = self.cursor.loan.take_if(|loan| loan.parcel == parcel) {
             if has {
                 self.cursor.advance(loan.brings);
-                fan_out.passed_on(parcel, loan.from);
+                fan_out.release_upload(parcel, loan.from);
             } else {
-                fan_out.failed(parcel, loan.from);
+                fan_out.fetch_failed(parcel, loan.from);
                 shared.metrics.large_parcel(ParcelWay::NotPassedOn);
                 info!(shared.log, "parcel not passed on"; "event" => "not_passed_on",
                     "from" => %loan.from, "to" => &self.gateway, "brings" => ?loan.brings);
             }
         }
         if let Some(neighbour) = self.neighbour.as_ref().filter(|_| has) {
-            fan_out.hold(parcel, neighbour);
+            fan_out.add_holder(parcel, neighbour);
         }
     }
 
@@ -359,10 +359,10 @@
     pub(super) fn close(&mut self) {
         let mut fan_out = lock(&self.shared.fan_out);
         if let Some(loan) = self.cursor.loan.take() {
-            fan_out.passed_on(loan.parcel, loan.from);
+            fan_out.release_upload(loan.parcel, loan.from);
         }
         if let Some(neighbour) = &self.neighbour {
-            fan_out.forget(neighbour.addr);
+            fan_out.remove_gateway(neighbour.addr);
         }
     }
 }
--- a/tests/compat/frames.rs
+++ b/tests/compat/frames.rs
@@ -6,11 +6,12 @@
 
 use latchmount::directory::DirectoryDelta;
 use latchmount::group::evidence::{Evidence, Outcomes};
-use latchmount::group::heartbeats::Taken;
+use latchmount::group::heartbeats::HeartbeatOutcome;
 use latchmount::group::keepers::{Keeper, PromptKey};
 use latchmount::group::loads::LoadKey;
 use latchmount::group::message::{
-    Call, Evacuation, FromMember, HallNews, HallState, Reply, Subscription, ToMember, Update,
+    Call, Evacuation, EvacuationsUpdate, FromMember, HallState, Reply, Subscription, ToMember,
+    Update,
 };
 use latchmount::level::Level;
 use latchmount::link::Message;
@@ -144,10 +145,10 @@
         panic!("the last sample is a subscription");
     };
     let subscription = Subscription {
-        knows: Level::STARTS,
+        supported_level: Level::STARTS,
         evacuations: Some(11),
         rollouts: Some(12),
-        looks: true,
+        status_only: true,
         ..subscription
     };
     vec![
@@ -159,23 +160,28 @@
                 from: member,
                 loads: Default::default(),
                 evidence,
-                keepers: keepers.clone(),
+                prefix_holders: keepers.clone(),
                 tallies: tallies(),
             },
         ),
         (
             "gateway_saw",
-            ToMember::Loads { loads: Default::default(), outcomes, keepers, tallies: tallies() },
+            ToMember::Loads {
+                loads: Default::default(),
+                outcomes,
+                prefix_holders: keepers,
+                tallies: tallies(),
+            },
         ),
         ("poison", ToMember::Poison(vec![report()])),
         ("member_poison", ToMember::MemberPoison { from: member, reports: vec![report()] }),
-        ("obeys", ToMember::Obeys(12)),
+        ("obeys", ToMember::EvacuationsInForce(12)),
         ("subscribe_starts", ToMember::Subscribe(subscription)),
     ]
 }
 
 fn added_from_member() -> Vec<(&'static str, FromMember)> {
-    let taken = Reply::Taken(vec![Taken::News, Taken::Known]);
+    let taken = Reply::Announced(vec![HeartbeatOutcome::Changed, HeartbeatOutcome::Unchanged]);
     let target = LoadKey::of(1 << 50);
     let hall = |state| HallState { data_hall: "hall-a".into(), since: 11, state };
     let halls = vec![hall(Evacuation::InForce), hall(Evacuation::Withdrawn { for_ms: 5 })];
@@ -186,10 +192,10 @@
         fresh: true,
         version: 4,
         gateways: 2,
-        halls: Some(HallNews { revision: 11, halls }),
+        evacuations: Some(EvacuationsUpdate { revision: 11, halls }),
         rollouts: Some(RolloutNews { revision: 12, rollouts: vec![told] }),
         evidence: Some(vec![Evidence { target, failed: 1.5, answered: 2.0, reporters: 2 }]),
-        keepers: vec![Keeper { prompt: PromptKey::of(1 << 60), target }],
+        prefix_holders: vec![Keeper { prompt: PromptKey::of(1 << 60), target }],
         mixes: vec![RolloutMix { rollout: 12, mix: Mix(vec![share]) }],
         poison: vec![report()],
         ..Update::default()
--- a/tests/compat/samples.rs
+++ b/tests/compat/samples.rs
@@ -11,7 +11,7 @@
 use latchmount::group::listing::Packer;
 use latchmount::group::loads::{LoadKey, Loads, TargetLoad};
 use latchmount::group::message::{
-    Call, Elsewhere, FromMember, HallNews, Reply, Subscription, ToMember, Update,
+    BlobSource, Call, EvacuationsUpdate, FromMember, Reply, Subscription, ToMember, Update,
 };
 use latchmount::level::Level;
 use latchmount::parcel::{Content, Parcel};
@@ -140,7 +140,7 @@
 
 fn agreement(body: Body) -> ToMember {
     let envelope = Envelope { group: GroupId(9), from: StoreId(1), to: StoreId(2), term: 5, body };
-    ToMember::Agreement { from: member(), messages: vec![envelope], knows: Level::BASE }
+    ToMember::Raft { from: member(), messages: vec![envelope], supported_level: Level::BASE }
 }
 
 /// Frames to a member, by name.
@@ -152,14 +152,14 @@
     let call = |call| ToMember::Call { id: 6, call };
     let subscription = Subscription {
         gateway: "gateway-1".into(),
-        knows: Level::BASE,
+        supported_level: Level::BASE,
         version: 4,
         directory: 9,
         evacuations: None,
         rollouts: None,
         data_hall: "hall-a".into(),
-        looks: false,
-        passes_on_at: Some(member()),
+        status_only: false,
+        serves_blobs_at: Some(member()),
     };
     let (evidence, outcomes, keepers) = (Vec::new(), Vec::new(), Vec::new());
     let saw_nothing = || Default::default();
@@ -169,8 +169,11 @@
         ("propose", call(Call::Propose(commands().remove(2)))),
         ("read_index", call(Call::ReadIndex)),
         ("announce", call(Call::Announce(vec![target("t1")]))),
-        ("heard", call(Call::Heard(vec![key("t1")]))),
-        ("join", call(Call::Join { store: StoreId(3), addr: member(), knows: Level::BASE })),
+        ("heard", call(Call::ReportHeartbeats(vec![key("t1")]))),
+        (
+            "join",
+            call(Call::Join { store: StoreId(3), addr: member(), supported_level: Level::BASE }),
+        ),
         ("presence", ToMember::Presence(vec!["gateway-1".into()])),
         (
             "member_loads",
@@ -178,14 +181,22 @@
                 from: member(),
                 loads: loads(),
                 evidence,
-                keepers: keepers.clone(),
+                prefix_holders: keepers.clone(),
+                tallies: saw_nothing(),
+            },
+        ),
+        (
+            "loads",
+            ToMember::Loads {
+                loads: loads(),
+                outcomes,
+                prefix_holders: keepers,
                 tallies: saw_nothing(),
             },
         ),
-        ("loads", ToMember::Loads { loads: loads(), outcomes, keepers, tallies: saw_nothing() }),
-        ("in_force", ToMember::InForce(4)),
-        ("has", ToMember::Has(base_parcel().id())),
-        ("lacks", ToMember::Lacks(base_parcel().id())),
+        ("in_force", ToMember::ConfigurationInForce(4)),
+        ("has", ToMember::HasBlob(base_parcel().id())),
+        ("lacks", ToMember::BlobFetchFailed(base_parcel().id())),
         ("subscribe", ToMember::Subscribe(subscription)),
     ]
 }
@@ -229,13 +240,13 @@
         fresh: true,
         version: 4,
         gateways: 2,
-        halls: Some(HallNews::default()),
+        evacuations: Some(EvacuationsUpdate::default()),
         rollouts: Some(RolloutNews::default()),
         ..Update::default()
     };
     let update = Update {
-        parcels: vec![base_parcel().bytes().clone()],
-        elsewhere: Some(Elsewhere { parcel: base_parcel().id(), at: member() }),
+        blobs: vec![base_parcel().bytes().clone()],
+        blob_source: Some(BlobSource { blob: base_parcel().id(), addr: member() }),
         members: Some(vec![member()]),
         loads: Some(loads()),
         ..sign.clone()
--- a/tests/gateway/news.rs
+++ b/tests/gateway/news.rs
@@ -31,7 +31,7 @@
 #[test]
 fn parts_of_a_members_link_add_up_to_less_than_the_link() {
     const PART_FOR_LOADS: f64 = 0.25;
-    let parts = pacer::PART_FOR_SMALL + pacer::PART_FOR_LARGE + PART_FOR_LOADS;
+    let parts = pacer::SMALL_BLOBS_SHARE + pacer::LARGE_BLOBS_SHARE + PART_FOR_LOADS;
     assert!(parts <= 0.8, "{parts:.2} of the link");
 }
 
--- a/tests/gateway/propagation.rs
+++ b/tests/gateway/propagation.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use latchmount::group::propagation::{Everywhere, Last, Propagation};
+use latchmount::group::propagation::{Propagated, Propagation, Slowest};
 use proptest::prelude::*;
 
 fn ms(ms: u64) -> Duration {
@@ -12,36 +12,36 @@
 #[test]
 fn a_wait_counts_from_when_the_member_held_the_change_and_not_from_when_it_was_sent() {
     let mut propagation = Propagation::default();
-    propagation.hold(ms(0), 1);
+    propagation.add_version(ms(0), 1);
     let first = propagation.connect(ms(10), "first", 1);
     let second = propagation.connect(ms(10), "second", 1);
-    propagation.hold(ms(100), 2);
-    assert_eq!(propagation.in_force(ms(140), first, 2), Some(ms(40)));
-    assert_eq!(propagation.take_everywhere(), []);
-    assert_eq!(propagation.in_force(ms(900), second, 2), Some(ms(800)));
-    let last = Some(Last { gateway: "second".to_owned(), waited: ms(800) });
-    assert_eq!(propagation.take_everywhere(), [Everywhere { version: 2, reached: 2, last }]);
+    propagation.add_version(ms(100), 2);
+    assert_eq!(propagation.set_in_force(ms(140), first, 2), Some(ms(40)));
+    assert_eq!(propagation.take_propagated(), []);
+    assert_eq!(propagation.set_in_force(ms(900), second, 2), Some(ms(800)));
+    let slowest = Some(Slowest { gateway: "second".to_owned(), waited: ms(800) });
+    assert_eq!(propagation.take_propagated(), [Propagated { version: 2, reached: 2, slowest }]);
 }
 
 #[test]
 fn a_gateway_that_skips_versions_has_waited_for_the_oldest() {
     let mut propagation = Propagation::default();
     let gateway = propagation.connect(ms(0), "gateway", 1);
-    propagation.hold(ms(100), 2);
-    propagation.hold(ms(300), 3);
-    assert_eq!(propagation.in_force(ms(400), gateway, 3), Some(ms(300)));
-    let versions: Vec<u64> = propagation.take_everywhere().iter().map(|all| all.version).collect();
+    propagation.add_version(ms(100), 2);
+    propagation.add_version(ms(300), 3);
+    assert_eq!(propagation.set_in_force(ms(400), gateway, 3), Some(ms(300)));
+    let versions: Vec<u64> = propagation.take_propagated().iter().map(|all| all.version).collect();
     assert_eq!(versions, [2, 3]);
 }
 
 #[test]
 fn a_first_configuration_waited_for_the_gateway() {
     let mut propagation = Propagation::default();
-    propagation.hold(ms(0), 1);
+    propagation.add_version(ms(0), 1);
     let gateway = propagation.connect(ms(500), "gateway", 0);
-    assert_eq!(propagation.in_force(ms(520), gateway, 1), None);
-    let everywhere = Everywhere { version: 1, reached: 1, last: None };
-    assert_eq!(propagation.take_everywhere(), [everywhere]);
+    assert_eq!(propagation.set_in_force(ms(520), gateway, 1), None);
+    let everywhere = Propagated { version: 1, reached: 1, slowest: None };
+    assert_eq!(propagation.take_propagated(), [everywhere]);
 }
 
 #[test]
@@ -49,11 +49,11 @@
     let mut propagation = Propagation::default();
     let stays = propagation.connect(ms(0), "stays", 1);
     let leaves = propagation.connect(ms(0), "leaves", 1);
-    propagation.hold(ms(100), 2);
-    propagation.in_force(ms(150), stays, 2);
+    propagation.add_version(ms(100), 2);
+    propagation.set_in_force(ms(150), stays, 2);
     propagation.disconnect(leaves);
-    assert_eq!(propagation.followers(), 1);
-    assert_eq!(propagation.take_everywhere().len(), 1);
+    assert_eq!(propagation.connections(), 1);
+    assert_eq!(propagation.take_propagated().len(), 1);
 }
 
 proptest! {
@@ -68,12 +68,12 @@
             let now = ms(at as u64);
             if skip == 0 {
                 newest += 1;
-                propagation.hold(now, newest);
+                propagation.add_version(now, newest);
             } else if has[gateway] < newest {
                 has[gateway] = newest.min(has[gateway] + skip);
-                propagation.in_force(now, gateways[gateway], has[gateway]);
+                propagation.set_in_force(now, gateways[gateway], has[gateway]);
             }
-            for everywhere in propagation.take_everywhere() {
+            for everywhere in propagation.take_propagated() {
                 prop_assert!(everywhere.version > told);
                 prop_assert!(has.iter().all(|has| *has >= everywhere.version));
                 told = everywhere.version;
--- a/tests/gateway/spread.rs
+++ b/tests/gateway/spread.rs
@@ -4,8 +4,8 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use latchmount::group::fan_out::{FanOut, Neighbour};
-use latchmount::group::pacer::{PART_FOR_LARGE, Pacer};
+use latchmount::group::fan_out::{FanOut, PeerGateway};
+use latchmount::group::pacer::{LARGE_BLOBS_SHARE, Pacer};
 use latchmount::parcel::{Parcel, ParcelId};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -66,7 +66,7 @@
     fn new(gateways: usize, bytes: usize, rng: &mut StdRng) -> Arc<Self> {
         Arc::new(Followers {
             fan_out: Mutex::default(),
-            pacer: Pacer::new(MEMBER_MBPS, PART_FOR_LARGE),
+            pacer: Pacer::new(MEMBER_MBPS, LARGE_BLOBS_SHARE),
             parcel: Parcel::of(vec![7; bytes].into()).id(),
             bytes,
             fates: (0..gateways).map(|_| Fate::draw(rng)).collect(),
@@ -74,9 +74,9 @@
         })
     }
 
-    fn neighbour(&self, gateway: usize) -> Neighbour {
+    fn neighbour(&self, gateway: usize) -> PeerGateway {
         let addr = SocketAddr::from(([10, 0, (gateway / 250) as u8, (gateway % 250) as u8], 80));
-        Neighbour { addr, data_hall: format!("hall-{}", gateway % HALLS) }
+        PeerGateway { addr, data_hall: format!("hall-{}", gateway % HALLS) }
     }
 
     /// Time until the gateway has the parcel, as its member's feed has it get one.
@@ -85,17 +85,17 @@
         let own = self.neighbour(gateway);
         let mut turn = Box::pin(self.pacer.turn());
         loop {
-            let room = self.fan_out.lock().expect("sound").room(self.parcel);
-            let from = self.fan_out.lock().expect("sound").lend(self.parcel, &own);
+            let room = self.fan_out.lock().expect("sound").upload_freed(self.parcel);
+            let from = self.fan_out.lock().expect("sound").assign_source(self.parcel, &own);
             if let Some(from) = from.filter(|_| passes_on) {
                 sleep(ROUND_TRIP).await;
                 let fetched = timeout(SILENCE, self.fetch(from)).await.is_ok();
                 let mut fan_out = self.fan_out.lock().expect("sound");
                 if fetched {
-                    fan_out.passed_on(self.parcel, from);
+                    fan_out.release_upload(self.parcel, from);
                     break;
                 }
-                fan_out.failed(self.parcel, from);
+                fan_out.fetch_failed(self.parcel, from);
                 continue;
             }
             tokio::select! {
@@ -108,7 +108,7 @@
             }
         }
         if passes_on {
-            self.fan_out.lock().expect("sound").hold(self.parcel, &own);
+            self.fan_out.lock().expect("sound").add_holder(self.parcel, &own);
         }
         began.elapsed()
     }
@@ -162,27 +162,27 @@
 #[test]
 fn a_place_is_taken_once_and_free_again_when_the_parcel_was_passed_on() {
     let parcel = Parcel::of(vec![1; 9].into()).id();
-    let neighbour = |port: u16, hall: &str| Neighbour {
+    let neighbour = |port: u16, hall: &str| PeerGateway {
         addr: SocketAddr::from(([10, 0, 0, 1], port)),
         data_hall: hall.to_owned(),
     };
     let (far, near, asker) = (neighbour(1, "a"), neighbour(2, "b"), neighbour(3, "b"));
     let mut fan_out = FanOut::default();
-    assert_eq!(fan_out.lend(parcel, &asker), None);
-    fan_out.hold(parcel, &far);
-    fan_out.hold(parcel, &near);
-    fan_out.hold(parcel, &asker);
-    let lent: Vec<_> = std::iter::from_fn(|| fan_out.lend(parcel, &asker)).collect();
+    assert_eq!(fan_out.assign_source(parcel, &asker), None);
+    fan_out.add_holder(parcel, &far);
+    fan_out.add_holder(parcel, &near);
+    fan_out.add_holder(parcel, &asker);
+    let lent: Vec<_> = std::iter::from_fn(|| fan_out.assign_source(parcel, &asker)).collect();
     assert!(lent.iter().all(|addr| *addr != asker.addr), "a gateway is not named to itself");
     let (of_near, of_far) = lent.split_at(lent.len() / 2);
     assert!(of_near.iter().all(|addr| *addr == near.addr), "its own data hall first: {lent:?}");
     assert!(of_far.iter().all(|addr| *addr == far.addr));
-    fan_out.passed_on(parcel, far.addr);
-    assert_eq!(fan_out.lend(parcel, &asker), Some(far.addr));
-    fan_out.passed_on(parcel, near.addr);
-    fan_out.failed(parcel, near.addr);
-    assert_eq!(fan_out.lend(parcel, &asker), None);
-    fan_out.passed_on(parcel, far.addr);
-    fan_out.forget(far.addr);
-    assert_eq!(fan_out.lend(parcel, &asker), None);
+    fan_out.release_upload(parcel, far.addr);
+    assert_eq!(fan_out.assign_source(parcel, &asker), Some(far.addr));
+    fan_out.release_upload(parcel, near.addr);
+    fan_out.fetch_failed(parcel, near.addr);
+    assert_eq!(fan_out.assign_source(parcel, &asker), None);
+    fan_out.release_upload(parcel, far.addr);
+    fan_out.remove_gateway(far.addr);
+    assert_eq!(fan_out.assign_source(parcel, &asker), None);
 }
