--- a/src/group/message.rs
+++ b/src/group/message.rs
@@ -1,4 +1,6 @@
-//! Messages between members, and between members and gateways; `frames` holds their encoding.
+//! Messages that members and gateways exchange: member to member, gateway to member and back, and gateway to gateway.
+//!
+//! Their encoding is in `frames`, which keeps frames to and from members readable for earlier builds.
 
 use std::net::SocketAddr;
 
@@ -19,208 +21,209 @@
 use crate::rollout::tally::Tallies;
 use crate::store::{Answer, Command, Revision};
 
-/// A frame on a connection that a member or a gateway made to a member.
+/// A frame to a member, on a connection that another member or a gateway opened.
 #[derive(Clone, Debug)]
 pub enum ToMember {
-    /// Messages of the agreement.
+    /// Raft messages, from a member.
     Raft {
-        /// Where the sender is reached.
+        /// Peer address of the sender.
         from: SocketAddr,
         /// The messages.
         messages: Vec<Envelope>,
-        /// Level that the sender and the gateways connected to it know.
+        /// Highest level that the sender and all gateways connected to it support.
         supported_level: Level,
     },
-    /// A call that awaits a [`Reply`].
+    /// A request that is answered with a [`Reply`].
     Call {
-        /// Chosen by the caller.
+        /// Chosen by the caller; repeated in the reply.
         id: u64,
         /// The call.
         call: Call,
     },
-    /// Gateways that are connected to the sender.
+    /// Names of the gateways that are connected to the sending member.
     Presence(Vec<String>),
-    /// What the gateways connected to the sender have in flight.
+    /// What a member's gateways reported, summed up, for the other members.
     MemberLoads {
-        /// Where the sender is reached.
+        /// Peer address of the sender.
         from: SocketAddr,
-        /// What they have in flight.
+        /// Requests that its gateways have in flight, by target.
         loads: Loads,
-        /// How their attempts at targets went, where any failed.
+        /// Outcomes of their attempts at targets, for targets with failures.
         evidence: Vec<Evidence>,
-        /// Targets that keep prompts, as they told since the last word.
+        /// Prefix holders that they reported since the previous message.
         prefix_holders: Vec<Keeper>,
-        /// What they saw of roll-outs under way, since the orders.
+        /// Outcomes by version for each roll-out in progress, since it was ordered.
         tallies: Tallies,
     },
-    /// What the gateway on this connection has in flight.
+    /// Periodic report of the gateway on this connection.
     Loads {
-        /// What it has in flight.
+        /// Requests that it has in flight, by target.
         loads: Loads,
-        /// How its attempts went since its last word.
+        /// Outcomes of its attempts since its previous report.
         outcomes: Vec<Outcomes>,
-        /// Targets that keep prompts, since its last word.
+        /// Prefix holders that it learned of since its previous report.
         prefix_holders: Vec<Keeper>,
-        /// What it saw of roll-outs under way, since its last word.
+        /// Outcomes by version for each roll-out in progress, since its previous report.
         tallies: Tallies,
     },
-    /// Requests under which targets ended, or that ended well since, from the gateway on this connection.
+    /// Reports of the gateway on this connection about suspected poison requests: requests during which targets ended,
+    /// and those of them that a target completed since.
     Poison(Vec<Report>),
-    /// The same, from another member.
+    /// The same reports, passed on by another member.
     MemberPoison {
-        /// Where the sender is reached.
+        /// Peer address of the sender.
         from: SocketAddr,
-        /// The requests.
+        /// The reports.
         reports: Vec<Report>,
     },
-    /// The gateway on this connection now works by the configuration of this version.
+    /// The gateway on this connection now applies the configuration of this version.
     ConfigurationInForce(u64),
-    /// The gateway on this connection now obeys the orders about data halls up to this revision.
+    /// The gateway on this connection now applies the evacuation orders up to this revision.
     EvacuationsInForce(Revision),
-    /// The gateway on this connection has a large parcel, from wherever it came.
+    /// The gateway on this connection has this large blob, from the member or from a peer gateway.
     HasBlob(ParcelId),
-    /// The gateway on this connection could not fetch the parcel that it was told of.
+    /// The gateway on this connection could not fetch this blob from the [`BlobSource`] that it was given.
     BlobFetchFailed(ParcelId),
-    /// A gateway wants to be told of every change.
+    /// The gateway on this connection subscribes to updates; the first frame that it sends.
     Subscribe(Subscription),
 }
 
-/// A frame on the way back.
+/// A frame from a member, on the same connection.
 #[derive(Clone, Debug)]
 pub enum FromMember {
-    /// The answer to a call.
+    /// The reply to a call.
     Reply {
         /// Id of the call.
         id: u64,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
-    /// News for a gateway; without any, a sign of life.
+    /// An update for a gateway; one without changes serves as a keep-alive.
     Update(Box<Update>),
 }
 
-/// A call to a member.
+/// A request to a member; all but [`Call::ReadIndex`] change state. Each may be repeated without harm.
 #[derive(Clone, Debug)]
 pub enum Call {
-    /// Put a command in the log.
+    /// Commit a command to the Raft log.
     Propose(Command),
-    /// The index up to which a reader must have applied to see all that is acknowledged.
+    /// Return the log index that a reader must have applied in order to see every acknowledged change.
     ReadIndex,
-    /// Take heartbeats of targets.
+    /// Handle heartbeats of targets, and commit those that change the directory.
     Announce(Vec<Announcement>),
-    /// Take note of targets whose heartbeats the caller answered, in their short form.
+    /// Record as alive the targets whose heartbeats the caller answered itself; given by their keys.
     ReportHeartbeats(Vec<u64>),
-    /// Take a store in.
+    /// Add a member, named by its store, to the group.
     Join {
-        /// Its identity.
+        /// Id of its store.
         store: StoreId,
-        /// Where it is reached.
+        /// Its peer address.
         addr: SocketAddr,
-        /// Level that it knows.
+        /// Highest level that it supports.
         supported_level: Level,
     },
 }
 
-/// The answer to a call.
+/// The reply to a [`Call`].
 #[derive(Clone, Debug)]
 pub enum Reply {
-    /// The store's answer to a command.
+    /// The store's answer to a committed command.
     Answer(Answer),
-    /// The index for a reader.
+    /// The log index for [`Call::ReadIndex`].
     ReadIndex(Index),
-    /// Taken.
+    /// The call was carried out.
     Done,
-    /// What each of the heartbeats brought.
+    /// Outcome of each heartbeat of a [`Call::Announce`], in order; may cover only the first of them.
     Announced(Vec<HeartbeatOutcome>),
-    /// This member does not lead.
+    /// This member is not the leader; address of the leader, if known.
     NotLeader(Option<SocketAddr>),
-    /// The outcome is not known; the same may be called again.
+    /// The outcome is unknown; the call may be repeated.
     Unknown,
 }
 
-/// What a gateway has when it connects.
+/// What a gateway has when it subscribes, so that the member sends only what it lacks.
 #[derive(Clone, Debug)]
 pub struct Subscription {
     /// Name of the gateway.
     pub gateway: String,
-    /// Level that it knows.
+    /// Highest level that it supports.
     pub supported_level: Level,
     /// Version of the configuration in force there; 0 for none.
     pub version: u64,
     /// Revision of its directory; 0 for none.
     pub directory: Revision,
-    /// Revision of the orders about data halls that it obeys; `None` if it never heard of any.
+    /// Revision of the evacuation orders that it applies; `None` if it never received any state of them.
     pub evacuations: Option<Revision>,
-    /// Revision of the roll-outs that it goes by; `None` if it never heard of any.
+    /// Revision of the roll-outs that it applies; `None` if it never received any state of them.
     pub rollouts: Option<Revision>,
     /// Data hall of the gateway.
     pub data_hall: String,
-    /// Whether it only wants to know where members are and whether this one hears a leader, and is sent neither
-    /// configurations nor targets.
+    /// Whether it only asks for the addresses of members and whether this one has contact with a leader. It is then sent
+    /// neither configurations nor targets.
     pub status_only: bool,
-    /// Where other gateways fetch parcels from it, if it passes them on and fetches some itself.
+    /// Address where peer gateways fetch blobs from it; `None` if it takes no part in peer-to-peer distribution.
     pub serves_blobs_at: Option<SocketAddr>,
 }
 
-/// A parcel that another gateway has.
+/// A blob, and the peer gateway to fetch it from.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BlobSource {
-    /// The parcel.
+    /// The blob.
     pub blob: ParcelId,
-    /// Where to fetch it.
+    /// Address where the peer gateway serves it.
     pub addr: SocketAddr,
 }
 
-/// A frame on a connection that a gateway made to another.
+/// A frame to a peer gateway, on a connection that a gateway opened.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub enum ToPeer {
-    /// Wants a parcel.
+    /// Asks for a blob.
     Fetch(ParcelId),
 }
 
-/// A frame on the way back.
+/// A frame from a peer gateway, on the same connection.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum FromPeer {
-    /// The bytes of the parcel.
+    /// The bytes of the blob.
     Blob(Bytes),
-    /// The parcel is not here.
+    /// This gateway does not have the blob.
     Unknown,
 }
 
-/// News for a gateway.
+/// State that a member pushes to a gateway. Fields that are `None` or empty did not change, or are not due yet.
 #[derive(Clone, Debug, Default)]
 pub struct Update {
-    /// Whether the member has heard a leader lately.
+    /// Whether the member has had contact with a leader recently.
     pub fresh: bool,
     /// Version of the configuration that the member holds; 0 for none.
     pub version: u64,
-    /// Data halls that ever had an order, when the gateway lacks the newest. They go with whatever is sent first,
-    /// so that no gateway has targets or a configuration before.
+    /// Evacuation orders, if the gateway lacks the newest. They are sent before or with any blob, so that no gateway has
+    /// targets or a configuration without them.
     pub evacuations: Option<EvacuationsUpdate>,
-    /// Roll-outs of services, when the gateway lacks the newest. They go like the orders about data halls.
+    /// Roll-outs, if the gateway lacks the newest; sent before or with any blob too.
     pub rollouts: Option<RolloutNews>,
-    /// Bytes of parcels that the gateway lacks.
+    /// Blobs that the gateway lacks.
     pub blobs: Vec<Bytes>,
-    /// A parcel that it lacks and is to fetch.
+    /// A blob that the gateway lacks and must fetch from a peer.
     pub blob_source: Option<BlobSource>,
-    /// Where members are reached, when that changed.
+    /// Peer addresses of the members, if they changed.
     pub members: Option<Vec<SocketAddr>>,
-    /// Gateways alive.
+    /// Number of live gateways.
     pub gateways: u32,
-    /// What all gateways have in flight at targets that have anything, when it is time for that.
+    /// Requests that all gateways have in flight, by target, for targets that have any; sent periodically.
     pub loads: Option<Loads>,
-    /// How attempts of all gateways at targets went, where any failed, when it is time for that.
+    /// Outcomes of all gateways' attempts, for targets with failures; sent with `loads`.
     pub evidence: Option<Vec<Evidence>>,
-    /// Targets that keep prompts, since the last word, when it is time for that.
+    /// Prefix holders reported since the previous update with `loads`; sent with `loads`.
     pub prefix_holders: Vec<Keeper>,
-    /// What part of a service's requests each route has, for roll-outs under way, when it is time for that.
+    /// Share of a service's requests that each route has, for roll-outs in progress; sent with `loads`.
     pub mixes: Vec<RolloutMix>,
-    /// Requests under which targets ended and that gateways are to know, since the last word.
+    /// Suspected poison requests that changed since the previous update.
     pub poison: Vec<Report>,
 }
 
 impl Update {
-    /// This and the update before it, as one.
+    /// Merges an earlier update into this one: lists are joined, else the newest value counts.
     pub fn merge_earlier(self, earlier: Update) -> Update {
         let mut blobs = earlier.blobs;
         blobs.extend(self.blobs);
@@ -244,34 +247,34 @@
     }
 }
 
-/// Orders about data halls, as gateways are told of them.
+/// State of the evacuation orders, as sent to gateways.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationsUpdate {
-    /// Revision that last changed anything for a hall; 0 before the first order.
+    /// Revision of the newest change to a data hall's state; 0 before the first order.
     pub revision: Revision,
-    /// Halls that are not as they were at first.
+    /// Data halls that are evacuated, or were and are not known to be warm again.
     pub halls: Vec<HallState>,
 }
 
-/// A data hall that was evacuated.
+/// A data hall that is or was evacuated.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HallState {
     /// Its name.
     pub data_hall: String,
-    /// Revision since which it is so.
+    /// Revision of the order that brought the data hall to this state.
     pub since: Revision,
-    /// How it is now.
+    /// Whether the evacuation is in force.
     pub state: Evacuation,
 }
 
-/// How a data hall is.
+/// State of an evacuation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Evacuation {
-    /// Its targets are to be sent nothing more.
+    /// Targets of the data hall are sent no new requests.
     InForce,
-    /// Its targets take work again.
+    /// Targets of the data hall take requests again.
     Withdrawn {
-        /// For how long the member has known so, in milliseconds.
+        /// How long the member has known of the withdrawal, in milliseconds.
         for_ms: u64,
     },
 }
