--- a/src/group/archive.rs
+++ b/src/group/archive.rs
@@ -1,30 +1,30 @@
-//! Recent configuration documents, so that gateways get differences.
+//! Recent configuration documents, kept to send gateways the difference to the one they have.
 
 use std::collections::{HashMap, VecDeque};
 
-use super::cursor::{Brings, Piece};
+use super::cursor::{MissingBlob, Progress};
 use crate::document::Document;
 use crate::link::LinkError;
 use crate::parcel::{Content, Parcel};
 
-/// Documents kept: at four changes a second, a gateway that was out of reach for 8 s still gets a
-/// difference of some hundred bytes, where the whole document takes some thousand.
-const KEPT: usize = 32;
-/// Bytes of documents kept, beyond the newest.
-const KEPT_BYTES: usize = 16 * 1024 * 1024;
+/// Documents kept. At four changes a second, a gateway that was unreachable for 8 s still gets a difference of some
+/// hundred bytes, where the whole document takes some thousand.
+const MAX_DOCUMENTS: usize = 32;
+/// Total size of the documents kept; the newest is kept whatever its size.
+const MAX_DOCUMENTS_BYTES: usize = 16 * 1024 * 1024;
 
-/// Recent documents, and how they were packed for gateways by the version that those have.
+/// Recent documents, and the blobs packed from them, by the version that the receiving gateway has.
 #[derive(Debug, Default)]
 pub(super) struct Archive {
     documents: VecDeque<Document>,
-    packed: HashMap<u64, Piece>,
+    packed: HashMap<u64, MissingBlob>,
 }
 
 impl Archive {
-    /// Packs `newest` for a gateway that has version `known`.
+    /// Packs `newest` for a gateway that has version `known`, 0 for none; `None` if the gateway lacks nothing.
     ///
-    /// A large parcel stays the one for all that have the same, also when there is a newer document:
-    /// gateways pass it on already, and get the rest as a small difference from there.
+    /// A large blob is reused for all gateways that have the same version, even when there is a newer document: peers
+    /// distribute it already, and the gateways get a small difference from there.
     ///
     /// # Errors
     /// [`LinkError`] when it can't be packed.
@@ -32,7 +32,7 @@
         &mut self,
         newest: &Document,
         known: u64,
-    ) -> Result<Option<Piece>, LinkError> {
+    ) -> Result<Option<MissingBlob>, LinkError> {
         if known >= newest.version {
             return Ok(None);
         }
@@ -42,12 +42,13 @@
         }
         let base = self.documents.iter().find(|document| document.version == known);
         let packed = newest.pack(base).map_err(|_| LinkError::Garbled)?;
-        let parcel = Parcel::pack(&Content::Document(packed))?;
-        let piece = Piece { parcel, brings: Brings::Version(newest.version) };
-        self.packed.insert(known, piece.clone());
-        Ok(Some(piece))
+        let blob = Parcel::pack(&Content::Document(packed))?;
+        let missing = MissingBlob { blob, advances_to: Progress::Version(newest.version) };
+        self.packed.insert(known, missing.clone());
+        Ok(Some(missing))
     }
 
+    /// Adds a new document, and drops the oldest beyond the limits and the blobs that are no longer of use.
     fn keep(&mut self, newest: &Document) {
         if self.documents.back().is_some_and(|last| last.version >= newest.version) {
             return;
@@ -56,13 +57,13 @@
         let bytes = |documents: &VecDeque<Document>| -> usize {
             documents.iter().map(|document| document.bytes.len()).sum()
         };
-        while self.documents.len() > KEPT
-            || (self.documents.len() > 1 && bytes(&self.documents) > KEPT_BYTES)
+        while self.documents.len() > MAX_DOCUMENTS
+            || (self.documents.len() > 1 && bytes(&self.documents) > MAX_DOCUMENTS_BYTES)
         {
             self.documents.pop_front();
         }
         let oldest = self.documents.front().map_or(0, |oldest| oldest.version);
-        let held = |brings| matches!(brings, Brings::Version(version) if version >= oldest);
-        self.packed.retain(|_, piece| piece.parcel.is_large() && held(piece.brings));
+        let held = |progress| matches!(progress, Progress::Version(version) if version >= oldest);
+        self.packed.retain(|_, missing| missing.blob.is_large() && held(missing.advances_to));
     }
 }
--- a/src/group/cursor.rs
+++ b/src/group/cursor.rs
@@ -1,4 +1,4 @@
-//! What one gateway has been sent, and so what it lacks.
+//! Tracks what one gateway has been sent, and selects what to send it next.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,28 +9,28 @@
 use super::keepers::Told;
 use super::message::Subscription;
 
-/// What a parcel brings a gateway to.
+/// The state that a gateway reaches by applying a blob.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Brings {
+pub(super) enum Progress {
     /// The configuration of this version.
     Version(u64),
     /// This revision of the directory.
     Revision(Revision),
 }
 
-/// A parcel that a gateway lacks.
+/// A blob that a gateway lacks.
 #[derive(Clone, Debug)]
-pub(super) struct Piece {
-    pub(super) parcel: Parcel,
-    pub(super) brings: Brings,
+pub(super) struct MissingBlob {
+    pub(super) blob: Parcel,
+    pub(super) advances_to: Progress,
 }
 
-/// A parcel that a gateway was told to fetch from another.
+/// A fetch from a peer gateway that this gateway was told to make.
 #[derive(Clone, Copy, Debug)]
-pub(super) struct Loan {
-    pub(super) parcel: ParcelId,
-    pub(super) from: SocketAddr,
-    pub(super) brings: Brings,
+pub(super) struct PeerFetch {
+    pub(super) blob: ParcelId,
+    pub(super) source: SocketAddr,
+    pub(super) advances_to: Progress,
 }
 
 /// What a gateway has been sent.
@@ -39,26 +39,26 @@
     pub(super) version: u64,
     /// Revision of its directory; 0 for none.
     pub(super) directory: Revision,
-    /// Revision of the orders about data halls that it was told of; `None` for nothing at all.
+    /// Revision of the evacuation orders that it was sent; `None` if it was sent no state of them yet.
     pub(super) evacuations: Option<Revision>,
-    /// Revision of the roll-outs that it was told of; `None` for nothing at all.
+    /// Revision of the roll-outs that it was sent; `None` if it was sent no state of them yet.
     pub(super) rollouts: Option<Revision>,
     pub(super) members: Vec<SocketAddr>,
     pub(super) fresh: bool,
-    /// When loads are to be told next.
-    pub(super) loads_at: Duration,
-    /// Keepers of prompts that it was told of.
-    pub(super) keepers: Told,
-    /// Change up to which it was told of requests under which targets ended.
+    /// When the next update with loads is due.
+    pub(super) next_loads_at: Duration,
+    /// Position in the list of prefix holders up to which it was sent entries.
+    pub(super) prefix_holders: Told,
+    /// Number of the last change to suspected poison requests that it was sent.
     pub(super) poison: u64,
-    /// Whether nothing is in flight anywhere.
+    /// Whether the last loads that it was sent were empty: no requests in flight at any target.
     pub(super) idle: bool,
-    /// What it fetches now. Nothing that builds on that is sent before it has it.
-    pub(super) loan: Option<Loan>,
+    /// The fetch in progress. Nothing that builds on its blob is sent before the gateway has it.
+    pub(super) peer_fetch: Option<PeerFetch>,
 }
 
 impl Cursor {
-    pub(super) fn at(subscription: &Subscription) -> Self {
+    pub(super) fn new(subscription: &Subscription) -> Self {
         Cursor {
             version: subscription.version,
             directory: subscription.directory,
@@ -66,53 +66,57 @@
             rollouts: subscription.rollouts,
             members: Vec::new(),
             fresh: false,
-            loads_at: Duration::ZERO,
-            keepers: Told::default(),
+            next_loads_at: Duration::ZERO,
+            prefix_holders: Told::default(),
             poison: 0,
             idle: true,
-            loan: None,
+            peer_fetch: None,
         }
     }
 
-    /// The gateway has been brought there, or surely will be by what is on its way.
-    pub(super) fn advance(&mut self, brings: Brings) {
-        match brings {
-            Brings::Version(version) => self.version = version,
-            Brings::Revision(revision) => self.directory = revision,
+    /// Records that the gateway reached this state, or will by a blob that was sent on this connection.
+    pub(super) fn advance(&mut self, progress: Progress) {
+        match progress {
+            Progress::Version(version) => self.version = version,
+            Progress::Revision(revision) => self.directory = revision,
         }
     }
 
-    /// Of what it lacks, what may be sent now: in parcels small enough to go along with a sign of life,
-    /// and one that is not.
+    /// Selects what may be sent now of the configuration and the targets that the gateway lacks: small blobs, which
+    /// go along with a keep-alive, and at most one large one.
     ///
-    /// A gateway that has nothing gets its targets first, since it takes requests as soon as it has a
-    /// configuration.
-    pub(super) fn sort(&self, document: Option<Piece>, targets: Option<Piece>) -> Lacked {
-        let starts = self.version == 0 && self.directory == 0;
-        let fetches = |piece: &Piece| {
-            self.loan.is_some_and(|loan| {
-                std::mem::discriminant(&loan.brings) == std::mem::discriminant(&piece.brings)
+    /// A gateway that has neither gets its targets first, since it accepts requests as soon as it has a configuration.
+    pub(super) fn select(
+        &self,
+        document: Option<MissingBlob>,
+        targets: Option<MissingBlob>,
+    ) -> Missing {
+        let starting = self.version == 0 && self.directory == 0;
+        let fetching = |missing: &MissingBlob| {
+            self.peer_fetch.is_some_and(|fetch| {
+                std::mem::discriminant(&fetch.advances_to)
+                    == std::mem::discriminant(&missing.advances_to)
             })
         };
-        let targets_wait = targets.as_ref().is_some_and(|piece| piece.parcel.is_large());
-        let waits = starts && targets_wait;
-        let document = document.filter(|piece| !waits && !fetches(piece));
-        let targets = targets.filter(|piece| !fetches(piece));
-        let pieces = targets.into_iter().chain(document);
-        let (large, small) = pieces.partition::<Vec<_>, _>(|piece| piece.parcel.is_large());
-        // A configuration before a change of targets, but the first list before a configuration.
-        let large = if starts { large.into_iter().next() } else { large.into_iter().next_back() };
-        Lacked { small, large: large.filter(|_| self.loan.is_none()), later: false }
+        let targets_large = targets.as_ref().is_some_and(|missing| missing.blob.is_large());
+        let document_waits = starting && targets_large;
+        let document = document.filter(|missing| !document_waits && !fetching(missing));
+        let targets = targets.filter(|missing| !fetching(missing));
+        let all = targets.into_iter().chain(document);
+        let (large, small) = all.partition::<Vec<_>, _>(|missing| missing.blob.is_large());
+        // The configuration goes before a change of targets, but the first list of targets before the configuration.
+        let large = if starting { large.into_iter().next() } else { large.into_iter().next_back() };
+        Missing { small, large: large.filter(|_| self.peer_fetch.is_none()), deferred: false }
     }
 }
 
-/// What a gateway lacks.
+/// What a gateway lacks and may be sent.
 #[derive(Debug, Default)]
-pub(super) struct Lacked {
-    /// Parcels to send along.
-    pub(super) small: Vec<Piece>,
-    /// A parcel that it may fetch elsewhere, or is sent in its turn.
-    pub(super) large: Option<Piece>,
-    /// Whether it lacks something that is not looked for before it may be sent.
-    pub(super) later: bool,
+pub(super) struct Missing {
+    /// Small blobs, sent together.
+    pub(super) small: Vec<MissingBlob>,
+    /// A large blob, to be fetched from a peer, or sent when the pacer allows.
+    pub(super) large: Option<MissingBlob>,
+    /// Whether the gateway lacks something that is only packed once it may be sent.
+    pub(super) deferred: bool,
 }
--- a/src/group/deltas.rs
+++ b/src/group/deltas.rs
@@ -1,55 +1,56 @@
-//! Changes of the directory as they go to gateways, each packed once for all that know about the same.
+//! Changes of the directory packed for gateways, each once for all gateways that need the same change.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-use super::cursor::{Brings, Piece};
+use super::cursor::{MissingBlob, Progress};
 use super::listing::Packer;
 use crate::directory::Directory;
 use crate::link::LinkError;
 use crate::parcel::{Content, Parcel};
 use crate::store::Revision;
 
-/// How long a large parcel stays the one for all gateways that know the same, though the directory has
-/// changed since: gateways pass it on already, and get the rest as a small change from there. A leaving
-/// target must be known everywhere within some seconds.
-const LARGE_KEPT_FOR: Duration = Duration::from_millis(1_000);
+/// How long a large blob is reused for all gateways that know the same revision, although the directory has changed
+/// since: peers distribute it already, and the gateways get a small change from there. It is short because a target that
+/// shuts down must be known to all gateways within some seconds.
+const LARGE_BLOB_TTL: Duration = Duration::from_millis(1_000);
 
-/// The revision that a gateway with `known` is brought from to `newest`: an earlier one that many share.
+/// Returns the revision to start a change from that brings a gateway from `known` to `newest`: `known` rounded down, so
+/// that many gateways share one change.
 ///
-/// While thousands of targets start, each of a member's gateways knows another revision, and a change packed for each
-/// of them alone is as large as the list. Rounded down, two gateways share a change where their distances to the newest
-/// are alike, so that there are two changes for each doubling of the distance at most, however many gateways there are. A
-/// shared change brings at most twice as much as the gateway's own, and what it knows already changes nothing. At a start of
-/// 10,000 targets, 100 and 200 gateways late by up to a hundred batches, some 60,000 entries are packed at one moment
-/// (`gateway: deltas`).
+/// While thousands of targets start, each of a member's gateways knows another revision, and a change packed for each of
+/// them alone is as large as the list. `known` is rounded down to a multiple of the largest power of two that is not
+/// above its distance to `newest`, so there are at most two changes for each doubling of the distance, however many
+/// gateways there are. A shared change carries at most twice as much as the gateway's own, and what the gateway knows
+/// already has no effect. At a start of 10,000 targets, with 100 and 200 gateways up to a hundred batches behind, some
+/// 60,000 entries are packed at one moment (`gateway: deltas`).
 pub fn shared_base(newest: Revision, known: Revision) -> Revision {
-    let Some(octave) = newest.saturating_sub(known).checked_ilog2() else {
+    let Some(exponent) = newest.saturating_sub(known).checked_ilog2() else {
         return known;
     };
-    let grid = 1 << octave;
-    let base = known - known % grid;
-    // Nothing stands for a gateway that has no list at all.
+    let step = 1 << exponent;
+    let base = known - known % step;
+    // Base 0 means the whole list, for a gateway that has none.
     if base == 0 { known } else { base }
 }
 
 /// A packed change.
-struct Kept {
-    piece: Piece,
+struct CachedDelta {
+    missing: MissingBlob,
+    /// Revision that the change leads to.
     revision: Revision,
-    /// When it was packed.
-    at: Duration,
+    packed_at: Duration,
 }
 
-/// The newest directory, as packed for gateways by what they know.
+/// Packed changes that lead to the newest directory or, if large, to one of a short time ago, by their base revision.
 #[derive(Default)]
 pub(super) struct Deltas {
-    kept: HashMap<Revision, Kept>,
+    cached: HashMap<Revision, CachedDelta>,
     packer: Option<Packer>,
 }
 
 impl Deltas {
-    /// Packs what a gateway lacks that has revision `known`, 0 for none.
+    /// Packs what a gateway lacks that has revision `known`, 0 for none; `None` if it lacks nothing.
     ///
     /// # Errors
     /// [`LinkError`] when it can't be packed.
@@ -58,24 +59,24 @@
         now: Duration,
         directory: &Directory,
         known: Revision,
-    ) -> Result<Option<Piece>, LinkError> {
+    ) -> Result<Option<MissingBlob>, LinkError> {
         let newest = directory.revision();
         if newest <= known {
             return Ok(None);
         }
-        let holds = |kept: &Kept| {
-            let lately = kept.piece.parcel.is_large() && now < kept.at + LARGE_KEPT_FOR;
-            kept.revision == newest || lately
+        let usable = |cached: &CachedDelta| {
+            let recent = cached.missing.blob.is_large() && now < cached.packed_at + LARGE_BLOB_TTL;
+            cached.revision == newest || recent
         };
-        self.kept.retain(|_, kept| holds(kept));
+        self.cached.retain(|_, cached| usable(cached));
         let base = match directory.remembers(known) {
             true => Some(shared_base(newest, known)).filter(|base| directory.remembers(*base)),
-            // Whoever knows a revision that is not remembered gets the whole list.
+            // A gateway whose revision is not remembered gets the whole list.
             false => Some(0),
         };
         let base = base.unwrap_or(known);
-        if let Some(kept) = self.kept.get(&base).filter(|kept| kept.revision > known) {
-            return Ok(Some(kept.piece.clone()));
+        if let Some(cached) = self.cached.get(&base).filter(|cached| cached.revision > known) {
+            return Ok(Some(cached.missing.clone()));
         }
         let Some(delta) = directory.since(base) else {
             return Ok(None);
@@ -84,10 +85,10 @@
             Some(packer) => packer,
             none => none.insert(Packer::new()?),
         };
-        let parcel = Parcel::pack(&Content::Targets(packer.pack(delta)?))?;
-        let piece = Piece { parcel, brings: Brings::Revision(newest) };
-        let kept = Kept { piece: piece.clone(), revision: newest, at: now };
-        self.kept.insert(base, kept);
-        Ok(Some(piece))
+        let blob = Parcel::pack(&Content::Targets(packer.pack(delta)?))?;
+        let missing = MissingBlob { blob, advances_to: Progress::Revision(newest) };
+        let cached = CachedDelta { missing: missing.clone(), revision: newest, packed_at: now };
+        self.cached.insert(base, cached);
+        Ok(Some(missing))
     }
 }
--- a/src/group/fan_out.rs
+++ b/src/group/fan_out.rs
@@ -1,9 +1,9 @@
-//! Who passes a large parcel on to whom: the gateways of one member that have it, and how many fetch
-//! it from each.
+//! Peer-to-peer distribution of large blobs: which gateways of this member have a blob, and which of them the next
+//! gateway fetches it from.
 //!
-//! A gateway that has taken a parcel may be named to others at once, so that it spreads as fast as it
-//! doubles; one that is slow to pass it on is named less, since it has few places free, and one that
-//! did not pass it on is not named again.
+//! A gateway becomes a source as soon as it has the blob, so the number of sources can double with each round of
+//! fetches. A slow source has few uploads free and so is assigned less often; one that failed to deliver a blob is not
+//! assigned again for it.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,106 +13,108 @@
 
 use crate::parcel::ParcelId;
 
-/// Gateways that fetch a parcel from one other at the same time. On 10 Mbit/s four pieces of 21 KB
-/// take 70 ms, in which that gateway's clients wait for it at worst.
-const PLACES: u32 = 4;
-/// Parcels that are remembered. Who lacks an older one is sent it by the member.
-const KEPT: usize = 32;
+/// Concurrent uploads of a blob by one gateway. On a link of 10 Mbit/s, four blobs of 21 KB take 70 ms, which is the
+/// longest that this gateway's clients wait for them.
+const MAX_UPLOADS: u32 = 4;
+/// Blobs whose sources are tracked. A gateway that lacks an older one is sent it by the member.
+const MAX_BLOBS: usize = 32;
 
-/// A gateway that passes parcels on.
+/// A gateway that takes part in peer-to-peer distribution.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerGateway {
-    /// Where others fetch from it.
+    /// Address where it serves blobs.
     pub addr: SocketAddr,
-    /// Data hall that it stands in.
+    /// Its data hall.
     pub data_hall: String,
 }
 
 #[derive(Debug)]
 struct Holder {
-    neighbour: PeerGateway,
-    /// Places that are free.
-    places: u32,
+    gateway: PeerGateway,
+    free_uploads: u32,
 }
 
 #[derive(Debug)]
-struct Spread {
-    parcel: ParcelId,
+struct Distribution {
+    blob: ParcelId,
     holders: Vec<Holder>,
-    /// Wakes one of those that wait for a place.
-    room: Arc<Notify>,
+    /// Notifies one waiting gateway's task for each upload that becomes free.
+    upload_freed: Arc<Notify>,
 }
 
-/// Parcels that spread, the newest last.
+/// Blobs in distribution, the newest last.
 #[derive(Debug, Default)]
-pub struct FanOut(VecDeque<Spread>);
+pub struct FanOut(VecDeque<Distribution>);
 
 impl FanOut {
-    /// Names a gateway that has the parcel and a place free, in the data hall of `to` if there is one,
-    /// and takes the place.
-    pub fn assign_source(&mut self, parcel: ParcelId, to: &PeerGateway) -> Option<SocketAddr> {
-        let spread = self.known(parcel)?;
-        let free = spread.holders.iter_mut();
-        let free = free.filter(|holder| holder.places > 0 && holder.neighbour.addr != to.addr);
-        let near = |holder: &Holder| holder.neighbour.data_hall == to.data_hall;
-        let holder = free.max_by_key(|holder| (near(holder), holder.places))?;
-        holder.places -= 1;
-        Some(holder.neighbour.addr)
+    /// Picks a gateway that has the blob and a free upload, if possible in the data hall of `to`, and takes the upload.
+    pub fn assign_source(&mut self, blob: ParcelId, to: &PeerGateway) -> Option<SocketAddr> {
+        let distribution = self.find(blob)?;
+        let free = distribution.holders.iter_mut();
+        let free = free.filter(|holder| holder.free_uploads > 0 && holder.gateway.addr != to.addr);
+        let near = |holder: &Holder| holder.gateway.data_hall == to.data_hall;
+        let holder = free.max_by_key(|holder| (near(holder), holder.free_uploads))?;
+        holder.free_uploads -= 1;
+        Some(holder.gateway.addr)
     }
 
-    /// A gateway has the parcel.
-    pub fn add_holder(&mut self, parcel: ParcelId, neighbour: &PeerGateway) {
-        let spread = self.spread(parcel);
-        if spread.holders.iter().any(|holder| holder.neighbour.addr == neighbour.addr) {
+    /// Records that a gateway has the blob.
+    pub fn add_holder(&mut self, blob: ParcelId, gateway: &PeerGateway) {
+        let distribution = self.find_or_insert(blob);
+        if distribution.holders.iter().any(|holder| holder.gateway.addr == gateway.addr) {
             return;
         }
-        spread.holders.push(Holder { neighbour: neighbour.clone(), places: PLACES });
-        (0..PLACES).for_each(|_| spread.room.notify_one());
+        distribution.holders.push(Holder { gateway: gateway.clone(), free_uploads: MAX_UPLOADS });
+        (0..MAX_UPLOADS).for_each(|_| distribution.upload_freed.notify_one());
     }
 
-    /// A gateway that was named has passed the parcel on.
-    pub fn release_upload(&mut self, parcel: ParcelId, from: SocketAddr) {
-        let Some(spread) = self.known(parcel) else {
+    /// Frees the upload of a source that delivered the blob, or whose receiver disconnected.
+    pub fn release_upload(&mut self, blob: ParcelId, from: SocketAddr) {
+        let Some(distribution) = self.find(blob) else {
             return;
         };
-        let mut holders = spread.holders.iter_mut();
-        if let Some(holder) = holders.find(|holder| holder.neighbour.addr == from) {
-            holder.places += 1;
-            spread.room.notify_one();
+        let mut holders = distribution.holders.iter_mut();
+        if let Some(holder) = holders.find(|holder| holder.gateway.addr == from) {
+            holder.free_uploads += 1;
+            distribution.upload_freed.notify_one();
         }
     }
 
-    /// A gateway that was named did not pass the parcel on.
-    pub fn fetch_failed(&mut self, parcel: ParcelId, from: SocketAddr) {
-        if let Some(spread) = self.known(parcel) {
-            spread.holders.retain(|holder| holder.neighbour.addr != from);
+    /// Drops a source that did not deliver the blob.
+    pub fn fetch_failed(&mut self, blob: ParcelId, from: SocketAddr) {
+        if let Some(distribution) = self.find(blob) {
+            distribution.holders.retain(|holder| holder.gateway.addr != from);
         }
     }
 
-    /// A gateway is gone, and all that it had.
+    /// Drops a disconnected gateway as a source of all blobs.
     pub fn remove_gateway(&mut self, gone: SocketAddr) {
-        for spread in &mut self.0 {
-            spread.holders.retain(|holder| holder.neighbour.addr != gone);
+        for distribution in &mut self.0 {
+            distribution.holders.retain(|holder| holder.gateway.addr != gone);
         }
     }
 
-    /// What wakes one of those that wait for a place.
-    pub fn upload_freed(&mut self, parcel: ParcelId) -> Arc<Notify> {
-        self.spread(parcel).room.clone()
+    /// Notified once for each upload of the blob that becomes free.
+    pub fn upload_freed(&mut self, blob: ParcelId) -> Arc<Notify> {
+        self.find_or_insert(blob).upload_freed.clone()
     }
 
-    fn known(&mut self, parcel: ParcelId) -> Option<&mut Spread> {
-        self.0.iter_mut().find(|spread| spread.parcel == parcel)
+    fn find(&mut self, blob: ParcelId) -> Option<&mut Distribution> {
+        self.0.iter_mut().find(|distribution| distribution.blob == blob)
     }
 
-    /// How a parcel spreads; from now on, if it is new.
-    fn spread(&mut self, parcel: ParcelId) -> &mut Spread {
-        let known = self.0.iter().position(|spread| spread.parcel == parcel);
+    /// Finds a blob's distribution, or starts it and drops the oldest if there are too many.
+    fn find_or_insert(&mut self, blob: ParcelId) -> &mut Distribution {
+        let known = self.0.iter().position(|distribution| distribution.blob == blob);
         let at = known.unwrap_or_else(|| {
-            if self.0.len() >= KEPT {
+            if self.0.len() >= MAX_BLOBS {
                 self.0.pop_front();
             }
-            self.0.push_back(Spread { parcel, holders: Vec::new(), room: Arc::default() });
+            self.0.push_back(Distribution {
+                blob,
+                holders: Vec::new(),
+                upload_freed: Arc::default(),
+            });
             self.0.len() - 1
         });
         &mut self.0[at]
--- a/src/group/feed.rs
+++ b/src/group/feed.rs
@@ -1,4 +1,4 @@
-//! Serves gateways that follow this member: hears what they tell, and sends them their news.
+//! Serves the gateways that have subscribed at this member: records their reports, and sends them updates.
 
 use slog::info;
 use tokio::sync::mpsc;
@@ -8,12 +8,12 @@
 use super::keepers::Teller;
 use super::message::{Subscription, ToMember};
 use super::propagation::ConnectionId;
-use super::update_sender::{Push, Word};
+use super::update_sender::{BlobReport, UpdateSender};
 use crate::link::{FrameReceiver, FrameSender, LinkError};
 use crate::sync::lock;
 
-/// Words of a gateway about parcels that wait to be taken note of; it has one on its way at a time.
-const WORDS_LEN: usize = 16;
+/// Queued reports of one gateway about large blobs. A gateway has one large blob on its way at a time.
+const BLOB_REPORTS_LEN: usize = 16;
 
 /// Serves one gateway until its connection ends.
 pub(super) async fn serve(
@@ -25,70 +25,75 @@
     let gateway = subscription.gateway.clone();
     lock(&shared.presence).connect(&gateway);
     lock(&shared.behind).connect(&gateway, subscription.supported_level);
-    let connection =
+    let configuration =
         lock(&shared.propagation).connect(shared.now(), &gateway, subscription.version);
-    let obeys = propagation_number(subscription.evacuations);
-    let obeying = lock(&shared.orders_propagation).connect(shared.now(), &gateway, obeys);
-    let (words, waiting) = mpsc::channel(WORDS_LEN);
-    let closed = async {
+    let evacuations = propagation_number(subscription.evacuations);
+    let orders = lock(&shared.orders_propagation).connect(shared.now(), &gateway, evacuations);
+    let (blob_reports, queued) = mpsc::channel(BLOB_REPORTS_LEN);
+    let receiving = async {
         loop {
             let now = shared.now();
             match receiver.receive().await? {
-                ToMember::Loads { loads, outcomes, prefix_holders: keepers, tallies } => {
+                ToMember::Loads { loads, outcomes, prefix_holders, tallies } => {
                     lock(&shared.load_totals).hear_gateway(now, &gateway, loads);
                     lock(&shared.evidence).hear_gateway(now, &gateway, &outcomes);
-                    lock(&shared.keepers).hear(now, Teller::Gateway, &keepers);
+                    lock(&shared.keepers).hear(now, Teller::Gateway, &prefix_holders);
                     lock(&shared.rollouts).hear_gateway(&tallies);
                 }
-                ToMember::Poison(word) => shared.hear_poison_of(&gateway, word)?,
+                ToMember::Poison(reports) => shared.hear_poison_of(&gateway, reports)?,
                 ToMember::ConfigurationInForce(version) => {
-                    note_in_force(shared, connection, version)
+                    note_in_force(shared, configuration, version)
+                }
+                ToMember::EvacuationsInForce(revision) => shared.note_obeyed(orders, revision),
+                ToMember::HasBlob(blob) => {
+                    report(&blob_reports, BlobReport::Received(blob)).await?
+                }
+                ToMember::BlobFetchFailed(blob) => {
+                    report(&blob_reports, BlobReport::FetchFailed(blob)).await?
                 }
-                ToMember::EvacuationsInForce(revision) => shared.note_obeyed(obeying, revision),
-                ToMember::HasBlob(parcel) => tell(&words, Word::Has(parcel)).await?,
-                ToMember::BlobFetchFailed(parcel) => tell(&words, Word::Lacks(parcel)).await?,
                 _ => return Err(LinkError::Garbled),
             }
         }
     };
-    let mut push = Push::new(shared, &subscription, sender);
+    let mut updates = UpdateSender::new(shared, &subscription, sender);
     let ended = tokio::select! {
-        ended = push.run(waiting) => ended,
-        ended = closed => ended,
+        ended = updates.run(queued) => ended,
+        ended = receiving => ended,
     };
-    push.close();
+    updates.close();
     let now = shared.now();
     lock(&shared.presence).disconnect(shared.run_clock.ran(), &gateway);
     lock(&shared.behind).disconnect(now, &gateway);
     lock(&shared.load_totals).forget_gateway(&gateway);
-    lock(&shared.propagation).disconnect(connection);
-    lock(&shared.orders_propagation).disconnect(obeying);
+    lock(&shared.propagation).disconnect(configuration);
+    lock(&shared.orders_propagation).disconnect(orders);
     shared.tell_obeyed_everywhere();
-    tell_everywhere(shared);
+    log_propagated(shared);
     ended
 }
 
-async fn tell(words: &mpsc::Sender<Word>, word: Word) -> Result<(), LinkError> {
-    words.send(word).await.map_err(|_| LinkError::Closed)
+async fn report(reports: &mpsc::Sender<BlobReport>, report: BlobReport) -> Result<(), LinkError> {
+    reports.send(report).await.map_err(|_| LinkError::Closed)
 }
 
-/// The gateway tells which configuration it now works by.
+/// Records that a gateway now applies the configuration of this version.
 fn note_in_force(shared: &Shared, connection: ConnectionId, version: u64) {
     let waited = lock(&shared.propagation).set_in_force(shared.now(), connection, version);
     if let Some(waited) = waited {
         shared.metrics.in_force.observe(waited.as_secs_f64());
     }
-    tell_everywhere(shared);
+    log_propagated(shared);
 }
 
-/// Logs configurations that have come to all gateways here, with the gateway that waited longest.
-fn tell_everywhere(shared: &Shared) {
+/// Logs configurations that are now in force at all gateways connected here, with the gateway that waited longest.
+fn log_propagated(shared: &Shared) {
     let all = lock(&shared.propagation).take_propagated();
-    for everywhere in all {
-        let last = everywhere.slowest.as_ref();
-        info!(shared.log, "configuration at all gateways"; "event" => "configuration_everywhere",
-            "version" => everywhere.version, "gateways" => everywhere.reached,
-            "last" => last.map(|last| last.gateway.as_str()),
-            "waited_ms" => last.map(|last| last.waited.as_millis() as u64));
+    for propagated in all {
+        let slowest = propagated.slowest.as_ref();
+        info!(shared.log, "configuration in force at all connected gateways";
+            "event" => "configuration_everywhere",
+            "version" => propagated.version, "gateways" => propagated.reached,
+            "last" => slowest.map(|slowest| slowest.gateway.as_str()),
+            "waited_ms" => slowest.map(|slowest| slowest.waited.as_millis() as u64));
     }
 }
--- a/src/group/update_sender.rs
+++ b/src/group/update_sender.rs
@@ -1,7 +1,7 @@
-//! What one gateway is sent, and when.
+//! Sends updates to one gateway: configurations, changes of the directory, loads, and keep-alives.
 //!
-//! Small parcels go along with signs of life. A large one is sent to a gateway in its turn, unless
-//! another that has it can pass it on sooner.
+//! Small blobs are sent with the next update. For a large blob the gateway queues at the pacer; if a peer gateway can
+//! deliver the blob before its turn comes, the gateway is told to fetch it there.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -12,7 +12,7 @@
 use tokio::sync::{Notify, mpsc};
 
 use super::Shared;
-use super::cursor::{Cursor, Lacked, Loan, Piece};
+use super::cursor::{Cursor, Missing, MissingBlob, PeerFetch};
 use super::fan_out::PeerGateway;
 use super::loads::Loads;
 use super::message::{BlobSource, EvacuationsUpdate, FromMember, Subscription, Update};
@@ -25,115 +25,118 @@
 use crate::rollout::RolloutNews;
 use crate::sync::lock;
 
-/// Between two signs of life to a gateway while nothing is in flight.
-const SIGN_OF_LIFE: Duration = Duration::from_millis(400);
-/// Shortest time between two words with small parcels to one gateway: changes that come in quick
-/// succession share a frame. With 60 gateways on 6 Mbit/s, ten frames of 300 B a second and gateway
-/// fill the part for small parcels.
-const SMALL_APART: Duration = Duration::from_millis(100);
-/// What a gateway tells of a parcel.
-pub(super) enum Word {
-    /// It has the parcel.
-    Has(ParcelId),
-    /// It could not fetch the parcel.
-    Lacks(ParcelId),
+/// Longest time between two updates to a gateway, also while nothing is in flight.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_millis(400);
+/// Shortest time between two updates with small blobs to one gateway: changes in quick succession share a frame. With
+/// 60 gateways on a link of 6 Mbit/s, ten frames of 300 B per second and gateway fill the share for small blobs.
+const SMALL_BLOBS_INTERVAL: Duration = Duration::from_millis(100);
+
+/// A gateway's report about a large blob.
+pub(super) enum BlobReport {
+    /// It has the blob.
+    Received(ParcelId),
+    /// It could not fetch the blob from the peer that it was given.
+    FetchFailed(ParcelId),
 }
 
-/// A turn to send a large parcel that is waited for.
-type WaitingTurn<'a> = Pin<Box<dyn Future<Output = Turn<'a>> + Send + 'a>>;
+/// A wait for a turn at a pacer.
+type PendingTurn<'a> = Pin<Box<dyn Future<Output = Turn<'a>> + Send + 'a>>;
 
-/// One gateway's connection, as far as it is sent to.
-pub(super) struct Push<'a> {
+/// The sending half of one gateway's connection.
+pub(super) struct UpdateSender<'a> {
     shared: &'a Shared,
     gateway: String,
-    /// Whether it is sent neither configurations nor targets.
-    looks: bool,
-    /// The gateway as others see it, if it passes parcels on.
-    neighbour: Option<PeerGateway>,
+    /// Whether the gateway is sent neither configurations nor targets.
+    status_only: bool,
+    /// The gateway as a source for its peers, if it takes part in peer-to-peer distribution.
+    peer: Option<PeerGateway>,
     cursor: Cursor,
     sender: FrameSender,
-    /// When the gateway must hear that this member lives.
-    sign_at: tokio::time::Instant,
-    /// When it may be sent small parcels again.
-    small_at: tokio::time::Instant,
-    turn: Option<WaitingTurn<'a>>,
-    poison_turn: Option<WaitingTurn<'a>>,
+    /// When the next keep-alive is due.
+    keep_alive_at: tokio::time::Instant,
+    /// When small blobs may be sent again.
+    next_small_at: tokio::time::Instant,
+    turn: Option<PendingTurn<'a>>,
+    poison_turn: Option<PendingTurn<'a>>,
 }
 
-impl<'a> Push<'a> {
+impl<'a> UpdateSender<'a> {
     pub(super) fn new(
         shared: &'a Shared,
         subscription: &Subscription,
         sender: FrameSender,
     ) -> Self {
         let data_hall = subscription.data_hall.clone();
-        let neighbour = subscription.serves_blobs_at.map(|addr| PeerGateway { addr, data_hall });
+        let peer = subscription.serves_blobs_at.map(|addr| PeerGateway { addr, data_hall });
         let now = tokio::time::Instant::now();
-        Push {
+        UpdateSender {
             shared,
             gateway: subscription.gateway.clone(),
-            looks: subscription.status_only,
-            neighbour,
-            cursor: Cursor::at(subscription),
+            status_only: subscription.status_only,
+            peer,
+            cursor: Cursor::new(subscription),
             sender,
-            sign_at: now,
-            small_at: now,
+            keep_alive_at: now,
+            next_small_at: now,
             turn: None,
             poison_turn: None,
         }
     }
 
-    /// Sends until the connection ends.
-    pub(super) async fn run(&mut self, mut words: mpsc::Receiver<Word>) -> Result<(), LinkError> {
+    /// Sends updates until the connection ends. `reports` are those of this gateway.
+    pub(super) async fn run(
+        &mut self,
+        mut reports: mpsc::Receiver<BlobReport>,
+    ) -> Result<(), LinkError> {
         let mut published = self.shared.member.published();
         let mut poison = self.shared.poison_news.subscribe();
         loop {
-            let known_poison = *poison.borrow_and_update();
-            let lacked = self.lacked_now(&published.borrow_and_update())?;
+            let newest_poison = *poison.borrow_and_update();
+            let missing = self.missing_now(&published.borrow_and_update())?;
             if self.lacks_evacuations() || self.lacks_rollouts() {
-                self.tell_sign().await?;
+                self.send_keep_alive().await?;
                 continue;
             }
-            let has_news = lacked.later || !lacked.small.is_empty() || self.lacks_signs();
+            let has_small = missing.deferred || !missing.small.is_empty() || self.lacks_status();
             let now = tokio::time::Instant::now();
-            if has_news && now >= self.small_at {
-                self.tell_small().await?;
+            if has_small && now >= self.next_small_at {
+                self.send_small().await?;
                 continue;
             }
-            if let Some(large) = &lacked.large
-                && let Some(neighbour) = self.find_neighbour(large)
+            if let Some(large) = &missing.large
+                && let Some(source) = self.assign_source(large)
             {
-                self.tell_neighbour(large, neighbour).await?;
+                self.send_source(large, source).await?;
                 continue;
             }
-            if now >= self.sign_at {
-                self.tell_sign().await?;
+            if now >= self.keep_alive_at {
+                self.send_keep_alive().await?;
             }
-            let wake_at = if has_news { self.small_at } else { self.sign_at };
-            let room = self.room(&lacked);
-            self.await_turn(lacked.large.is_some());
-            self.await_poison_turn(self.cursor.poison < known_poison);
+            let wake_at = if has_small { self.next_small_at } else { self.keep_alive_at };
+            let upload_freed = self.upload_freed(&missing);
+            self.await_turn(missing.large.is_some());
+            self.await_poison_turn(self.cursor.poison < newest_poison);
             tokio::select! {
                 changed = published.changed() => changed.map_err(|_| LinkError::Closed)?,
                 changed = poison.changed() => changed.map_err(|_| LinkError::Closed)?,
-                word = words.recv() => self.hear(word.ok_or(LinkError::Closed)?),
-                turn = granted(&mut self.turn) => self.tell_large(turn).await?,
-                turn = granted(&mut self.poison_turn) => self.tell_poison(turn).await?,
-                () = room.notified() => {}
+                report = reports.recv() => self.handle_report(report.ok_or(LinkError::Closed)?),
+                turn = granted(&mut self.turn) => self.send_large(turn).await?,
+                turn = granted(&mut self.poison_turn) => self.send_poison(turn).await?,
+                () = upload_freed.notified() => {}
                 () = tokio::time::sleep_until(wake_at) => {}
             }
         }
     }
 
-    /// What wakes this when another gateway can pass on what this one lacks.
-    fn room(&self, lacked: &Lacked) -> Arc<Notify> {
-        match (&lacked.large, &self.neighbour) {
-            (Some(large), Some(_)) => lock(&self.shared.fan_out).upload_freed(large.parcel.id()),
+    /// Notified when a peer that has the missing large blob has an upload free.
+    fn upload_freed(&self, missing: &Missing) -> Arc<Notify> {
+        match (&missing.large, &self.peer) {
+            (Some(large), Some(_)) => lock(&self.shared.fan_out).upload_freed(large.blob.id()),
             _ => Arc::default(),
         }
     }
 
-    /// Queues for a turn to send a large parcel, or leaves the queue.
+    /// Queues for a turn to send a large blob, or leaves the queue if none is wanted any more.
     fn await_turn(&mut self, wanted: bool) {
         let pacer = &self.shared.pace_of_large;
         match wanted {
@@ -143,41 +146,43 @@
         }
     }
 
-    /// Queues for a turn to tell of requests under which targets ended, which nothing else has to wait for.
+    /// Queues for a turn to send suspected poison requests; they have a pacer of their own, so nothing else waits for
+    /// them.
     fn await_poison_turn(&mut self, wanted: bool) {
         if wanted && self.poison_turn.is_none() {
             self.poison_turn = Some(Box::pin(self.shared.pace_of_poison.turn()));
         }
     }
 
-    /// Tells what the gateway does not know of requests under which targets ended.
-    async fn tell_poison(&mut self, turn: Turn<'a>) -> Result<(), LinkError> {
+    /// Sends the suspected poison requests that changed since the last update with them.
+    async fn send_poison(&mut self, turn: Turn<'a>) -> Result<(), LinkError> {
         self.poison_turn = None;
         let now = self.shared.now();
-        let (poison, told) = lock(&self.shared.poison).news_for_gateways(now, self.cursor.poison);
-        self.cursor.poison = told;
-        let frame = encode(&FromMember::Update(Box::new(Update { poison, ..self.sign() })))?;
+        let (poison, newest) = lock(&self.shared.poison).news_for_gateways(now, self.cursor.poison);
+        self.cursor.poison = newest;
+        let frame =
+            encode(&FromMember::Update(Box::new(Update { poison, ..self.periodic_update() })))?;
         turn.spend(frame.len());
         self.send_frame(frame).await
     }
 
-    /// What the gateway lacks, if that may be sent: while targets start, changes come many times in the time between
-    /// two words to a gateway, and each would be packed for nothing.
-    fn lacked_now(&self, published: &Published) -> Result<Lacked, LinkError> {
-        if self.looks {
-            return Ok(Lacked::default());
+    /// Packs what the gateway lacks, unless nothing of it may be sent yet: while targets start, the directory changes
+    /// many times within [`SMALL_BLOBS_INTERVAL`], and packing each change would be wasted work.
+    fn missing_now(&self, published: &Published) -> Result<Missing, LinkError> {
+        if self.status_only {
+            return Ok(Missing::default());
         }
-        let starts = self.cursor.version == 0 || self.cursor.directory == 0;
-        let waits = self.turn.is_some();
-        if starts || waits || tokio::time::Instant::now() >= self.small_at {
-            return self.lacked(published);
+        let starting = self.cursor.version == 0 || self.cursor.directory == 0;
+        let turn_pending = self.turn.is_some();
+        if starting || turn_pending || tokio::time::Instant::now() >= self.next_small_at {
+            return self.missing(published);
         }
         let newer = published.version() > self.cursor.version
             || published.directory.revision() > self.cursor.directory;
-        Ok(Lacked { later: newer, ..Lacked::default() })
+        Ok(Missing { deferred: newer, ..Missing::default() })
     }
 
-    fn lacked(&self, published: &Published) -> Result<Lacked, LinkError> {
+    fn missing(&self, published: &Published) -> Result<Missing, LinkError> {
         let shared = self.shared;
         let mut archive = lock(&shared.archive);
         let newest = published.document.as_ref();
@@ -185,105 +190,110 @@
             newest.map(|newest| archive.pack(newest, self.cursor.version)).transpose()?;
         let (known, directory) = (self.cursor.directory, &published.directory);
         let targets = lock(&shared.deltas).pack(shared.now(), directory, known)?;
-        Ok(self.cursor.sort(document.flatten(), targets))
+        Ok(self.cursor.select(document.flatten(), targets))
     }
 
-    /// Whether the gateway does not know where members are, or whether this one hears a leader.
-    fn lacks_signs(&self) -> bool {
+    /// Whether the addresses of the members, or this member's contact with a leader, changed since they were last sent.
+    fn lacks_status(&self) -> bool {
         let published = self.shared.member.published();
         let members = member_addrs(&published.borrow());
         members != self.cursor.members || self.fresh() != self.cursor.fresh
     }
 
-    /// Whether a data hall had an order that the gateway does not know. Word of that waits for no turn.
+    /// Whether the gateway lacks an evacuation order. Those are sent at once, without pacing.
     fn lacks_evacuations(&self) -> bool {
         let newest = self.shared.member.published().borrow().evacuations.revision();
         self.cursor.evacuations.is_none_or(|known| known < newest)
     }
 
-    /// Orders about data halls, if the gateway lacks any.
-    fn next_halls(&mut self) -> Option<EvacuationsUpdate> {
+    /// The evacuation orders, if the gateway lacks any; from then on they count as sent.
+    fn next_evacuations(&mut self) -> Option<EvacuationsUpdate> {
         if !self.lacks_evacuations() {
             return None;
         }
-        let news = self.shared.hall_news();
-        self.cursor.evacuations = Some(news.revision);
-        Some(news)
+        let update = self.shared.hall_news();
+        self.cursor.evacuations = Some(update.revision);
+        Some(update)
     }
 
-    /// Whether a roll-out changed and the gateway does not know. Word of that waits for no turn either.
+    /// Whether the gateway lacks a change of a roll-out. Those are sent at once too.
     fn lacks_rollouts(&self) -> bool {
         let newest = self.shared.member.published().borrow().rollouts.revision();
         self.cursor.rollouts.is_none_or(|known| known < newest)
     }
 
-    /// Roll-outs, if the gateway lacks any.
+    /// The roll-outs, if the gateway lacks any change; from then on they count as sent.
     fn next_rollouts(&mut self) -> Option<RolloutNews> {
         if !self.lacks_rollouts() {
             return None;
         }
-        let news = self.shared.rollout_news();
-        self.cursor.rollouts = Some(news.revision);
-        Some(news)
+        let update = self.shared.rollout_news();
+        self.cursor.rollouts = Some(update.revision);
+        Some(update)
     }
 
     fn fresh(&self) -> bool {
         self.shared.member.standing().fresh(Instant::now())
     }
 
-    /// A gateway that can pass on the parcel now; its place is taken.
-    fn find_neighbour(&self, large: &Piece) -> Option<SocketAddr> {
-        let to = self.neighbour.as_ref()?;
-        lock(&self.shared.fan_out).assign_source(large.parcel.id(), to)
+    /// Picks a peer that can deliver the blob now, and takes one of its uploads.
+    fn assign_source(&self, large: &MissingBlob) -> Option<SocketAddr> {
+        let to = self.peer.as_ref()?;
+        lock(&self.shared.fan_out).assign_source(large.blob.id(), to)
     }
 
-    /// Tells the gateway to fetch a parcel from another.
-    async fn tell_neighbour(&mut self, large: &Piece, at: SocketAddr) -> Result<(), LinkError> {
-        let parcel = large.parcel.id();
-        self.cursor.loan = Some(Loan { parcel, from: at, brings: large.brings });
+    /// Tells the gateway to fetch a blob from a peer.
+    async fn send_source(
+        &mut self,
+        large: &MissingBlob,
+        addr: SocketAddr,
+    ) -> Result<(), LinkError> {
+        let blob = large.blob.id();
+        self.cursor.peer_fetch =
+            Some(PeerFetch { blob, source: addr, advances_to: large.advances_to });
         self.shared.metrics.large_parcel(ParcelWay::Named);
-        let elsewhere = Some(BlobSource { blob: parcel, addr: at });
-        let update = Update { blob_source: elsewhere, ..self.sign() };
+        let blob_source = Some(BlobSource { blob, addr });
+        let update = Update { blob_source, ..self.periodic_update() };
         self.send(update).await
     }
 
-    /// Sends the large parcel that the gateway lacks.
-    async fn tell_large(&mut self, turn: Turn<'a>) -> Result<(), LinkError> {
+    /// Sends the large blob that the gateway lacks, if it still lacks one.
+    async fn send_large(&mut self, turn: Turn<'a>) -> Result<(), LinkError> {
         self.turn = None;
-        let Some(large) = self.lacked(&self.shared.published())?.large else {
+        let Some(large) = self.missing(&self.shared.published())?.large else {
             return Ok(());
         };
-        self.cursor.advance(large.brings);
+        self.cursor.advance(large.advances_to);
         self.shared.metrics.large_parcel(ParcelWay::Sent);
-        turn.spend(large.parcel.bytes().len());
-        let parcels = vec![large.parcel.bytes().clone()];
-        let update = Update { blobs: parcels, ..self.sign() };
+        turn.spend(large.blob.bytes().len());
+        let blobs = vec![large.blob.bytes().clone()];
+        let update = Update { blobs, ..self.periodic_update() };
         self.send(update).await
     }
 
-    /// Sends all that is small and the gateway lacks, in its turn.
-    async fn tell_small(&mut self) -> Result<(), LinkError> {
+    /// Waits for a turn, and sends all small blobs that the gateway lacks and the members if they changed.
+    async fn send_small(&mut self) -> Result<(), LinkError> {
         let turn = self.shared.pace_of_small.turn().await;
         let published = self.shared.published();
-        let small = if self.looks { Vec::new() } else { self.lacked(&published)?.small };
-        for piece in &small {
-            self.cursor.advance(piece.brings);
+        let small = if self.status_only { Vec::new() } else { self.missing(&published)?.small };
+        for missing in &small {
+            self.cursor.advance(missing.advances_to);
         }
-        let parcels = small.into_iter().map(|piece| piece.parcel.bytes().clone()).collect();
+        let blobs = small.into_iter().map(|missing| missing.blob.bytes().clone()).collect();
         let addrs = member_addrs(&published);
         let members = (addrs != self.cursor.members).then(|| addrs.clone());
         self.cursor.members = addrs;
-        let update = Update { blobs: parcels, members, ..self.sign() };
+        let update = Update { blobs, members, ..self.periodic_update() };
         self.cursor.fresh = update.fresh;
         let frame = encode(&FromMember::Update(Box::new(update)))?;
         turn.spend(frame.len());
-        self.small_at = tokio::time::Instant::now() + SMALL_APART;
+        self.next_small_at = tokio::time::Instant::now() + SMALL_BLOBS_INTERVAL;
         self.send_frame(frame).await
     }
 
-    /// Tells that this member lives, and what is in flight when it is time for that.
-    async fn tell_sign(&mut self) -> Result<(), LinkError> {
-        let update = self.sign();
+    /// Sends an update without blobs, with the loads if they are due.
+    async fn send_keep_alive(&mut self) -> Result<(), LinkError> {
+        let update = self.periodic_update();
         self.send(update).await
     }
 
@@ -293,37 +303,42 @@
 
     async fn send_frame(&mut self, frame: bytes::Bytes) -> Result<(), LinkError> {
         let loads = self.shared.loads_interval();
-        let pause = if self.cursor.idle { SIGN_OF_LIFE } else { loads.min(SIGN_OF_LIFE) };
+        let interval =
+            if self.cursor.idle { KEEP_ALIVE_INTERVAL } else { loads.min(KEEP_ALIVE_INTERVAL) };
         self.sender.send_encoded(frame).await?;
-        self.sign_at = tokio::time::Instant::now() + pause;
+        self.keep_alive_at = tokio::time::Instant::now() + interval;
         Ok(())
     }
 
-    fn sign(&mut self) -> Update {
+    /// The fields that any update may carry: state of this member, orders that the gateway lacks, and loads with what
+    /// goes along with them, if due.
+    fn periodic_update(&mut self) -> Update {
         let now = self.shared.now();
         let gateways = self.shared.gateways_alive();
         let loads = self.next_loads(now);
         let version = self.shared.member.published().borrow().version();
-        let (halls, rollouts) = (self.next_halls(), self.next_rollouts());
+        let (evacuations, rollouts) = (self.next_evacuations(), self.next_rollouts());
         let slack = self.shared.loads_interval() / 4;
         let evidence = loads.is_some().then(|| lock(&self.shared.evidence).everywhere(now, slack));
-        let keepers = match loads {
-            Some(_) => lock(&self.shared.keepers).next_for_gateway(now, &mut self.cursor.keepers),
+        let prefix_holders = match loads {
+            Some(_) => {
+                lock(&self.shared.keepers).next_for_gateway(now, &mut self.cursor.prefix_holders)
+            }
             None => Vec::new(),
         };
         let mixes = loads.as_ref().map(|_| lock(&self.shared.rollouts).mixes());
         let mixes = mixes.unwrap_or_default();
         let fresh = self.fresh();
-        let rest = Update { prefix_holders: keepers, mixes, ..Update::default() };
-        Update { fresh, version, evacuations: halls, rollouts, gateways, loads, evidence, ..rest }
+        let rest = Update { prefix_holders, mixes, ..Update::default() };
+        Update { fresh, version, evacuations, rollouts, gateways, loads, evidence, ..rest }
     }
 
-    /// What is in flight at the targets, when it is time to tell.
+    /// Requests in flight at the targets, if the next loads are due.
     fn next_loads(&mut self, now: Duration) -> Option<Loads> {
-        if now < self.cursor.loads_at {
+        if now < self.cursor.next_loads_at {
             return None;
         }
-        self.cursor.loads_at = now + self.shared.loads_interval();
+        self.cursor.next_loads_at = now + self.shared.loads_interval();
         let longest = self.shared.loads_count_for();
         let slack = self.shared.loads_interval() / 4;
         let loads = lock(&self.shared.load_totals).everywhere(now, longest, slack);
@@ -331,44 +346,45 @@
         Some(loads)
     }
 
-    /// Takes note of what the gateway tells of a parcel.
-    fn hear(&mut self, word: Word) {
+    /// Handles the gateway's report about a large blob: its fetch is over, or it can be a source for peers.
+    fn handle_report(&mut self, report: BlobReport) {
         let shared = self.shared;
         let mut fan_out = lock(&shared.fan_out);
-        let (parcel, has) = match word {
-            Word::Has(parcel) => (parcel, true),
-            Word::Lacks(parcel) => (parcel, false),
+        let (blob, has_blob) = match report {
+            BlobReport::Received(blob) => (blob, true),
+            BlobReport::FetchFailed(blob) => (blob, false),
         };
-        if let Some(loan) = self.cursor.loan.take_if(|loan| loan.parcel == parcel) {
-            if has {
-                self.cursor.advance(loan.brings);
-                fan_out.release_upload(parcel, loan.from);
+        if let Some(fetch) = self.cursor.peer_fetch.take_if(|fetch| fetch.blob == blob) {
+            if has_blob {
+                self.cursor.advance(fetch.advances_to);
+                fan_out.release_upload(blob, fetch.source);
             } else {
-                fan_out.fetch_failed(parcel, loan.from);
+                fan_out.fetch_failed(blob, fetch.source);
                 shared.metrics.large_parcel(ParcelWay::NotPassedOn);
-                info!(shared.log, "parcel not passed on"; "event" => "not_passed_on",
-                    "from" => %loan.from, "to" => &self.gateway, "brings" => ?loan.brings);
+                info!(shared.log, "blob not delivered by peer gateway"; "event" => "not_passed_on",
+                    "from" => %fetch.source, "to" => &self.gateway, "brings" => ?fetch.advances_to);
             }
         }
-        if let Some(neighbour) = self.neighbour.as_ref().filter(|_| has) {
-            fan_out.add_holder(parcel, neighbour);
+        if let Some(peer) = self.peer.as_ref().filter(|_| has_blob) {
+            fan_out.add_holder(blob, peer);
         }
     }
 
-    /// The connection has ended: the gateway passes nothing on, and fetches nothing.
+    /// Removes the gateway from the fan-out when its connection has ended: it is no source any more, and the upload that
+    /// it used at another source is free.
     pub(super) fn close(&mut self) {
         let mut fan_out = lock(&self.shared.fan_out);
-        if let Some(loan) = self.cursor.loan.take() {
-            fan_out.release_upload(loan.parcel, loan.from);
+        if let Some(fetch) = self.cursor.peer_fetch.take() {
+            fan_out.release_upload(fetch.blob, fetch.source);
         }
-        if let Some(neighbour) = &self.neighbour {
-            fan_out.remove_gateway(neighbour.addr);
+        if let Some(peer) = &self.peer {
+            fan_out.remove_gateway(peer.addr);
         }
     }
 }
 
-/// The turn that is waited for, if any is.
-async fn granted<'a>(turn: &mut Option<WaitingTurn<'a>>) -> Turn<'a> {
+/// Waits for the turn, for ever if there is none to wait for.
+async fn granted<'a>(turn: &mut Option<PendingTurn<'a>>) -> Turn<'a> {
     match turn {
         Some(turn) => turn.await,
         None => std::future::pending().await,
