--- a/src/group/incoming.rs
+++ b/src/group/incoming.rs
@@ -1,4 +1,4 @@
-//! Takes connections of other members and of gateways.
+//! Accepts connections from other members and from gateways, and dispatches the frames that arrive on them.
 
 use std::sync::Arc;
 
@@ -12,49 +12,51 @@
 use crate::poison::Origin;
 use crate::sync::lock;
 
-/// Replies that wait to be sent on one connection.
-const REPLIES_LEN: usize = 256;
-/// Pause after the listener fails, for example without descriptors.
-const PAUSE: std::time::Duration = std::time::Duration::from_millis(50);
+/// Replies queued for sending on one connection.
+const REPLY_QUEUE_LEN: usize = 256;
+/// Pause after `accept` fails, for example because the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: std::time::Duration = std::time::Duration::from_millis(50);
 
-/// Takes connections for ever.
+/// Accepts connections for ever.
 pub(super) async fn listen(shared: Arc<Shared>, listener: TcpListener) {
     loop {
         match listener.accept().await {
             Ok((stream, _)) => {
                 tokio::spawn(serve(shared.clone(), stream));
             }
-            Err(_) => tokio::time::sleep(PAUSE).await,
+            Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
+/// Serves one connection: the messages and calls of a member, or the subscription of a gateway.
 async fn serve(shared: Arc<Shared>, stream: TcpStream) -> Result<(), LinkError> {
-    let (sender, mut receiver) = frames(stream, super::peers::TIMING)?;
-    let (replies, waiting) = mpsc::channel(REPLIES_LEN);
+    let (sender, mut receiver) = frames(stream, super::peers::LINK_TIMING)?;
+    let (replies, queued) = mpsc::channel(REPLY_QUEUE_LEN);
     let mut sender = Some(sender);
-    let mut waiting = Some(waiting);
+    let mut queued = Some(queued);
     loop {
         match receiver.receive().await? {
-            ToMember::Raft { from, messages, supported_level: knows } => {
+            ToMember::Raft { from, messages, supported_level } => {
                 if let Some(first) = messages.first() {
                     lock(&shared.book).insert(first.from, from);
-                    lock(&shared.readiness).hear(shared.now(), first.from, knows);
+                    lock(&shared.readiness).hear(shared.now(), first.from, supported_level);
                 }
                 shared.member.deliver(messages);
             }
             ToMember::Presence(gateways) => {
-                lock(&shared.presence).hear(shared.run_clock.ran(), gateways);
+                lock(&shared.presence).record_remote(shared.run_clock.ran(), gateways);
             }
-            ToMember::MemberLoads { from, loads, evidence, prefix_holders: keepers, tallies } => {
+            ToMember::MemberLoads { from, loads, evidence, prefix_holders, tallies } => {
                 lock(&shared.load_totals).hear_member(shared.now(), from, loads);
                 lock(&shared.evidence).hear_member(shared.now(), from, evidence);
-                lock(&shared.keepers).hear(shared.now(), Teller::Member, &keepers);
+                lock(&shared.keepers).hear(shared.now(), Teller::Member, &prefix_holders);
                 lock(&shared.rollouts).hear_member(from, tallies);
             }
             ToMember::MemberPoison { reports, .. } => {
                 shared.hear_poison(Origin::Elsewhere, reports)?;
             }
+            // Only a gateway sends these, after it has subscribed.
             ToMember::Loads { .. }
             | ToMember::Poison(_)
             | ToMember::ConfigurationInForce(_)
@@ -64,8 +66,8 @@
                 return Err(LinkError::Garbled);
             }
             ToMember::Call { id, call } => {
-                if let (Some(sender), Some(waiting)) = (sender.take(), waiting.take()) {
-                    tokio::spawn(send_replies(sender, waiting));
+                if let (Some(sender), Some(queued)) = (sender.take(), queued.take()) {
+                    tokio::spawn(send_replies(sender, queued));
                 }
                 tokio::spawn(answer(shared.clone(), id, call, replies.clone()));
             }
@@ -84,8 +86,8 @@
     let _ = replies.send(FromMember::Reply { id, reply }).await;
 }
 
-async fn send_replies(mut sender: FrameSender, mut waiting: mpsc::Receiver<FromMember>) {
-    while let Some(reply) = waiting.recv().await {
+async fn send_replies(mut sender: FrameSender, mut queued: mpsc::Receiver<FromMember>) {
+    while let Some(reply) = queued.recv().await {
         if sender.send(&reply).await.is_err() {
             return;
         }
--- a/src/group/pacer.rs
+++ b/src/group/pacer.rs
@@ -1,67 +1,66 @@
-//! Keeps what a member sends under a part of its link, in turns.
+//! Limits the rate of what a member sends to gateways to a share of its link; senders take turns.
 //!
-//! A list of thousands of targets to each of a hundred gateways fills a small link for seconds;
-//! heartbeats of the agreement would wait behind it, and the group would lose its leader.
+//! Thousands of targets sent to each of a hundred gateways fill a small link for seconds. Raft heartbeats would queue
+//! behind that, and the group would lose its leader.
 
 use std::time::Duration;
 
 use tokio::sync::{Mutex, MutexGuard};
 use tokio::time::Instant;
 
-/// Bytes a second for each Mbit/s of a link.
-const BYTES_OF_MBIT: f64 = 125_000.0;
+/// Bytes per second in 1 Mbit/s.
+const BYTES_PER_MBIT: f64 = 125_000.0;
 
-/// Part of the link for small parcels: word of targets that leave, and most configurations, which
-/// nothing else may keep waiting.
+/// Share of the link for small blobs: changes of targets, such as those that shut down, and most configurations. They
+/// must not queue behind anything else.
 pub const SMALL_BLOBS_SHARE: f64 = 0.25;
-/// Part of the link for large parcels, which gateways pass on. With the small ones and with words about
-/// loads (0.25 at most) a fifth of the link is left for the agreement and for calls.
+/// Share of the link for large blobs, which gateways relay to peers. With the small ones and the loads (0.25 at most),
+/// this leaves a fifth of the link for Raft and for calls.
 pub const LARGE_BLOBS_SHARE: f64 = 0.3;
 
-/// Part of the link for word of requests under which targets ended. In virtual time 372 gateways of 790 targets, a tenth of
-/// which end each second, would be told some 2 MB a second by each member, of the 0.75 MB that a link of 6 Mbit/s takes.
+/// Share of the link for reports of suspected poison requests. In a simulation of 372 gateways and 790 targets, a tenth
+/// of which end each second, each member would send some 2 MB/s of them, over a link of 6 Mbit/s that carries 0.75 MB/s.
 pub const POISON_SHARE: f64 = 0.1;
 
-/// What may be sent of large parcels at once after a rest, as time that it takes at their part of
-/// the link: after a loss of all power many gateways start together, and refuse their clients until
-/// some have everything and pass it on. It is 22 KB on 6 Mbit/s; more would keep
-/// the names of those that have it waiting.
+/// What may be sent of large blobs at once after an idle time, as the time that it takes at their share of the link.
+/// After a power loss many gateways start together, and refuse their clients until some have everything and relay it. It
+/// is 22 KB on 6 Mbit/s; a larger burst would delay the messages that name peers to fetch from.
 pub const LARGE_BLOBS_BURST: Duration = Duration::from_millis(100);
 
 /// Lets senders go one after the other, as fast as the rate allows.
 #[derive(Debug)]
 pub struct Pacer {
-    /// When the next sender may go.
+    /// When the bytes sent so far are through, at the rate.
     free_at: Mutex<Instant>,
     bytes_per_s: f64,
-    /// How long before that a sender may go already.
+    /// How long before `free_at` the next sender may go.
     burst: Duration,
 }
 
-/// The turn to send; no other has it until it is spent or dropped.
+/// The turn to send; held by one sender until it is spent or dropped.
 pub struct Turn<'a> {
     free_at: MutexGuard<'a, Instant>,
     bytes_per_s: f64,
 }
 
 impl Pacer {
-    /// Keeps senders under `part` of a link.
-    pub fn new(link_mbps: f64, part: f64) -> Self {
-        let bytes_per_s = link_mbps * BYTES_OF_MBIT * part;
+    /// Creates a pacer for a share of the link, from 0 to 1.
+    pub fn new(link_mbps: f64, share: f64) -> Self {
+        let bytes_per_s = link_mbps * BYTES_PER_MBIT * share;
         Pacer { free_at: Mutex::new(Instant::now()), bytes_per_s, burst: Duration::ZERO }
     }
 
-    /// The same, where what is sent in so much time may go at once after a rest.
+    /// Allows a burst after an idle time, given as the time that it takes at the rate.
     pub fn with_burst(self, burst: Duration) -> Self {
         Pacer { burst, ..self }
     }
 
-    /// How long so many bytes keep the next sender waiting.
+    /// How long sending this many bytes takes at the rate.
     pub fn send_time(&self, bytes: usize) -> Duration {
-        takes(bytes, self.bytes_per_s)
+        send_time(bytes, self.bytes_per_s)
     }
 
-    /// Waits for a turn; those that wait longest go first.
+    /// Waits for a turn, in the order of the calls.
     pub async fn turn(&self) -> Turn<'_> {
         let free_at = self.free_at.lock().await;
         tokio::time::sleep_until(*free_at - self.burst).await;
@@ -70,12 +69,12 @@
 }
 
 impl Turn<'_> {
-    /// Sends so many bytes, after which the next sender waits for as long as they take.
+    /// Ends the turn after sending this many bytes, and delays the next one by the time that they take.
     pub fn spend(mut self, bytes: usize) {
-        *self.free_at = Instant::now().max(*self.free_at) + takes(bytes, self.bytes_per_s);
+        *self.free_at = Instant::now().max(*self.free_at) + send_time(bytes, self.bytes_per_s);
     }
 }
 
-fn takes(bytes: usize, bytes_per_s: f64) -> Duration {
+fn send_time(bytes: usize, bytes_per_s: f64) -> Duration {
     Duration::from_secs_f64(bytes as f64 / bytes_per_s)
 }
--- a/src/group/peers.rs
+++ b/src/group/peers.rs
@@ -1,4 +1,4 @@
-//! Connections to other members: messages of the agreement, and calls with their replies.
+//! Outgoing connections to other members, for Raft messages, reports, and calls with their replies.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -12,12 +12,12 @@
 use crate::link::{FrameReceiver, FrameSender, LinkError, LinkTiming, dial};
 use crate::sync::lock;
 
-/// Frames that wait for a peer; what does not fit is dropped, as the agreement allows.
+/// Frames queued for one peer. Frames beyond that are dropped, which Raft tolerates.
 const QUEUE_LEN: usize = 256;
-/// Pause after a failed connection, in which frames for the peer are dropped.
-const PAUSE: Duration = Duration::from_millis(100);
-/// How fast connections between members give up.
-pub(super) const TIMING: LinkTiming = LinkTiming {
+/// Pause after a failed connection attempt; frames that were queued for the peer by its end are dropped.
+const RECONNECT_DELAY: Duration = Duration::from_millis(100);
+/// Timeouts of connections between members.
+pub(super) const LINK_TIMING: LinkTiming = LinkTiming {
     connect: Duration::from_millis(500),
     unacknowledged: Duration::from_millis(1_000),
 };
@@ -26,19 +26,20 @@
 #[derive(Debug, thiserror::Error)]
 pub(super) enum CallError {
     /// There was no reply in time; the call may have been carried out.
-    #[error("no reply in time")]
+    #[error("no reply from the member in time; the call may have been carried out")]
     NoReply,
 }
 
-type Pending = Arc<Mutex<HashMap<u64, oneshot::Sender<Reply>>>>;
+/// Calls that wait for a reply, by their ids.
+type PendingCalls = Arc<Mutex<HashMap<u64, oneshot::Sender<Reply>>>>;
 
-/// Connections to every other member that was ever spoken to.
+/// Connections to the other members, each opened when the first frame is sent to its address.
 #[derive(Clone)]
 pub(super) struct Peers {
-    /// Address that this host connects from, where one is set.
+    /// Local address that connections are made from, if one is set.
     source: Option<IpAddr>,
     queues: Arc<Mutex<HashMap<SocketAddr, mpsc::Sender<ToMember>>>>,
-    pending: Pending,
+    pending: PendingCalls,
     next_call: Arc<AtomicU64>,
 }
 
@@ -47,7 +48,7 @@
         Peers { source, queues: Arc::default(), pending: Arc::default(), next_call: Arc::default() }
     }
 
-    /// Sends a frame, if there is room for it.
+    /// Queues a frame for a member, or drops it if the queue is full.
     pub(super) fn send(&self, addr: SocketAddr, frame: ToMember) {
         let mut queues = lock(&self.queues);
         let queue = queues.entry(addr).or_insert_with(|| {
@@ -82,16 +83,16 @@
     }
 }
 
-/// Keeps a connection to one peer for as long as there is something to send.
+/// Sends the frames for one peer. Connects when there is a frame to send and no connection.
 async fn run(
     source: Option<IpAddr>,
     addr: SocketAddr,
     mut frames: mpsc::Receiver<ToMember>,
-    pending: Pending,
+    pending: PendingCalls,
 ) {
     while let Some(first) = frames.recv().await {
-        let Ok((sender, receiver)) = dial(source, addr, TIMING).await else {
-            tokio::time::sleep(PAUSE).await;
+        let Ok((sender, receiver)) = dial(source, addr, LINK_TIMING).await else {
+            tokio::time::sleep(RECONNECT_DELAY).await;
             while frames.try_recv().is_ok() {}
             continue;
         };
@@ -99,12 +100,13 @@
     }
 }
 
+/// Sends frames and hands replies to their callers, until the connection fails.
 async fn exchange(
     first: ToMember,
     frames: &mut mpsc::Receiver<ToMember>,
     mut sender: FrameSender,
     mut receiver: FrameReceiver,
-    pending: &Pending,
+    pending: &PendingCalls,
 ) -> Result<(), LinkError> {
     let sending = async {
         sender.send(&first).await?;
@@ -116,9 +118,9 @@
     let receiving = async {
         loop {
             if let FromMember::Reply { id, reply } = receiver.receive().await? {
-                let waiting = lock(pending).remove(&id);
-                if let Some(waiting) = waiting {
-                    let _ = waiting.send(reply);
+                let caller = lock(pending).remove(&id);
+                if let Some(caller) = caller {
+                    let _ = caller.send(reply);
                 }
             }
         }
