--- a/src/group/listing.rs
+++ b/src/group/listing.rs
@@ -1,7 +1,7 @@
-//! The list of targets as it goes to gateways.
+//! Encoding of changes of the directory, up to the whole list of targets, for gateways.
 //!
-//! Targets go by columns: what is alike in all of them then costs next to nothing once compressed,
-//! and a gateway that starts needs all of them.
+//! Targets are encoded by columns and compressed: values that are alike in all targets then take next to no space. This
+//! counts most for a gateway that starts, which needs all targets.
 
 use std::time::Duration;
 
@@ -14,60 +14,60 @@
 use crate::link::LinkError;
 use crate::store::Revision;
 
-/// Compression level of a whole list, which is made once and sent to many.
-const LEVEL: i32 = 9;
-/// Largest list, in bytes.
-const MAX_BYTES: usize = 64 * 1024 * 1024;
+/// Compression level of zstd; high, since a whole list is packed once and sent to many gateways.
+const COMPRESSION_LEVEL: i32 = 9;
+/// Largest size of a list when unpacked.
+const MAX_UNPACKED_BYTES: usize = 64 * 1024 * 1024;
 
-/// What a gateway lacks of the directory, packed.
+/// A change of the directory, encoded and compressed.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct PackedDelta {
-    /// Revision after applying it.
+    /// Revision of the directory after the change is applied.
     pub revision: Revision,
     bytes: Vec<u8>,
 }
 
-/// Tag of [`StartColumns`] behind the columns of the first build.
-const START_COLUMNS: u8 = 1;
+/// Tag of the [`AddedColumns`] that follow the [`Columns`].
+const ADDED_COLUMNS: u8 = 1;
 
-/// What the columns of the first build do not say.
+/// Columns added since the first build in production, which reads only [`Columns`].
 #[derive(Serialize, Deserialize)]
-struct StartColumns {
-    /// Short forms of the starts of targets that changed their state or home.
+struct AddedColumns {
+    /// Keys of the incarnations of targets that changed their state or home.
     moved_targets: Vec<u64>,
-    /// In milliseconds, as below.
+    /// Times until they are no longer cold, in milliseconds; so is `cold_left`.
     moved_cold_left: Vec<u32>,
     born: Vec<Born>,
     versions: Vec<String>,
     cold_left: Vec<u32>,
 }
 
-/// Packs deltas, with working memory that is taken once: some megabytes, which the allocator could
-/// not use again if each packing took them anew among smaller pieces.
+/// Packs deltas. The compressor's working memory is allocated once: it takes some megabytes, which the allocator could
+/// not reuse if each call allocated them anew among smaller allocations.
 pub struct Packer(Compressor<'static>);
 
 impl Packer {
-    /// Takes the working memory.
+    /// Allocates the working memory.
     ///
     /// # Errors
-    /// [`LinkError`] when there is none.
+    /// [`LinkError`] when it can't be allocated.
     pub fn new() -> Result<Self, LinkError> {
-        Ok(Packer(Compressor::new(LEVEL)?))
+        Ok(Packer(Compressor::new(COMPRESSION_LEVEL)?))
     }
 
-    /// Packs a delta; gateways have no use for sequences, which are left out.
+    /// Packs a delta. The sequence numbers of announcements are left out, since gateways do not use them.
     ///
     /// # Errors
     /// [`LinkError`] when it can't be encoded.
     pub fn pack(&mut self, delta: DirectoryDelta) -> Result<PackedDelta, LinkError> {
         let mut changed = delta.changed;
-        // Homes in a row cost nothing.
+        // Homes in ascending order compress best.
         changed.sort_by_key(|listed| listed.home);
         let column = |of: fn(&Announcement) -> &String| {
             changed.iter().map(|listed| of(&listed.announcement).clone()).collect()
         };
         let moved = &delta.moved;
-        let starts = StartColumns {
+        let added = AddedColumns {
             moved_targets: moved.iter().map(|moved| moved.target).collect(),
             moved_cold_left: moved.iter().map(|moved| millis(moved.cold_left)).collect(),
             born: changed.iter().map(|listed| listed.announcement.born).collect(),
@@ -90,39 +90,40 @@
             homes: changed.iter().map(|listed| listed.home).collect(),
         };
         let mut plain = parts::encode(&columns)?;
-        parts::add(&mut plain, START_COLUMNS, &starts)?;
+        parts::add(&mut plain, ADDED_COLUMNS, &added)?;
         let bytes = self.0.compress(&plain)?;
         Ok(PackedDelta { revision: columns.revision, bytes })
     }
 }
 
 impl PackedDelta {
-    /// Unpacks it.
+    /// Unpacks the delta.
     ///
     /// # Errors
     /// [`LinkError`] when it can't be decoded.
     pub fn unpack(&self) -> Result<DirectoryDelta, LinkError> {
-        let plain = zstd::bulk::Decompressor::upper_bound(&self.bytes).unwrap_or(MAX_BYTES);
-        let plain = zstd::bulk::decompress(&self.bytes, plain.min(MAX_BYTES))?;
+        let plain_bytes =
+            zstd::bulk::Decompressor::upper_bound(&self.bytes).unwrap_or(MAX_UNPACKED_BYTES);
+        let plain = zstd::bulk::decompress(&self.bytes, plain_bytes.min(MAX_UNPACKED_BYTES))?;
         let (columns, parts) = parts::decode::<Columns>(&plain)?;
-        let starts = match parts.get(START_COLUMNS)? {
-            Some(starts) => starts,
-            None => StartColumns::unknown(&columns),
+        let added = match parts.get(ADDED_COLUMNS)? {
+            Some(added) => added,
+            None => AddedColumns::defaults(&columns),
         };
         let Columns { revision, whole, .. } = columns;
-        let moved = starts.moved_targets.into_iter().zip(columns.moved_targets);
-        let moved = moved.zip(columns.moved_states).zip(starts.moved_cold_left);
+        let moved = added.moved_targets.into_iter().zip(columns.moved_targets);
+        let moved = moved.zip(columns.moved_states).zip(added.moved_cold_left);
         let moved = moved.zip(columns.moved_homes);
         let moved = moved.map(|((((target, identity), state), cold_left), home)| {
             let cold_left = Duration::from_millis(cold_left.into());
             Moved { target, identity, state, cold_left, home }
         });
         let moved = moved.collect();
-        let incarnations = columns.ids.into_iter().zip(starts.born);
-        let services = columns.services.into_iter().zip(starts.versions);
+        let incarnations = columns.ids.into_iter().zip(added.born);
+        let services = columns.services.into_iter().zip(added.versions);
         let places = incarnations.zip(services).zip(columns.addrs);
         let places = places.zip(columns.data_halls).zip(columns.slots);
-        let states = columns.states.into_iter().zip(starts.cold_left);
+        let states = columns.states.into_iter().zip(added.cold_left);
         let listed = places.zip(states).zip(columns.homes);
         let changed = listed.map(|((place, (state, cold_left)), home)| {
             let (((((id, born), (service, version)), addr), data_hall), slots) = place;
@@ -146,11 +147,11 @@
     }
 }
 
-impl StartColumns {
-    /// What a member of the first build knows: it tells targets apart by their identity.
-    fn unknown(columns: &Columns) -> Self {
+impl AddedColumns {
+    /// Values for a list of a member of the first build, which tells targets apart by their id alone.
+    fn defaults(columns: &Columns) -> Self {
         let (moved, listed) = (columns.moved_targets.len(), columns.ids.len());
-        StartColumns {
+        AddedColumns {
             moved_targets: columns.moved_targets.clone(),
             moved_cold_left: vec![0; moved],
             born: vec![Born::default(); listed],
@@ -160,7 +161,7 @@
     }
 }
 
-/// In whole milliseconds, rounded up: what is cold must not seem warm.
+/// In whole milliseconds, rounded up so that a cold target never seems warm.
 fn millis(time: Duration) -> u32 {
     u32::try_from(time.as_nanos().div_ceil(1_000_000)).unwrap_or(u32::MAX)
 }
--- a/src/group/propagation.rs
+++ b/src/group/propagation.rs
@@ -1,24 +1,24 @@
-//! How configurations come into force at the gateways of one member: how long each gateway waited,
-//! counted from when the member held the change, and which gateway was the last.
+//! Tracks how versions, of the configuration or of the evacuation orders, come into force at the gateways connected to
+//! this member: how long each gateway waited since the member held the version, and which gateway waited longest.
 
 use std::collections::{HashMap, VecDeque};
 use std::time::Duration;
 
-/// Configurations that are followed at the same time. Where changes come faster than gateways take
-/// them, the oldest is no longer told of.
-const FOLLOWED: usize = 64;
+/// Versions tracked at the same time. Where changes come faster than gateways apply them, the oldest is dropped and not
+/// reported.
+const MAX_TRACKED_VERSIONS: usize = 64;
 
-/// A configuration that some gateway lacks.
+/// A version that some gateway lacks.
 #[derive(Debug)]
 struct Change {
     version: u64,
     held_at: Duration,
-    /// Gateways that it came into force at.
+    /// Number of gateways where it has come into force.
     reached: u32,
-    last: Option<Slowest>,
+    slowest: Option<Slowest>,
 }
 
-/// The gateway that waited longest so far.
+/// The gateway that waited longest for a version so far.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Slowest {
     /// Its name.
@@ -27,105 +27,105 @@
     pub waited: Duration,
 }
 
-/// A configuration that all gateways have.
+/// A version that is in force at all connected gateways.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Propagated {
-    /// Its version.
+    /// The version.
     pub version: u64,
-    /// Gateways that it came into force at.
+    /// Number of gateways where it came into force.
     pub reached: u32,
-    /// The one that waited longest, if any had to wait.
+    /// The gateway that waited longest, if any had to wait.
     pub slowest: Option<Slowest>,
 }
 
-/// A connection of a gateway; a gateway may have two for a moment.
+/// Id of a gateway's connection; a gateway may have two connections for a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ConnectionId(u64);
 
 #[derive(Debug)]
-struct Follower {
-    gateway: String,
+struct ConnectedGateway {
+    name: String,
     /// Version in force there; 0 for none.
     version: u64,
-    since: Duration,
+    connected_at: Duration,
 }
 
-/// Configurations under way to the gateways that are connected here.
+/// Versions on their way to the gateways that are connected to this member.
 #[derive(Debug, Default)]
 pub struct Propagation {
-    /// Those that some gateway lacks, the oldest first.
+    /// Versions that some gateway lacks, the oldest first.
     changes: VecDeque<Change>,
-    followers: HashMap<ConnectionId, Follower>,
-    connections: u64,
+    gateways: HashMap<ConnectionId, ConnectedGateway>,
+    last_id: u64,
 }
 
 impl Propagation {
-    /// The member holds a configuration.
+    /// Starts to track a version that the member now holds.
     pub fn add_version(&mut self, now: Duration, version: u64) {
-        if self.changes.len() >= FOLLOWED {
+        if self.changes.len() >= MAX_TRACKED_VERSIONS {
             self.changes.pop_front();
         }
-        self.changes.push_back(Change { version, held_at: now, reached: 0, last: None });
+        self.changes.push_back(Change { version, held_at: now, reached: 0, slowest: None });
     }
 
-    /// A gateway connected that works by `version`; 0 for none.
+    /// Adds a gateway's connection; `version` is in force at the gateway, 0 for none.
     pub fn connect(&mut self, now: Duration, gateway: &str, version: u64) -> ConnectionId {
-        self.connections += 1;
-        let connection = ConnectionId(self.connections);
-        let follower = Follower { gateway: gateway.to_owned(), version, since: now };
-        self.followers.insert(connection, follower);
+        self.last_id += 1;
+        let connection = ConnectionId(self.last_id);
+        let gateway = ConnectedGateway { name: gateway.to_owned(), version, connected_at: now };
+        self.gateways.insert(connection, gateway);
         connection
     }
 
-    /// A connection ended.
+    /// Removes a connection that ended.
     pub fn disconnect(&mut self, connection: ConnectionId) {
-        self.followers.remove(&connection);
+        self.gateways.remove(&connection);
     }
 
-    /// Connections of gateways.
+    /// Number of connections.
     pub fn connections(&self) -> usize {
-        self.followers.len()
+        self.gateways.len()
     }
 
-    /// A gateway now works by `version`; tells how long it waited for the oldest change in that, since
-    /// the member held it or the gateway connected.
+    /// Records that `version` is now in force at a gateway. Returns how long the gateway waited for the oldest version
+    /// that it lacked until now, counted from when the member held that version or the gateway connected.
     ///
-    /// `None` where it did not wait: the first configuration of a gateway waited for the gateway.
+    /// `None` if it lacked none, or had no version before: then the gateway is new, and the version did not come late.
     pub fn set_in_force(
         &mut self,
         now: Duration,
         connection: ConnectionId,
         version: u64,
     ) -> Option<Duration> {
-        let follower = self.followers.get_mut(&connection)?;
-        let had = std::mem::replace(&mut follower.version, version);
-        let came = |change: &&mut Change| had < change.version && change.version <= version;
+        let gateway = self.gateways.get_mut(&connection)?;
+        let previous = std::mem::replace(&mut gateway.version, version);
+        let applied = |change: &&mut Change| previous < change.version && change.version <= version;
         let mut longest = None;
-        for change in self.changes.iter_mut().filter(came) {
+        for change in self.changes.iter_mut().filter(applied) {
             change.reached += 1;
-            if had == 0 {
+            if previous == 0 {
                 continue;
             }
-            let waited = now.saturating_sub(change.held_at.max(follower.since));
+            let waited = now.saturating_sub(change.held_at.max(gateway.connected_at));
             longest = longest.max(Some(waited));
-            if change.last.as_ref().is_none_or(|last| last.waited < waited) {
-                change.last = Some(Slowest { gateway: follower.gateway.clone(), waited });
+            if change.slowest.as_ref().is_none_or(|slowest| slowest.waited < waited) {
+                change.slowest = Some(Slowest { gateway: gateway.name.clone(), waited });
             }
         }
         longest
     }
 
-    /// Takes out the changes that no gateway lacks any more.
+    /// Removes and returns the versions that no connected gateway lacks any more, the oldest first.
     pub fn take_propagated(&mut self) -> Vec<Propagated> {
-        let lowest = self.followers.values().map(|follower| follower.version).min();
-        let everywhere =
+        let lowest = self.gateways.values().map(|gateway| gateway.version).min();
+        let propagated =
             |change: &mut Change| lowest.is_some_and(|lowest| change.version <= lowest);
         let mut taken = Vec::new();
-        while let Some(change) = self.changes.pop_front_if(everywhere) {
-            let Change { version, reached, last, .. } = change;
-            // Gateways that all had it when they connected have nothing to tell of.
+        while let Some(change) = self.changes.pop_front_if(propagated) {
+            let Change { version, reached, slowest, .. } = change;
+            // Nothing to report if all gateways had the version when they connected.
             if reached > 0 {
-                taken.push(Propagated { version, reached, slowest: last });
+                taken.push(Propagated { version, reached, slowest });
             }
         }
         taken
