--- a/src/group/batches.rs
+++ b/src/group/batches.rs
@@ -1,8 +1,8 @@
-//! Announcements that bring news wait here for each other, and go to the leader together.
+//! Sends announcements that change the directory to the leader in batches.
 //!
-//! When thousands of targets start at once, a call and an entry of the log for each would take the leader longer than
-//! the targets wait, who then come again and make it worse. While calls are under way the next announcements gather;
-//! where none is, one goes at once.
+//! When thousands of targets start at once, a call and a log entry for each would take the leader longer than the targets
+//! wait for the answer; they would then retry and add to the load. While [`CONCURRENT_BATCHES`] calls are in progress, new
+//! announcements queue up for the next batch; otherwise an announcement is sent at once.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -16,122 +16,127 @@
 use crate::directory::Announcement;
 use crate::sync::lock;
 
-/// Most announcements of one batch: at some 250 bytes each an entry of 50 KB, 70 ms of a link of 6 Mbit/s by computation.
-const MOST_IN_BATCH: usize = 200;
-/// Most announcements that wait. At 200 in each of two batches a leader that takes 300 ms for one has them done in the
-/// second that a target waits; who comes to a full queue is told at once to come later.
-const MOST_WAITING: usize = 1_400;
-/// Batches that one member has under way at the leader.
-const UNDER_WAY: usize = 2;
+/// Announcements per batch. At some 250 bytes each, a batch is an entry of 50 KB, which takes 70 ms on a link of
+/// 6 Mbit/s (computed).
+const MAX_BATCH_LEN: usize = 200;
+/// Queued announcements. With two batches of 200 in progress, a leader that takes 300 ms for each finishes this many in
+/// the second that a target waits. Beyond that, a target is told at once to come back later.
+const MAX_QUEUED: usize = 1_400;
+/// Batches that one member has in progress at the leader.
+const CONCURRENT_BATCHES: usize = 2;
 
-/// What waits for an announcement's answer.
-type Waiter = oneshot::Sender<Result<HeartbeatOutcome, Unavailable>>;
+/// Where the answer to an announcement goes.
+type AnswerSender = oneshot::Sender<Result<HeartbeatOutcome, Unavailable>>;
 
-/// An announcement that waits.
-struct Waiting {
+/// An announcement that waits for a batch.
+struct Queued {
     announcement: Announcement,
-    waiter: Waiter,
+    answer: AnswerSender,
 }
 
-/// Announcements that wait.
+/// Queue of the announcements that wait for a batch.
 #[derive(Default)]
 pub(super) struct Batches {
-    waiting: Mutex<VecDeque<Waiting>>,
+    queue: Mutex<VecDeque<Queued>>,
     wake: Notify,
 }
 
 impl Batches {
-    /// Puts an announcement in the next batch; `None` where too many wait.
+    /// Queues an announcement, and returns where its answer arrives; `None` if the queue is full.
     fn push(
         &self,
         announcement: Announcement,
     ) -> Option<oneshot::Receiver<Result<HeartbeatOutcome, Unavailable>>> {
-        let (waiter, answer) = oneshot::channel();
-        let mut waiting = lock(&self.waiting);
-        if waiting.len() >= MOST_WAITING {
+        let (answer, receiver) = oneshot::channel();
+        let mut queue = lock(&self.queue);
+        if queue.len() >= MAX_QUEUED {
             return None;
         }
-        waiting.push_back(Waiting { announcement, waiter });
+        queue.push_back(Queued { announcement, answer });
         self.wake.notify_one();
-        Some(answer)
+        Some(receiver)
     }
 
-    /// The next batch, the oldest first, without those whose targets have gone meanwhile.
-    fn take(&self) -> Vec<Waiting> {
-        let mut waiting = lock(&self.waiting);
-        waiting.retain(|one| !one.waiter.is_closed());
-        let count = waiting.len().min(MOST_IN_BATCH);
-        let batch = waiting.drain(..count).collect();
-        if !waiting.is_empty() {
+    /// Takes the next batch, the oldest first. Announcements that no one waits for any more are dropped.
+    fn take(&self) -> Vec<Queued> {
+        let mut queue = lock(&self.queue);
+        queue.retain(|queued| !queued.answer.is_closed());
+        let count = queue.len().min(MAX_BATCH_LEN);
+        let batch = queue.drain(..count).collect();
+        if !queue.is_empty() {
             self.wake.notify_one();
         }
         batch
     }
 
-    /// Announcements that wait.
+    /// Number of queued announcements.
     pub(super) fn len(&self) -> usize {
-        lock(&self.waiting).len()
+        lock(&self.queue).len()
     }
 }
 
 impl Shared {
-    /// Has an announcement go to the leader with the next batch, and waits for its answer.
+    /// Sends an announcement to the leader with the next batch, and waits for the answer.
     pub(super) async fn announce(
         &self,
         announcement: Announcement,
     ) -> Result<HeartbeatOutcome, Unavailable> {
         let answer = self.batches.push(announcement).ok_or(Unavailable)?;
-        let longest = Duration::from_millis(self.settings.answer_within_ms);
-        match tokio::time::timeout(longest, answer).await {
-            Ok(Ok(taken)) => taken,
+        let timeout = Duration::from_millis(self.settings.answer_within_ms);
+        match tokio::time::timeout(timeout, answer).await {
+            Ok(Ok(outcome)) => outcome,
             _ => Err(Unavailable),
         }
     }
 
-    async fn carry_batch(&self, batch: Vec<Waiting>) {
-        let mut left = VecDeque::from(batch);
-        while !left.is_empty() {
-            let announcements = left.iter().map(|one| one.announcement.clone()).collect();
+    /// Sends a batch to the leader, in further calls too if the leader handles only part of it.
+    async fn send_batch(&self, batch: Vec<Queued>) {
+        let mut remaining = VecDeque::from(batch);
+        while !remaining.is_empty() {
+            let announcements =
+                remaining.iter().map(|queued| queued.announcement.clone()).collect();
             let reply = self.call_leader(Call::Announce(announcements)).await;
-            let taken = reply.ok().and_then(taken);
-            if taken.is_some() {
+            let outcomes = reply.ok().and_then(outcomes);
+            if outcomes.is_some() {
                 lock(&self.heard).confirm(self.now());
             }
-            let Some(taken) = taken.filter(|taken| !taken.is_empty()) else {
-                for one in left {
-                    // A target that has gone waits for nothing.
-                    let _ = one.waiter.send(Err(Unavailable));
+            let Some(outcomes) = outcomes.filter(|outcomes| !outcomes.is_empty()) else {
+                for queued in remaining {
+                    // Fails if the target has disconnected.
+                    let _ = queued.answer.send(Err(Unavailable));
                 }
                 return;
             };
-            for (one, taken) in left.drain(..taken.len().min(left.len())).zip(taken) {
+            for (queued, outcome) in
+                remaining.drain(..outcomes.len().min(remaining.len())).zip(outcomes)
+            {
                 // As above.
-                let _ = one.waiter.send(Ok(taken));
+                let _ = queued.answer.send(Ok(outcome));
             }
         }
     }
 }
 
-/// What a leader took of a batch, from its beginning: one of the first build takes a single announcement.
-fn taken(reply: Reply) -> Option<Vec<HeartbeatOutcome>> {
+/// Outcomes of a batch's first announcements. A leader of the first build handles a single one.
+fn outcomes(reply: Reply) -> Option<Vec<HeartbeatOutcome>> {
     match reply {
-        Reply::Announced(taken) => Some(taken),
+        Reply::Announced(outcomes) => Some(outcomes),
         Reply::Answer(_) => Some(vec![HeartbeatOutcome::Changed]),
         Reply::Done => Some(vec![HeartbeatOutcome::Unchanged]),
         _ => None,
     }
 }
 
-/// Carries batches to the leader, a few at a time.
+/// Spawns the tasks that send batches to the leader, one for each concurrent batch.
 pub(super) fn spawn_senders(shared: &Arc<Shared>) {
-    for _ in 0..UNDER_WAY {
+    for _ in 0..CONCURRENT_BATCHES {
         let shared = shared.clone();
         tokio::spawn(async move {
             loop {
                 shared.batches.wake.notified().await;
                 let batch = shared.batches.take();
                 if !batch.is_empty() {
-                    shared.carry_batch(batch).await;
+                    shared.send_batch(batch).await;
                 }
             }
         });
--- a/src/group/heartbeats.rs
+++ b/src/group/heartbeats.rs
@@ -1,7 +1,7 @@
-//! Heartbeats of targets.
+//! Handles heartbeats of targets, which carry the announcement of the target each time.
 //!
-//! Those that bring news go through the log. All others are answered by the member that they come
-//! to, which tells the leader some times a second whom it heard: one leader could not answer
+//! Heartbeats that change the directory are committed to the Raft log. All others are answered by the member that
+//! receives them; it reports the targets to the leader a few times per second, since a single leader could not answer
 //! thousands of targets itself.
 
 use std::collections::HashSet;
@@ -20,78 +20,79 @@
 use crate::store::{Answer, Command, Sight};
 use crate::sync::lock;
 
-/// Part of the targets' interval between two reports to the leader.
-const REPORTS_IN_INTERVAL: u32 = 4;
+/// Reports to the leader per heartbeat interval of the targets.
+const REPORTS_PER_HEARTBEAT: u32 = 4;
 /// Longest time between two reports to the leader.
-const LONGEST_REPORT_INTERVAL: Duration = Duration::from_millis(500);
-/// How long a leader's answer lets this member answer targets by itself: a member that the leader
-/// does not hear must send them elsewhere, well before they count as silent.
-const TRUSTED_FOR: Duration = Duration::from_millis(1_500);
+const MAX_REPORT_INTERVAL: Duration = Duration::from_millis(500);
+/// How long after a confirmation by the leader this member may answer targets by itself. A member whose reports do not
+/// reach the leader must turn targets away, well before the leader marks them as unresponsive.
+const CONFIRMATION_TTL: Duration = Duration::from_millis(1_500);
 
-/// What a heartbeat that was taken brought.
+/// Effect of an accepted heartbeat on the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum HeartbeatOutcome {
-    /// Something that every gateway will be told.
+    /// It changed the directory; all gateways will be sent the change.
     Changed,
-    /// Nothing new.
+    /// It changed nothing.
     Unchanged,
 }
 
-/// Targets heard here that the leader has not been told of.
+/// Targets whose heartbeats were answered here and not yet reported to the leader.
 #[derive(Debug, Default)]
 pub(super) struct PendingReport {
+    /// Keys of the targets.
     targets: HashSet<u64>,
-    /// When the leader last took a heartbeat or a report from here.
+    /// When the leader last accepted a heartbeat or a report from this member.
     confirmed_at: Option<Duration>,
 }
 
 impl PendingReport {
-    /// Notes a heartbeat that was answered here.
-    pub(super) fn note(&mut self, target: u64) {
+    /// Adds a target whose heartbeat was answered here.
+    pub(super) fn add(&mut self, target: u64) {
         self.targets.insert(target);
     }
 
-    /// The leader took a heartbeat or a report.
+    /// Records that the leader accepted a heartbeat or a report.
     pub(super) fn confirm(&mut self, now: Duration) {
         self.confirmed_at = Some(now);
     }
 
-    /// Whether the leader has lately taken what this member told it.
-    pub(super) fn trusted(&self, now: Duration) -> bool {
-        self.confirmed_at.is_some_and(|at| now < at + TRUSTED_FOR)
+    /// Whether the leader accepted a heartbeat or a report recently.
+    pub(super) fn confirmed_recently(&self, now: Duration) -> bool {
+        self.confirmed_at.is_some_and(|at| now < at + CONFIRMATION_TTL)
     }
 
-    /// Targets to report; they come back by [`PendingReport::note`] if the leader does not take them.
+    /// Takes the targets to report. If the report fails, they are to be added again.
     pub(super) fn take(&mut self) -> Vec<u64> {
         self.targets.drain().collect()
     }
 }
 
 impl Shared {
-    /// Takes a heartbeat.
+    /// Handles a heartbeat that a target sent to this member.
     pub(super) async fn handle_heartbeat(
         &self,
         announcement: Announcement,
     ) -> Result<HeartbeatOutcome, Unavailable> {
-        // The leader decides what of it the log may hold.
-        let held = announcement.clone().at(self.level());
-        if self.answers_alone(&held) {
-            lock(&self.heard).note(held.key());
+        // The leader gets the whole announcement, and reduces it itself to what the level of the group allows in the log.
+        let supported = announcement.clone().at(self.level());
+        if self.can_answer_locally(&supported) {
+            lock(&self.heard).add(supported.key());
             return Ok(HeartbeatOutcome::Unchanged);
         }
         self.announce(announcement).await
     }
 
     /// Whether this member may answer a heartbeat without asking the leader.
-    fn answers_alone(&self, announcement: &Announcement) -> bool {
+    fn can_answer_locally(&self, announcement: &Announcement) -> bool {
         let standing = self.member.standing();
-        let trusted = || lock(&self.heard).trusted(self.now());
-        let known = || self.judge(announcement) != Heartbeat::News;
-        !standing.leads && standing.fresh(Instant::now()) && trusted() && known()
+        let confirmed = || lock(&self.heard).confirmed_recently(self.now());
+        let unchanged = || self.classify(announcement) != Heartbeat::News;
+        !standing.leads && standing.fresh(Instant::now()) && confirmed() && unchanged()
     }
 
-    /// Whether an announcement bears the identity of a target of another service, and so comes from another writer:
-    /// a start of a target keeps its service, and a new one has a service that there is.
+    /// Whether an announcement uses the id of a target of another service, and so can't come from that target. A target
+    /// may change its service only with a new incarnation, and only to a service that is configured.
     pub(super) fn conflicts_with_target(&self, announcement: &Announcement) -> bool {
         let published = self.member.published();
         let published = published.borrow();
@@ -101,53 +102,54 @@
         if known.service == announcement.service {
             return false;
         }
-        let same_start = known.born == announcement.born || announcement.born.0.is_none();
-        let held = published.document.as_ref();
-        let held = held.and_then(|held| self.dialect.configuration(&held.bytes).ok());
-        let there_is = held.is_some_and(|held| {
-            held.services.iter().any(|service| service.name == announcement.service)
+        let same_incarnation = known.born == announcement.born || announcement.born.0.is_none();
+        let document = published.document.as_ref();
+        let configuration =
+            document.and_then(|document| self.dialect.configuration(&document.bytes).ok());
+        let service_exists = configuration.is_some_and(|configuration| {
+            configuration.services.iter().any(|service| service.name == announcement.service)
         });
-        same_start || !there_is
+        same_incarnation || !service_exists
     }
 
-    /// What a heartbeat brings, by the directory held here.
-    fn judge(&self, announcement: &Announcement) -> Heartbeat {
+    /// Classifies a heartbeat by the directory that this member holds.
+    fn classify(&self, announcement: &Announcement) -> Heartbeat {
         self.member.published().borrow().directory.judge(announcement)
     }
 
-    /// Takes heartbeats as the leader: all that bring news go into the log together.
+    /// Handles heartbeats as the leader; those that change the directory are committed together.
     pub(super) async fn announce_here(&self, announcements: Vec<Announcement>) -> Reply {
         let now = self.run_clock.ran();
         let Published { directory, level, .. } = self.published();
-        let mut taken = Vec::with_capacity(announcements.len());
+        let mut outcomes = Vec::with_capacity(announcements.len());
         let mut sights = Vec::new();
         {
             let mut liveness = lock(&self.liveness);
             for announcement in announcements {
                 let announcement = announcement.at(level);
                 liveness.hear(now, announcement.key());
-                let news = directory.judge(&announcement) == Heartbeat::News;
-                taken.push(if news {
+                let changed = directory.judge(&announcement) == Heartbeat::News;
+                outcomes.push(if changed {
                     HeartbeatOutcome::Changed
                 } else {
                     HeartbeatOutcome::Unchanged
                 });
-                if news {
+                if changed {
                     let at_once = liveness.forming(now, &announcement.service, &directory);
                     sights.push(Sight { announcement, at_once });
                 }
             }
         }
         if sights.is_empty() {
-            return if self.leads() { Reply::Announced(taken) } else { Reply::Unknown };
+            return if self.leads() { Reply::Announced(outcomes) } else { Reply::Unknown };
         }
         match self.propose_sights(level, sights).await {
-            Some(()) => Reply::Announced(taken),
+            Some(()) => Reply::Announced(outcomes),
             None => Reply::Unknown,
         }
     }
 
-    /// Puts what targets announce in the log: together where the group may, else each by itself.
+    /// Commits announcements: in one command, or in one command each while the group has [`Level::BASE`].
     async fn propose_sights(&self, level: Level, sights: Vec<Sight>) -> Option<()> {
         let commands: Vec<Command> = match level {
             Level::BASE => sights.into_iter().map(|sight| Command::Announce(vec![sight])).collect(),
@@ -159,7 +161,7 @@
         replies.iter().all(listed).then_some(())
     }
 
-    /// Takes another member's report as the leader.
+    /// Records, as the leader, the targets that another member reports as alive.
     pub(super) fn record_report(&self, targets: &[u64]) -> Reply {
         if !self.leads() {
             return Reply::Unknown;
@@ -170,17 +172,17 @@
         Reply::Done
     }
 
-    /// Where targets best send their next heartbeat: here, since they reached this member.
+    /// API address of this member. Targets are told to send their next heartbeat there, since they could reach it.
     pub(super) fn own_api_addr(&self) -> Option<SocketAddr> {
         let port = self.settings.listen?.port();
         Some(SocketAddr::new(self.own.ip(), port))
     }
 }
 
-/// Tells the leader, some times in the targets' interval, whom this member heard.
+/// Periodically reports to the leader the targets whose heartbeats this member answered.
 pub(super) async fn report(shared: Arc<Shared>) {
     let interval = Duration::from_millis(shared.settings.target_heartbeat_ms);
-    let interval = (interval / REPORTS_IN_INTERVAL).min(LONGEST_REPORT_INTERVAL);
+    let interval = (interval / REPORTS_PER_HEARTBEAT).min(MAX_REPORT_INTERVAL);
     loop {
         tokio::time::sleep(interval).await;
         let targets = lock(&shared.heard).take();
@@ -190,8 +192,8 @@
         match shared.call_leader(Call::ReportHeartbeats(targets.clone())).await {
             Ok(_) => lock(&shared.heard).confirm(shared.now()),
             Err(Unavailable) => {
-                let mut heard = lock(&shared.heard);
-                targets.into_iter().for_each(|target| heard.note(target));
+                let mut pending = lock(&shared.heard);
+                targets.into_iter().for_each(|target| pending.add(target));
             }
         }
     }
