--- a/src/group/frames/from_member.rs
+++ b/src/group/frames/from_member.rs
@@ -1,10 +1,10 @@
-//! Frames of a member.
+//! Encoding of frames from a member.
 
 use std::borrow::Cow;
 
 use serde::{Deserialize, Serialize};
 
-use super::with;
+use super::encode_with_part;
 use crate::compat::base;
 use crate::compat::parts::{self, Parts};
 use crate::group::evidence::Evidence;
@@ -17,21 +17,21 @@
 use crate::rollout::division::RolloutMix;
 use crate::store::Answer;
 
-/// Parts of frames of a member, each with what it holds.
+/// Tags of the parts of these frames.
 mod tag {
-    /// What became of each announcement of a batch: [`super::HeartbeatOutcome`].
-    pub(super) const TAKEN: u8 = 1;
-    /// [`super::News`].
-    pub(super) const NEWS: u8 = 2;
+    /// A [`super::HeartbeatOutcome`] for each announcement of a batch.
+    pub(super) const OUTCOMES: u8 = 1;
+    /// [`super::AddedFields`] of an update.
+    pub(super) const UPDATE_FIELDS: u8 = 2;
 }
 
-/// News for a gateway.
+/// Fields of an [`Update`] that the first build does not have.
 #[derive(Serialize, Deserialize)]
-struct News<'a> {
-    halls: Option<Cow<'a, EvacuationsUpdate>>,
+struct AddedFields<'a> {
+    evacuations: Option<Cow<'a, EvacuationsUpdate>>,
     rollouts: Option<Cow<'a, RolloutNews>>,
     evidence: Option<Cow<'a, [Evidence]>>,
-    keepers: Cow<'a, [Keeper]>,
+    prefix_holders: Cow<'a, [Keeper]>,
     mixes: Cow<'a, [RolloutMix]>,
     poison: Cow<'a, [Report]>,
 }
@@ -39,8 +39,8 @@
 impl Message for FromMember {
     fn to_bytes(&self) -> Result<Vec<u8>, LinkError> {
         match self {
-            FromMember::Reply { id, reply } => reply_bytes(*id, reply),
-            FromMember::Update(update) => update_bytes(update),
+            FromMember::Reply { id, reply } => encode_reply(*id, reply),
+            FromMember::Update(update) => encode_update(update),
         }
     }
 
@@ -48,37 +48,37 @@
         let (message, parts) = parts::decode::<base::FromMember<'static>>(bytes)?;
         Ok(match message {
             base::FromMember::Reply { id, reply } => {
-                let taken = parts.get(tag::TAKEN)?;
-                let reply = taken.map_or_else(|| reply_of(reply), Reply::Announced);
+                let outcomes = parts.get(tag::OUTCOMES)?;
+                let reply = outcomes.map_or_else(|| decode_reply(reply), Reply::Announced);
                 FromMember::Reply { id, reply }
             }
             base::FromMember::Update(update) => {
-                FromMember::Update(Box::new(update_of(*update, parts)?))
+                FromMember::Update(Box::new(decode_update(*update, parts)?))
             }
         })
     }
 }
 
-fn reply_bytes(id: u64, reply: &Reply) -> Result<Vec<u8>, LinkError> {
+fn encode_reply(id: u64, reply: &Reply) -> Result<Vec<u8>, LinkError> {
     let frame = |reply| base::FromMember::Reply { id, reply };
     match reply {
         Reply::Answer(answer) => parts::encode(&frame(base::Reply::Answer(answer.clone()))),
         Reply::ReadIndex(index) => parts::encode(&frame(base::Reply::ReadIndex(*index))),
         Reply::Done => parts::encode(&frame(base::Reply::Done)),
-        Reply::Announced(taken) => {
-            // A caller of the first build announced one.
-            let reply = match taken.first() {
+        Reply::Announced(outcomes) => {
+            // A caller of the first build sends one announcement, and reads only the reply without the part.
+            let reply = match outcomes.first() {
                 Some(HeartbeatOutcome::Changed) => base::Reply::Answer(Answer::Listed),
                 _ => base::Reply::Done,
             };
-            with(&frame(reply), tag::TAKEN, taken)
+            encode_with_part(&frame(reply), tag::OUTCOMES, outcomes)
         }
         Reply::NotLeader(leader) => parts::encode(&frame(base::Reply::NotLeader(*leader))),
         Reply::Unknown => parts::encode(&frame(base::Reply::Unknown)),
     }
 }
 
-fn reply_of(reply: base::Reply) -> Reply {
+fn decode_reply(reply: base::Reply) -> Reply {
     match reply {
         base::Reply::Answer(answer) => Reply::Answer(answer),
         base::Reply::ReadIndex(index) => Reply::ReadIndex(index),
@@ -88,7 +88,7 @@
     }
 }
 
-fn update_bytes(update: &Update) -> Result<Vec<u8>, LinkError> {
+fn encode_update(update: &Update) -> Result<Vec<u8>, LinkError> {
     let message = base::Update {
         fresh: update.fresh,
         version: update.version,
@@ -98,41 +98,42 @@
         gateways: update.gateways,
         loads: update.loads.as_ref().map(Cow::Borrowed),
     };
-    let news = News {
-        halls: update.evacuations.as_ref().map(Cow::Borrowed),
+    let added = AddedFields {
+        evacuations: update.evacuations.as_ref().map(Cow::Borrowed),
         rollouts: update.rollouts.as_ref().map(Cow::Borrowed),
         evidence: update.evidence.as_deref().map(Cow::Borrowed),
-        keepers: Cow::Borrowed(&update.prefix_holders),
+        prefix_holders: Cow::Borrowed(&update.prefix_holders),
         mixes: Cow::Borrowed(&update.mixes),
         poison: Cow::Borrowed(&update.poison),
     };
-    with(&base::FromMember::Update(Box::new(message)), tag::NEWS, &news)
+    encode_with_part(&base::FromMember::Update(Box::new(message)), tag::UPDATE_FIELDS, &added)
 }
 
-/// A member of the first build knows of no orders, and there are none while its group is at its level.
-fn update_of(base: base::Update<'static>, parts: Parts<'_>) -> Result<Update, LinkError> {
-    let news = parts.get::<News<'static>>(tag::NEWS)?;
-    let news = news.unwrap_or_else(|| News {
-        halls: Some(Cow::Owned(EvacuationsUpdate::default())),
+/// Decodes an update. One without [`AddedFields`] comes from a member of the first build. Its group can have no evacuation orders and
+/// no roll-outs at that level, so the update counts as saying that there are none.
+fn decode_update(base: base::Update<'static>, parts: Parts<'_>) -> Result<Update, LinkError> {
+    let added = parts.get::<AddedFields<'static>>(tag::UPDATE_FIELDS)?;
+    let added = added.unwrap_or_else(|| AddedFields {
+        evacuations: Some(Cow::Owned(EvacuationsUpdate::default())),
         rollouts: Some(Cow::Owned(RolloutNews::default())),
         evidence: None,
-        keepers: Cow::default(),
+        prefix_holders: Cow::default(),
         mixes: Cow::default(),
         poison: Cow::default(),
     });
     Ok(Update {
         fresh: base.fresh,
         version: base.version,
-        evacuations: news.halls.map(Cow::into_owned),
-        rollouts: news.rollouts.map(Cow::into_owned),
+        evacuations: added.evacuations.map(Cow::into_owned),
+        rollouts: added.rollouts.map(Cow::into_owned),
         blobs: base.parcels.into_owned(),
         blob_source: base.elsewhere,
         members: base.members,
         gateways: base.gateways,
         loads: base.loads.map(Cow::into_owned),
-        evidence: news.evidence.map(Cow::into_owned),
-        prefix_holders: news.keepers.into_owned(),
-        mixes: news.mixes.into_owned(),
-        poison: news.poison.into_owned(),
+        evidence: added.evidence.map(Cow::into_owned),
+        prefix_holders: added.prefix_holders.into_owned(),
+        mixes: added.mixes.into_owned(),
+        poison: added.poison.into_owned(),
     })
 }
--- a/src/group/frames/mod.rs
+++ b/src/group/frames/mod.rs
@@ -1,7 +1,9 @@
-//! Frames as they travel: a message that every build reads, and behind it what later builds added.
+//! Wire encoding of the messages of the group. Builds of different age talk to each other during an upgrade.
 //!
-//! What the first build has no message for goes behind one that it passes over: a gateway's word of a parcel that does
-//! not exist, a member's word of no messages.
+//! A frame is a message of `compat::base`, as the first build in production encodes it, followed by tagged parts that
+//! later builds added and earlier ones skip. A message that the first build does not have is sent as a part behind one
+//! that the first build ignores: from a gateway, a failed fetch of a blob that does not exist; from a member, an empty list
+//! of Raft messages.
 
 mod from_member;
 mod to_member;
@@ -12,8 +14,12 @@
 use crate::compat::parts;
 use crate::link::{LinkError, Message};
 
-/// A message with a part behind it.
-fn with(message: &impl Serialize, tag: u8, content: &impl Serialize) -> Result<Vec<u8>, LinkError> {
+/// Encodes a message followed by one part.
+fn encode_with_part(
+    message: &impl Serialize,
+    tag: u8,
+    content: &impl Serialize,
+) -> Result<Vec<u8>, LinkError> {
     let mut bytes = parts::encode(message)?;
     parts::add(&mut bytes, tag, content)?;
     Ok(bytes)
--- a/src/group/frames/to_member.rs
+++ b/src/group/frames/to_member.rs
@@ -1,11 +1,11 @@
-//! Frames to a member.
+//! Encoding of frames to a member.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-use super::with;
+use super::encode_with_part;
 use crate::compat::base;
 use crate::compat::parts::{self, Parts};
 use crate::directory::Announcement;
@@ -19,114 +19,117 @@
 use crate::rollout::tally::Tallies;
 use crate::store::Revision;
 
-/// Parts of frames to a member, each with what it holds.
+/// Tags of the parts of these frames.
 mod tag {
-    /// [`super::Level`] that the sender knows, behind messages of the agreement.
-    pub(super) const KNOWS: u8 = 1;
+    /// [`super::Level`] that the sender supports, behind Raft messages or a request to join.
+    pub(super) const SUPPORTED_LEVEL: u8 = 1;
     /// All [`super::Announcement`]s of a batch.
-    pub(super) const ANNOUNCED: u8 = 2;
-    /// [`super::MemberSaw`].
-    pub(super) const MEMBER_SAW: u8 = 3;
-    /// [`super::GatewaySaw`].
-    pub(super) const GATEWAY_SAW: u8 = 4;
-    /// Reports of requests under which targets ended.
+    pub(super) const ANNOUNCEMENTS: u8 = 2;
+    /// [`super::MemberReport`].
+    pub(super) const MEMBER_REPORT: u8 = 3;
+    /// [`super::GatewayReport`].
+    pub(super) const GATEWAY_REPORT: u8 = 4;
+    /// Reports about suspected poison requests.
     pub(super) const POISON: u8 = 5;
-    /// [`super::Revision`] of the orders about data halls.
-    pub(super) const OBEYS: u8 = 6;
-    /// [`super::GatewayHas`].
-    pub(super) const SUBSCRIBES: u8 = 7;
+    /// [`super::Revision`] of the evacuation orders that the gateway applies.
+    pub(super) const EVACUATIONS_IN_FORCE: u8 = 6;
+    /// [`super::SubscriptionFields`].
+    pub(super) const SUBSCRIPTION: u8 = 7;
 }
 
-/// What the gateways of a member saw.
+/// Fields of [`ToMember::MemberLoads`] that the first build does not have.
 #[derive(Serialize, Deserialize)]
-struct MemberSaw<'a> {
+struct MemberReport<'a> {
     evidence: Cow<'a, [Evidence]>,
-    keepers: Cow<'a, [Keeper]>,
+    prefix_holders: Cow<'a, [Keeper]>,
     tallies: Cow<'a, Tallies>,
 }
 
-/// What a gateway saw.
+/// Fields of [`ToMember::Loads`] that the first build does not have.
 #[derive(Serialize, Deserialize)]
-struct GatewaySaw<'a> {
+struct GatewayReport<'a> {
     outcomes: Cow<'a, [Outcomes]>,
-    keepers: Cow<'a, [Keeper]>,
+    prefix_holders: Cow<'a, [Keeper]>,
     tallies: Cow<'a, Tallies>,
 }
 
-/// What a gateway has when it connects.
+/// Fields of a [`Subscription`] that the first build does not have.
 #[derive(Serialize, Deserialize)]
-struct GatewayHas {
-    knows: Level,
+struct SubscriptionFields {
+    supported_level: Level,
     evacuations: Option<Revision>,
     rollouts: Option<Revision>,
-    looks: bool,
+    status_only: bool,
 }
 
 impl Message for ToMember {
     fn to_bytes(&self) -> Result<Vec<u8>, LinkError> {
         match self {
-            ToMember::Raft { from, messages, supported_level: knows } => {
+            ToMember::Raft { from, messages, supported_level } => {
                 let messages = Cow::Borrowed(messages.as_slice());
-                with(&base::ToMember::Agreement { from: *from, messages }, tag::KNOWS, knows)
+                encode_with_part(
+                    &base::ToMember::Agreement { from: *from, messages },
+                    tag::SUPPORTED_LEVEL,
+                    supported_level,
+                )
             }
-            ToMember::Call { id, call } => call_bytes(*id, call),
+            ToMember::Call { id, call } => encode_call(*id, call),
             ToMember::Presence(gateways) => {
                 parts::encode(&base::ToMember::Presence(Cow::Borrowed(gateways)))
             }
-            ToMember::MemberLoads { from, loads, evidence, prefix_holders: keepers, tallies } => {
+            ToMember::MemberLoads { from, loads, evidence, prefix_holders, tallies } => {
                 let loads = Cow::Borrowed(loads);
-                let saw = MemberSaw {
+                let report = MemberReport {
                     evidence: Cow::Borrowed(evidence),
-                    keepers: Cow::Borrowed(keepers),
+                    prefix_holders: Cow::Borrowed(prefix_holders),
                     tallies: Cow::Borrowed(tallies),
                 };
                 let message = base::ToMember::MemberLoads { from: *from, loads };
-                with(&message, tag::MEMBER_SAW, &saw)
+                encode_with_part(&message, tag::MEMBER_REPORT, &report)
             }
-            ToMember::Loads { loads, outcomes, prefix_holders: keepers, tallies } => {
-                let saw = GatewaySaw {
+            ToMember::Loads { loads, outcomes, prefix_holders, tallies } => {
+                let report = GatewayReport {
                     outcomes: Cow::Borrowed(outcomes),
-                    keepers: Cow::Borrowed(keepers),
+                    prefix_holders: Cow::Borrowed(prefix_holders),
                     tallies: Cow::Borrowed(tallies),
                 };
                 let message = base::ToMember::Loads(Cow::Borrowed(loads));
-                with(&message, tag::GATEWAY_SAW, &saw)
+                encode_with_part(&message, tag::GATEWAY_REPORT, &report)
+            }
+            ToMember::Poison(reports) => {
+                encode_with_part(&ignored_by_first_build(), tag::POISON, reports)
             }
-            ToMember::Poison(reports) => with(&passed_over(), tag::POISON, reports),
             ToMember::MemberPoison { from, reports } => {
                 let messages = Cow::Borrowed([].as_slice());
                 let message = base::ToMember::Agreement { from: *from, messages };
-                with(&message, tag::POISON, reports)
+                encode_with_part(&message, tag::POISON, reports)
             }
             ToMember::ConfigurationInForce(version) => {
                 parts::encode(&base::ToMember::InForce(*version))
             }
-            ToMember::EvacuationsInForce(revision) => with(&passed_over(), tag::OBEYS, revision),
-            ToMember::HasBlob(parcel) => parts::encode(&base::ToMember::Has(*parcel)),
-            ToMember::BlobFetchFailed(parcel) => parts::encode(&base::ToMember::Lacks(*parcel)),
+            ToMember::EvacuationsInForce(revision) => {
+                encode_with_part(&ignored_by_first_build(), tag::EVACUATIONS_IN_FORCE, revision)
+            }
+            ToMember::HasBlob(blob) => parts::encode(&base::ToMember::Has(*blob)),
+            ToMember::BlobFetchFailed(blob) => parts::encode(&base::ToMember::Lacks(*blob)),
             ToMember::Subscribe(subscription) => {
                 let Subscription {
-                    gateway,
-                    version,
-                    directory,
-                    data_hall,
-                    serves_blobs_at: passes_on_at,
-                    ..
+                    gateway, version, directory, data_hall, serves_blobs_at, ..
                 } = subscription.clone();
                 let message = base::ToMember::Subscribe(base::Subscription {
                     gateway,
                     version,
                     directory,
                     data_hall,
-                    passes_on_at,
+                    passes_on_at: serves_blobs_at,
                 });
-                let has = GatewayHas {
-                    knows: subscription.supported_level,
+                let fields = SubscriptionFields {
+                    supported_level: subscription.supported_level,
                     evacuations: subscription.evacuations,
                     rollouts: subscription.rollouts,
-                    looks: subscription.status_only,
+                    status_only: subscription.status_only,
                 };
-                with(&message, tag::SUBSCRIBES, &has)
+                encode_with_part(&message, tag::SUBSCRIPTION, &fields)
             }
         }
     }
@@ -134,47 +137,48 @@
     fn from_bytes(bytes: &[u8]) -> Result<Self, LinkError> {
         let (message, parts) = parts::decode::<base::ToMember<'static>>(bytes)?;
         Ok(match message {
-            base::ToMember::Agreement { from, messages } => agreement(from, messages, parts)?,
-            base::ToMember::Call { id, call } => ToMember::Call { id, call: call_of(call, parts)? },
+            base::ToMember::Agreement { from, messages } => decode_raft(from, messages, parts)?,
+            base::ToMember::Call { id, call } => {
+                ToMember::Call { id, call: decode_call(call, parts)? }
+            }
             base::ToMember::Presence(gateways) => ToMember::Presence(gateways.into_owned()),
             base::ToMember::MemberLoads { from, loads } => {
                 let loads = loads.into_owned();
-                let saw = parts.get::<MemberSaw<'static>>(tag::MEMBER_SAW)?;
-                let (evidence, keepers, tallies) =
-                    saw.map(|saw| (saw.evidence, saw.keepers, saw.tallies)).unwrap_or_default();
-                let (evidence, keepers) = (evidence.into_owned(), keepers.into_owned());
+                let report = parts.get::<MemberReport<'static>>(tag::MEMBER_REPORT)?;
+                let (evidence, prefix_holders, tallies) = report
+                    .map(|report| (report.evidence, report.prefix_holders, report.tallies))
+                    .unwrap_or_default();
+                let (evidence, prefix_holders) =
+                    (evidence.into_owned(), prefix_holders.into_owned());
                 let tallies = tallies.into_owned();
-                ToMember::MemberLoads { from, loads, evidence, prefix_holders: keepers, tallies }
+                ToMember::MemberLoads { from, loads, evidence, prefix_holders, tallies }
             }
             base::ToMember::Loads(loads) => {
                 let loads = loads.into_owned();
-                let saw = parts.get::<GatewaySaw<'static>>(tag::GATEWAY_SAW)?;
-                let (outcomes, keepers, tallies) =
-                    saw.map(|saw| (saw.outcomes, saw.keepers, saw.tallies)).unwrap_or_default();
-                let (outcomes, keepers) = (outcomes.into_owned(), keepers.into_owned());
-                ToMember::Loads {
-                    loads,
-                    outcomes,
-                    prefix_holders: keepers,
-                    tallies: tallies.into_owned(),
-                }
+                let report = parts.get::<GatewayReport<'static>>(tag::GATEWAY_REPORT)?;
+                let (outcomes, prefix_holders, tallies) = report
+                    .map(|report| (report.outcomes, report.prefix_holders, report.tallies))
+                    .unwrap_or_default();
+                let (outcomes, prefix_holders) =
+                    (outcomes.into_owned(), prefix_holders.into_owned());
+                ToMember::Loads { loads, outcomes, prefix_holders, tallies: tallies.into_owned() }
             }
             base::ToMember::InForce(version) => ToMember::ConfigurationInForce(version),
-            base::ToMember::Has(parcel) => ToMember::HasBlob(parcel),
-            base::ToMember::Lacks(parcel) => lacks(parcel, parts)?,
+            base::ToMember::Has(blob) => ToMember::HasBlob(blob),
+            base::ToMember::Lacks(blob) => decode_fetch_failed(blob, parts)?,
             base::ToMember::Subscribe(subscription) => {
-                ToMember::Subscribe(subscription_of(subscription, parts)?)
+                ToMember::Subscribe(decode_subscription(subscription, parts)?)
             }
         })
     }
 }
 
-/// A frame of a gateway that the first build passes over.
-fn passed_over() -> base::ToMember<'static> {
+/// A message that the first build ignores when a gateway sends it: no blob has this id.
+fn ignored_by_first_build() -> base::ToMember<'static> {
     base::ToMember::Lacks(ParcelId::NONE)
 }
 
-fn agreement(
+fn decode_raft(
     from: SocketAddr,
     messages: Cow<'static, [Envelope]>,
     parts: Parts<'_>,
@@ -182,35 +186,38 @@
     if let Some(reports) = parts.get(tag::POISON)? {
         return Ok(ToMember::MemberPoison { from, reports });
     }
-    let knows = parts.get(tag::KNOWS)?.unwrap_or_default();
-    Ok(ToMember::Raft { from, messages: messages.into_owned(), supported_level: knows })
+    let supported_level = parts.get(tag::SUPPORTED_LEVEL)?.unwrap_or_default();
+    Ok(ToMember::Raft { from, messages: messages.into_owned(), supported_level })
 }
 
-fn lacks(parcel: ParcelId, parts: Parts<'_>) -> Result<ToMember, LinkError> {
+fn decode_fetch_failed(blob: ParcelId, parts: Parts<'_>) -> Result<ToMember, LinkError> {
     if let Some(reports) = parts.get(tag::POISON)? {
         return Ok(ToMember::Poison(reports));
     }
-    let obeys = parts.get(tag::OBEYS)?.map(ToMember::EvacuationsInForce);
-    Ok(obeys.unwrap_or(ToMember::BlobFetchFailed(parcel)))
+    let in_force = parts.get(tag::EVACUATIONS_IN_FORCE)?.map(ToMember::EvacuationsInForce);
+    Ok(in_force.unwrap_or(ToMember::BlobFetchFailed(blob)))
 }
 
-fn subscription_of(base: base::Subscription, parts: Parts<'_>) -> Result<Subscription, LinkError> {
-    let has = parts.get::<GatewayHas>(tag::SUBSCRIBES)?;
+fn decode_subscription(
+    base: base::Subscription,
+    parts: Parts<'_>,
+) -> Result<Subscription, LinkError> {
+    let fields = parts.get::<SubscriptionFields>(tag::SUBSCRIPTION)?;
     let base::Subscription { gateway, version, directory, data_hall, passes_on_at } = base;
     Ok(Subscription {
         gateway,
-        supported_level: has.as_ref().map_or(Level::BASE, |has| has.knows),
+        supported_level: fields.as_ref().map_or(Level::BASE, |fields| fields.supported_level),
         version,
         directory,
-        evacuations: has.as_ref().and_then(|has| has.evacuations),
-        rollouts: has.as_ref().and_then(|has| has.rollouts),
+        evacuations: fields.as_ref().and_then(|fields| fields.evacuations),
+        rollouts: fields.as_ref().and_then(|fields| fields.rollouts),
         data_hall,
-        status_only: has.is_some_and(|has| has.looks),
+        status_only: fields.is_some_and(|fields| fields.status_only),
         serves_blobs_at: passes_on_at,
     })
 }
 
-fn call_bytes(id: u64, call: &Call) -> Result<Vec<u8>, LinkError> {
+fn encode_call(id: u64, call: &Call) -> Result<Vec<u8>, LinkError> {
     let frame = |call| base::ToMember::Call { id, call };
     match call {
         Call::Propose(command) => {
@@ -218,32 +225,32 @@
         }
         Call::ReadIndex => parts::encode(&frame(base::Call::ReadIndex)),
         Call::Announce(all) => {
-            // A leader of the first build takes one at a time; its answer tells that it took no more.
+            // A leader of the first build reads only the first; its reply shows that it handled no more.
             let first = all.first().ok_or(LinkError::Garbled)?.clone();
-            with(&frame(base::Call::Announce(first.into())), tag::ANNOUNCED, all)
+            encode_with_part(&frame(base::Call::Announce(first.into())), tag::ANNOUNCEMENTS, all)
         }
         Call::ReportHeartbeats(targets) => {
             parts::encode(&frame(base::Call::Heard(targets.clone())))
         }
-        Call::Join { store, addr, supported_level: knows } => {
+        Call::Join { store, addr, supported_level } => {
             let join = base::Call::Join { store: *store, addr: *addr };
-            with(&frame(join), tag::KNOWS, knows)
+            encode_with_part(&frame(join), tag::SUPPORTED_LEVEL, supported_level)
         }
     }
 }
 
-fn call_of(call: base::Call, parts: Parts<'_>) -> Result<Call, LinkError> {
+fn decode_call(call: base::Call, parts: Parts<'_>) -> Result<Call, LinkError> {
     Ok(match call {
         base::Call::Propose(command) => Call::Propose(command.into()),
         base::Call::ReadIndex => Call::ReadIndex,
         base::Call::Announce(first) => {
-            let all = parts.get::<Vec<Announcement>>(tag::ANNOUNCED)?;
+            let all = parts.get::<Vec<Announcement>>(tag::ANNOUNCEMENTS)?;
             Call::Announce(all.unwrap_or_else(|| vec![first.into()]))
         }
         base::Call::Heard(targets) => Call::ReportHeartbeats(targets),
         base::Call::Join { store, addr } => {
-            let knows = parts.get(tag::KNOWS)?.unwrap_or_default();
-            Call::Join { store, addr, supported_level: knows }
+            let supported_level = parts.get(tag::SUPPORTED_LEVEL)?.unwrap_or_default();
+            Call::Join { store, addr, supported_level }
         }
     })
 }
