--- a/src/group/batches.rs
+++ b/src/group/batches.rs
@@ -102,7 +102,7 @@
             }
             let Some(outcomes) = outcomes.filter(|outcomes| !outcomes.is_empty()) else {
                 for queued in remaining {
-                    // Fails if the target has disconnected.
+                    // Fails if the target has disconnected; nothing is lost then.
                     let _ = queued.answer.send(Err(Unavailable));
                 }
                 return;
@@ -117,7 +117,8 @@
     }
 }
 
-/// Outcomes of a batch's first announcements. A leader of the first build handles a single one.
+/// Outcomes of a batch's first announcements. A leader of the first build in production handles a single one and replies
+/// with [`Reply::Answer`] or [`Reply::Done`].
 fn outcomes(reply: Reply) -> Option<Vec<HeartbeatOutcome>> {
     match reply {
         Reply::Announced(outcomes) => Some(outcomes),
--- a/src/group/feed.rs
+++ b/src/group/feed.rs
@@ -25,10 +25,11 @@
     let gateway = subscription.gateway.clone();
     lock(&shared.presence).connect(&gateway);
     lock(&shared.behind).connect(&gateway, subscription.supported_level);
-    let configuration =
+    let propagation_id =
         lock(&shared.propagation).connect(shared.now(), &gateway, subscription.version);
     let evacuations = propagation_number(subscription.evacuations);
-    let orders = lock(&shared.orders_propagation).connect(shared.now(), &gateway, evacuations);
+    let orders_propagation_id =
+        lock(&shared.orders_propagation).connect(shared.now(), &gateway, evacuations);
     let (blob_reports, queued) = mpsc::channel(BLOB_REPORTS_LEN);
     let receiving = async {
         loop {
@@ -42,9 +43,11 @@
                 }
                 ToMember::Poison(reports) => shared.hear_poison_of(&gateway, reports)?,
                 ToMember::ConfigurationInForce(version) => {
-                    note_in_force(shared, configuration, version)
+                    note_in_force(shared, propagation_id, version)
+                }
+                ToMember::EvacuationsInForce(revision) => {
+                    shared.note_obeyed(orders_propagation_id, revision)
                 }
-                ToMember::EvacuationsInForce(revision) => shared.note_obeyed(orders, revision),
                 ToMember::HasBlob(blob) => {
                     report(&blob_reports, BlobReport::Received(blob)).await?
                 }
@@ -65,8 +68,8 @@
     lock(&shared.presence).disconnect(shared.run_clock.ran(), &gateway);
     lock(&shared.behind).disconnect(now, &gateway);
     lock(&shared.load_totals).forget_gateway(&gateway);
-    lock(&shared.propagation).disconnect(configuration);
-    lock(&shared.orders_propagation).disconnect(orders);
+    lock(&shared.propagation).disconnect(propagation_id);
+    lock(&shared.orders_propagation).disconnect(orders_propagation_id);
     shared.tell_obeyed_everywhere();
     log_propagated(shared);
     ended
--- a/src/group/update_sender.rs
+++ b/src/group/update_sender.rs
@@ -310,8 +310,8 @@
         Ok(())
     }
 
-    /// The fields that any update may carry: state of this member, orders that the gateway lacks, and loads with what
-    /// goes along with them, if due.
+    /// Builds an update without blobs: the state of this member, orders that the gateway lacks, and if they are due, the
+    /// loads and the fields that are sent with them.
     fn periodic_update(&mut self) -> Update {
         let now = self.shared.now();
         let gateways = self.shared.gateways_alive();
