--- a/src/parcel.rs
+++ b/src/blob.rs
@@ -8,7 +8,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_128;
 
-use crate::document::Packed;
+use crate::document::PackedDocument;
 use crate::group::listing::PackedDelta;
 use crate::link::LinkError;
 
@@ -18,46 +18,46 @@
 
 /// Name of a parcel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct ParcelId(u128);
+pub struct BlobId(u128);
 
-impl ParcelId {
+impl BlobId {
     /// The name of no parcel.
-    pub const NONE: ParcelId = ParcelId(0);
+    pub const NONE: BlobId = BlobId(0);
 }
 
 /// What is in a parcel.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Content {
     /// A configuration.
-    Document(Packed),
+    Document(PackedDocument),
     /// A change of targets, or all of them.
     Targets(PackedDelta),
 }
 
 /// A piece of news as it travels.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Parcel {
-    id: ParcelId,
+pub struct Blob {
+    id: BlobId,
     bytes: Bytes,
 }
 
-impl Parcel {
+impl Blob {
     /// Packs the content.
     ///
     /// # Errors
     /// [`LinkError::Garbled`] when it can't be encoded.
     pub fn pack(content: &Content) -> Result<Self, LinkError> {
         let bytes = postcard::to_stdvec(content).map_err(|_| LinkError::Garbled)?;
-        Ok(Parcel::of(bytes.into()))
+        Ok(Blob::new(bytes.into()))
     }
 
     /// The parcel that these bytes are.
-    pub fn of(bytes: Bytes) -> Self {
-        Parcel { id: ParcelId(xxh3_128(&bytes)), bytes }
+    pub fn new(bytes: Bytes) -> Self {
+        Blob { id: BlobId(xxh3_128(&bytes)), bytes }
     }
 
     /// Its name.
-    pub fn id(&self) -> ParcelId {
+    pub fn id(&self) -> BlobId {
         self.id
     }
 
@@ -75,7 +75,7 @@
     ///
     /// # Errors
     /// [`LinkError::Garbled`] when it can't be decoded.
-    pub fn open(&self) -> Result<Content, LinkError> {
+    pub fn unpack(&self) -> Result<Content, LinkError> {
         postcard::from_bytes(&self.bytes).map_err(|_| LinkError::Garbled)
     }
 }
--- a/src/compat/base.rs
+++ b/src/compat/base.rs
@@ -7,10 +7,10 @@
 use serde::{Deserialize, Serialize};
 
 use super::command::Encoded;
+use crate::blob::BlobId;
 use crate::directory::{self, Born, Incarnation, TargetState};
 use crate::group::loads::Loads;
 use crate::group::message::Elsewhere;
-use crate::parcel::ParcelId;
 use crate::raft::{Envelope, Index, StoreId};
 use crate::store::{Answer, Revision};
 
@@ -159,9 +159,9 @@
     /// Version of the configuration that a gateway works by.
     InForce(u64),
     /// A gateway has a parcel.
-    Has(ParcelId),
+    Has(BlobId),
     /// A gateway could not fetch a parcel.
-    Lacks(ParcelId),
+    Lacks(BlobId),
     /// A gateway wants to be told of changes.
     Subscribe(Subscription),
 }
--- a/src/compat/command.rs
+++ b/src/compat/command.rs
@@ -5,7 +5,7 @@
 use super::base;
 use crate::claims::{Claim, Release};
 use crate::directory::Incarnation;
-use crate::document::Packed;
+use crate::document::PackedDocument;
 use crate::evacuations::{EvacuationOrder, WarmAgain};
 use crate::level::Level;
 use crate::rollout::{RolloutOrder, RolloutStep};
@@ -25,7 +25,7 @@
     /// See [`Command::Release`].
     Release(Release),
     /// See [`Command::Configure`].
-    Configure(Packed),
+    Configure(PackedDocument),
     /// One target, known by its identity, announces something new.
     Announce {
         /// What it says.
--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -36,7 +36,7 @@
 
 /// A service with its part of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Weighted {
+pub struct WeightedService {
     /// The service.
     pub service: String,
     /// Its part, against the sum of all weights of the route.
@@ -67,7 +67,7 @@
     #[serde(default)]
     pub priority: u32,
     /// Services, with weights that add up to more than 0.
-    pub services: Vec<Weighted>,
+    pub services: Vec<WeightedService>,
     /// Most targets that a request is sent to.
     pub max_attempts: u32,
     /// Regions whose targets may get its requests; any without one.
--- a/src/document.rs
+++ b/src/document.rs
@@ -26,7 +26,7 @@
 
 /// A document packed for the way.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Packed {
+pub struct PackedDocument {
     /// Version of the document.
     pub version: u64,
     /// Version that the receiver must hold, if this is a difference.
@@ -59,7 +59,7 @@
     ///
     /// # Errors
     /// [`PackError::TooLarge`].
-    pub fn pack(&self, base: Option<&Document>) -> Result<Packed, PackError> {
+    pub fn pack(&self, base: Option<&Document>) -> Result<PackedDocument, PackError> {
         if self.bytes.len() > MAX_DOCUMENT_BYTES {
             return Err(PackError::TooLarge);
         }
@@ -69,7 +69,7 @@
             build_on(&mut compressor, known, self.bytes.len()).map_err(|_| PackError::Damaged)?;
         }
         let packed = compressor.compress(&self.bytes).map_err(|_| PackError::Damaged)?;
-        Ok(Packed {
+        Ok(PackedDocument {
             version: self.version,
             base: base.map(|base| base.version),
             len: self.bytes.len() as u32,
@@ -90,7 +90,7 @@
     taken.map(|_| ()).map_err(|code| io::Error::other(zstd::zstd_safe::get_error_name(code)))
 }
 
-impl Packed {
+impl PackedDocument {
     /// Unpacks the document, given the one that the receiver holds.
     ///
     /// # Errors
--- a/src/gateway/shelf.rs
+++ b/src/gateway/blob_cache.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::parcel::{Parcel, ParcelId};
+use crate::blob::{Blob, BlobId};
 
 /// Parcels kept: the members name them to others for some seconds.
 const KEPT: usize = 8;
@@ -11,11 +11,11 @@
 
 /// Parcels, the newest last.
 #[derive(Debug, Default)]
-pub struct Shelf(VecDeque<Parcel>);
+pub struct BlobCache(VecDeque<Blob>);
 
-impl Shelf {
+impl BlobCache {
     /// Keeps a parcel, and drops the oldest beyond what is kept.
-    pub fn keep(&mut self, parcel: Parcel) {
+    pub fn keep(&mut self, parcel: Blob) {
         self.0.retain(|kept| kept.id() != parcel.id());
         self.0.push_back(parcel);
         while self.0.len() > KEPT || (self.0.len() > 1 && self.bytes() > KEPT_BYTES) {
@@ -24,7 +24,7 @@
     }
 
     /// A parcel that is kept.
-    pub fn get(&self, id: ParcelId) -> Option<&Parcel> {
+    pub fn get(&self, id: BlobId) -> Option<&Blob> {
         self.0.iter().find(|kept| kept.id() == id)
     }
 
--- a/src/gateway/bootstrap.rs
+++ b/src/gateway/bootstrap.rs
@@ -12,12 +12,14 @@
 
 use crate::clock::Instant;
 use crate::group::message::{FromMember, Subscription, ToMember, Update};
-use crate::link::{FrameReceiver, FrameSender, LinkError, LinkTiming, dial};
+use crate::link::{FrameReceiver, FrameSender, LinkError, LinkTimeouts, dial};
 
 /// How fast connections give up: a member that is dark now may answer in a moment, and an opening packet
 /// that was lost is sent again only after a second. A round trip takes some milliseconds.
-const TIMING: LinkTiming =
-    LinkTiming { connect: Duration::from_millis(50), unacknowledged: Duration::from_millis(1_000) };
+const TIMING: LinkTimeouts = LinkTimeouts {
+    connect: Duration::from_millis(50),
+    unacknowledged: Duration::from_millis(1_000),
+};
 /// Pause after a member could not be reached.
 const PAUSE: Duration = Duration::from_millis(10);
 /// Lead of each member over the next in the order: where the first answers at once, no other has to
@@ -136,7 +138,7 @@
     source: Option<IpAddr>,
     member: SocketAddr,
     subscription: &Subscription,
-    timing: LinkTiming,
+    timing: LinkTimeouts,
 ) -> Result<(FrameSender, FrameReceiver), LinkError> {
     let (mut sender, receiver) = dial(source, member, timing).await?;
     sender.send(&ToMember::Subscribe(subscription.clone())).await?;
--- a/src/gateway/choice.rs
+++ b/src/gateway/choice.rs
@@ -11,8 +11,8 @@
 use super::balance::{Affinity, Candidate, Wish, choose, expected_keeper};
 use super::exchange::Plan;
 use super::mechanism::Mechanism;
+use super::prefix_source::PrefixSearch;
 use super::reason::Refusal;
-use super::source::Search;
 use super::target::Target;
 use super::targets::Targets;
 use super::versions::{Group, Versions};
@@ -81,8 +81,8 @@
             let known = &known;
             let (targets, candidates) = (&targets, &candidates);
             let search =
-                Search { now, known, of_service, targets, candidates, chosen: at, affinity };
-            Some(self.source(&search)?.announcement.addr)
+                PrefixSearch { now, known, of_service, targets, candidates, chosen: at, affinity };
+            Some(self.prefix_source(&search)?.announcement.addr)
         });
         let all_homes = of_service.iter().map(|target| target.home());
         let expected = affinity
@@ -234,7 +234,7 @@
             let now = self.now();
             let mut warmth = target.warmth();
             if warmth.cold(now, limit.cold_start) {
-                self.metrics.asked_cold(&target.announcement.service);
+                self.metrics.cold_attempt(&target.announcement.service);
                 warmth.note_asked(now, limit.gap);
             }
         }
@@ -250,7 +250,7 @@
 
     /// Most that bodies of requests from this gateway have together at a target, in bytes.
     fn bodies_at_target(&self) -> usize {
-        self.settings.bodies_at_target(self.gateways())
+        self.settings.max_target_body_bytes(self.gateways())
     }
 
     fn load_bound(&self) -> f64 {
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -16,7 +16,7 @@
 use super::reuse::Reuse;
 use super::target::Target;
 use crate::clock::Instant;
-use crate::link::{connect_from, give_up_after};
+use crate::link::{connect_from, set_tcp_timeouts};
 use crate::sync::lock;
 
 /// How long a target is taken to keep an idle connection when it does not say.
@@ -177,7 +177,7 @@
         ErrorKind::ConnectionRefused => ConnectError::Refused,
         _ => ConnectError::Broke,
     })?;
-    give_up_after(&stream, limits.unacknowledged).map_err(|_| ConnectError::Broke)?;
+    set_tcp_timeouts(&stream, limits.unacknowledged).map_err(|_| ConnectError::Broke)?;
     let (sender, driver) =
         handshake(TokioIo::new(stream)).await.map_err(|_| ConnectError::Broke)?;
     tokio::spawn(driver);
--- a/src/gateway/evidence.rs
+++ b/src/gateway/evidence.rs
@@ -115,7 +115,7 @@
     fn leave_together(&self, now: Duration, target: &Target, evidence: &Evidence) {
         let spread = spread(self.gateways());
         if target.health().leave_together(now, evidence, spread, rand::random()) {
-            self.metrics.left_together(&target.announcement.service);
+            self.metrics.ejected_by_fleet(&target.announcement.service);
             info!(self.log, "target left by all"; "event" => "target_left_by_all",
                 "target" => &target.announcement.id, "service" => &target.announcement.service,
                 "evidence" => ?evidence);
--- a/src/gateway/first_news.rs
+++ b/src/gateway/first_update.rs
@@ -40,7 +40,7 @@
         let first = tables.wait_for(Option::is_some);
         let first = tokio::time::timeout(longest, first).await;
         let table = first.ok().and_then(|told| told.ok()?.clone());
-        self.metrics.waited_for_first_news(table.is_some());
+        self.metrics.waited_for_first_update(table.is_some());
         table
     }
 }
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -17,7 +17,7 @@
 use super::trace::{self, ClientCut};
 use super::{Gateway, Stage, exchange};
 use crate::configuration::ClientLimits;
-use crate::link::give_up_after;
+use crate::link::set_tcp_timeouts;
 use crate::small_server;
 
 /// Pause after a listener fails, for example without descriptors.
@@ -59,7 +59,7 @@
 }
 
 async fn serve_client(gateway: Arc<Gateway>, stream: TcpStream) {
-    let _ = give_up_after(&stream, CLIENT_SILENCE);
+    let _ = set_tcp_timeouts(&stream, CLIENT_SILENCE);
     // Where the system has no such option, reading shows later.
     let _ = SockRef::from(&stream).set_tcp_notsent_lowat(MOST_UNSENT_BYTES);
     let limits = gateway.table().map_or_else(ClientLimits::default, |table| table.limits());
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -16,10 +16,10 @@
     requests: IntCounterVec,
     answers: IntCounterVec,
     refused: IntCounterVec,
-    first_news_waits: IntCounterVec,
+    first_update_waits: IntCounterVec,
     attempts_failed: IntCounterVec,
-    cut: IntCounterVec,
-    inquests: IntCounterVec,
+    streams_cut: IntCounterVec,
+    probes: IntCounterVec,
     poison_cleared: IntCounter,
     /// Requests under which targets ended, forgotten for want of room.
     pub(super) poison_dropped: IntCounter,
@@ -27,27 +27,27 @@
     pub(super) poison_known: IntGauge,
     /// Requests that are sent nowhere.
     pub(super) poison_blocked: IntGauge,
-    resumed: IntCounter,
-    left: IntCounter,
+    streams_resumed: IntCounter,
+    clients_disconnected: IntCounter,
     clients_cut: IntCounterVec,
     /// Bytes held for clients.
-    pub(super) held: IntGauge,
-    first: HistogramVec,
-    whole: HistogramVec,
-    connect: HistogramVec,
+    pub(super) held_bytes: IntGauge,
+    answer_seconds: HistogramVec,
+    whole_answer_seconds: HistogramVec,
+    connect_seconds: HistogramVec,
     attempts: IntCounterVec,
-    spent: IntCounterVec,
-    withheld: IntCounterVec,
-    asked_cold: IntCounterVec,
-    said_leaving: IntCounterVec,
-    asked_for_rest: IntCounterVec,
+    retries: IntCounterVec,
+    retries_withheld: IntCounterVec,
+    cold_attempts: IntCounterVec,
+    draining_answers: IntCounterVec,
+    backoffs: IntCounterVec,
     unread_headers: IntCounterVec,
-    left_together: IntCounterVec,
-    parcels_asked: IntCounterVec,
-    parcels_fetched: IntCounterVec,
-    members_left: IntCounterVec,
+    fleet_ejections: IntCounterVec,
+    blob_requests: IntCounterVec,
+    blob_fetches: IntCounterVec,
+    member_disconnects: IntCounterVec,
     /// Time since the last news of a leader, in seconds.
-    pub(super) news_age: Gauge,
+    pub(super) update_age: Gauge,
     /// Time in which this process stood still, in seconds.
     pub(super) paused: Gauge,
     /// Revision of the directory.
@@ -55,7 +55,7 @@
     /// Version of the configuration in force.
     pub(super) version: IntGauge,
     /// Newest version that a member told of.
-    pub(super) version_told: IntGauge,
+    pub(super) version_announced: IntGauge,
     /// How late configurations came into force here, at most.
     pub(super) in_force: Histogram,
     /// Targets known.
@@ -84,7 +84,7 @@
                 "Requests refused or given up on.",
                 &["reason"],
             )?,
-            first_news_waits: set.counters(
+            first_update_waits: set.counters(
                 "latchmount_gateway_first_news_waits_total",
                 "Requests that waited for the first configuration, by whether it came in time.",
                 &["came"],
@@ -94,7 +94,7 @@
                 "Attempts at a target that gave no whole answer.",
                 &["reason"],
             )?,
-            cut: set.counters(
+            streams_cut: set.counters(
                 "latchmount_gateway_streams_cut_total",
                 "Streams cut after they had begun.",
                 &["reason"],
@@ -115,16 +115,16 @@
                 "latchmount_gateway_poison_blocked",
                 "Requests of these that are sent nowhere.",
             )?,
-            inquests: set.counters(
+            probes: set.counters(
                 "latchmount_gateway_inquests_total",
                 "Looks at targets whose answer broke off, by what was found.",
                 &["service", "found"],
             )?,
-            resumed: set.counter(
+            streams_resumed: set.counter(
                 "latchmount_gateway_streams_resumed_total",
                 "Streams that went on at another target.",
             )?,
-            left: set.counter(
+            clients_disconnected: set.counter(
                 "latchmount_gateway_clients_left_total",
                 "Clients that left before their final answer.",
             )?,
@@ -133,23 +133,23 @@
                 "Connections of clients that sent or read slowly and were cut, by why.",
                 &["why"],
             )?,
-            held: set.gauge(
+            held_bytes: set.gauge(
                 "latchmount_gateway_held_bytes",
                 "Bytes of requests and answers that are held for clients.",
             )?,
-            first: set.histograms(
+            answer_seconds: set.histograms(
                 "latchmount_gateway_answer_seconds",
                 "Time from a request's head to its answer, for streams to the first event.",
                 &SECONDS,
                 &["service"],
             )?,
-            whole: set.histograms(
+            whole_answer_seconds: set.histograms(
                 "latchmount_gateway_whole_answer_seconds",
                 "Time from a request's head to the end of its answer.",
                 &SECONDS,
                 &["service"],
             )?,
-            connect: set.histograms(
+            connect_seconds: set.histograms(
                 "latchmount_gateway_connect_seconds",
                 "Time to open a connection to a target, or to fail to.",
                 &SHORT_SECONDS,
@@ -160,27 +160,27 @@
                 "Attempts at targets, by how they ended.",
                 &["service", "outcome"],
             )?,
-            spent: set.counters(
+            retries: set.counters(
                 "latchmount_gateway_retries_total",
                 "Further attempts that the budget allowed.",
                 &["service"],
             )?,
-            withheld: set.counters(
+            retries_withheld: set.counters(
                 "latchmount_gateway_retries_withheld_total",
                 "Further attempts that the budget did not allow.",
                 &["service"],
             )?,
-            asked_cold: set.counters(
+            cold_attempts: set.counters(
                 "latchmount_gateway_cold_attempts_total",
                 "Attempts at targets that are slow after a start, or may be.",
                 &["service"],
             )?,
-            said_leaving: set.counters(
+            draining_answers: set.counters(
                 "latchmount_gateway_answers_of_leaving_targets_total",
                 "Answers that say that their target is about to leave.",
                 &["service"],
             )?,
-            asked_for_rest: set.counters(
+            backoffs: set.counters(
                 "latchmount_gateway_rests_asked_total",
                 "Answers of targets that turned a request away and want nothing more for a while.",
                 &["service"],
@@ -190,27 +190,27 @@
                 "Headers of targets' answers that are the dialect's own and that nothing reads, by name.",
                 &["name"],
             )?,
-            left_together: set.counters(
+            fleet_ejections: set.counters(
                 "latchmount_gateway_targets_left_together_total",
                 "Times that a target was left because of what all gateways saw.",
                 &["service"],
             )?,
-            parcels_asked: set.counters(
+            blob_requests: set.counters(
                 "latchmount_gateway_parcels_asked_total",
                 "Parcels of news that other gateways asked this one for, by whether it had them.",
                 &["had"],
             )?,
-            parcels_fetched: set.counters(
+            blob_fetches: set.counters(
                 "latchmount_gateway_parcels_fetched_total",
                 "Parcels of news that members named, by whether another gateway passed them on.",
                 &["outcome"],
             )?,
-            members_left: set.counters(
+            member_disconnects: set.counters(
                 "latchmount_gateway_members_left_total",
                 "Members that were followed no longer, by why.",
                 &["reason"],
             )?,
-            news_age: set.fraction(
+            update_age: set.fraction(
                 "latchmount_gateway_news_age_seconds",
                 "Time since a member that hears a leader was last heard; -1 before.",
             )?,
@@ -226,7 +226,7 @@
                 "latchmount_gateway_configuration_version",
                 "Version of the configuration in force.",
             )?,
-            version_told: set.gauge(
+            version_announced: set.gauge(
                 "latchmount_gateway_configuration_told",
                 "Newest version of a configuration that a member told of.",
             )?,
@@ -247,19 +247,19 @@
     }
 
     /// Another gateway asked for a parcel.
-    pub(super) fn asked_for_parcel(&self, had: bool) {
-        self.parcels_asked.with_label_values(&[if had { "yes" } else { "no" }]).inc();
+    pub(super) fn blob_requested(&self, had: bool) {
+        self.blob_requests.with_label_values(&[if had { "yes" } else { "no" }]).inc();
     }
 
     /// A parcel was fetched from another gateway, or could not be.
-    pub(super) fn fetched_parcel(&self, error: Option<&LinkError>) {
+    pub(super) fn blob_fetched(&self, error: Option<&LinkError>) {
         let outcome = error.map_or("fetched", LinkError::label);
-        self.parcels_fetched.with_label_values(&[outcome]).inc();
+        self.blob_fetches.with_label_values(&[outcome]).inc();
     }
 
     /// A member is followed no longer.
-    pub(super) fn left_member(&self, reason: &str) {
-        self.members_left.with_label_values(&[reason]).inc();
+    pub(super) fn member_disconnected(&self, reason: &str) {
+        self.member_disconnects.with_label_values(&[reason]).inc();
     }
 
     pub(super) fn requested(&self, service: &str) {
@@ -275,24 +275,24 @@
     }
 
     /// A request waited for the first configuration, which came in time or did not.
-    pub(super) fn waited_for_first_news(&self, came: bool) {
-        self.first_news_waits.with_label_values(&[if came { "yes" } else { "no" }]).inc();
+    pub(super) fn waited_for_first_update(&self, came: bool) {
+        self.first_update_waits.with_label_values(&[if came { "yes" } else { "no" }]).inc();
     }
 
     pub(super) fn attempt_failed(&self, refusal: Refusal) {
         self.attempts_failed.with_label_values(&[refusal.code()]).inc();
     }
 
-    pub(super) fn cut(&self, refusal: Refusal) {
-        self.cut.with_label_values(&[refusal.code()]).inc();
+    pub(super) fn stream_cut(&self, refusal: Refusal) {
+        self.streams_cut.with_label_values(&[refusal.code()]).inc();
     }
 
-    pub(super) fn resumed(&self) {
-        self.resumed.inc();
+    pub(super) fn stream_resumed(&self) {
+        self.streams_resumed.inc();
     }
 
-    pub(super) fn left(&self) {
-        self.left.inc();
+    pub(super) fn client_disconnected(&self) {
+        self.clients_disconnected.inc();
     }
 
     /// The connection of a slow client was cut.
@@ -301,23 +301,23 @@
     }
 
     /// An attempt ended; `outcome` is a status or a reason.
-    pub(super) fn attempted(&self, service: &str, outcome: &str) {
+    pub(super) fn attempt_ended(&self, service: &str, outcome: &str) {
         self.attempts.with_label_values(&[service, outcome]).inc();
     }
 
     /// A request goes to a target that is slow after a start, or may be.
-    pub(super) fn asked_cold(&self, service: &str) {
-        self.asked_cold.with_label_values(&[service]).inc();
+    pub(super) fn cold_attempt(&self, service: &str) {
+        self.cold_attempts.with_label_values(&[service]).inc();
     }
 
     /// An answer says that its target is about to leave.
-    pub(super) fn said_leaving(&self, service: &str) {
-        self.said_leaving.with_label_values(&[service]).inc();
+    pub(super) fn draining_announced(&self, service: &str) {
+        self.draining_answers.with_label_values(&[service]).inc();
     }
 
     /// A target that turned a request away wants nothing more for a while.
-    pub(super) fn asked_for_rest(&self, service: &str) {
-        self.asked_for_rest.with_label_values(&[service]).inc();
+    pub(super) fn backoff_requested(&self, service: &str) {
+        self.backoffs.with_label_values(&[service]).inc();
     }
 
     /// A header of an answer that nothing reads.
@@ -326,8 +326,8 @@
     }
 
     /// A target was left because of what all gateways saw.
-    pub(super) fn left_together(&self, service: &str) {
-        self.left_together.with_label_values(&[service]).inc();
+    pub(super) fn ejected_by_fleet(&self, service: &str) {
+        self.fleet_ejections.with_label_values(&[service]).inc();
     }
 
     /// A connection was opened, or could not be.
@@ -341,7 +341,7 @@
             Err(ConnectError::NotWanted) => "not_wanted",
             Err(ConnectError::TooLate) => "too_late",
         };
-        self.connect.with_label_values(&[outcome]).observe(time.as_secs_f64());
+        self.connect_seconds.with_label_values(&[outcome]).observe(time.as_secs_f64());
     }
 
     /// A request under which a target ended has ended well.
@@ -350,28 +350,28 @@
     }
 
     /// A target whose answer broke off was looked at.
-    pub(super) fn inquired(&self, service: &str, found: Found) {
+    pub(super) fn target_probed(&self, service: &str, found: Found) {
         let found = match found {
             Found::Ended => "ended",
             Found::Lives => "lives",
             Found::Unknown => "unknown",
         };
-        self.inquests.with_label_values(&[service, found]).inc();
+        self.probes.with_label_values(&[service, found]).inc();
     }
 
     /// The budget allowed a further attempt, or did not.
     pub(super) fn retried(&self, service: &str, allowed: bool) {
-        let counter = if allowed { &self.spent } else { &self.withheld };
+        let counter = if allowed { &self.retries } else { &self.retries_withheld };
         counter.with_label_values(&[service]).inc();
     }
 
     /// The end of an answer went out.
-    pub(super) fn ended(&self, service: &str, time: Duration) {
-        self.whole.with_label_values(&[service]).observe(time.as_secs_f64());
+    pub(super) fn answer_ended(&self, service: &str, time: Duration) {
+        self.whole_answer_seconds.with_label_values(&[service]).observe(time.as_secs_f64());
     }
 
-    pub(super) fn took(&self, service: &str, time: Duration) {
-        self.first.with_label_values(&[service]).observe(time.as_secs_f64());
+    pub(super) fn answer_started(&self, service: &str, time: Duration) {
+        self.answer_seconds.with_label_values(&[service]).observe(time.as_secs_f64());
     }
 
     /// The text for a scrape.
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -6,6 +6,7 @@
 mod answer;
 mod attempt;
 pub mod balance;
+pub mod blob_cache;
 mod bootstrap;
 pub mod budget;
 mod choice;
@@ -16,8 +17,7 @@
 pub mod evidence;
 mod exchange;
 mod failback;
-mod feed;
-pub mod first_news;
+pub mod first_update;
 pub mod fleet_size;
 pub mod health;
 mod held;
@@ -27,14 +27,14 @@
 mod listener;
 pub mod mechanism;
 mod metrics;
-mod neighbours;
-mod news;
 mod opening;
 pub mod order;
 mod outflow;
 pub mod outgoing;
 pub mod patience;
+mod peers;
 mod poison;
+mod prefix_source;
 mod probe;
 pub mod reason;
 mod relay;
@@ -43,13 +43,13 @@
 pub mod reuse;
 mod running;
 pub mod settings;
-pub mod shelf;
-mod source;
 pub mod strain;
+mod subscriber;
 mod target;
 mod targets;
 mod trace;
 pub mod unread;
+mod update_receiver;
 pub mod versions;
 
 use std::collections::HashMap;
@@ -62,6 +62,7 @@
 use slog::{Logger, info};
 use tokio::sync::{Notify, watch};
 
+use self::blob_cache::BlobCache;
 use self::budget::ServiceBudget;
 use self::cold::ColdRule;
 use self::connection::ConnectionLimits;
@@ -74,7 +75,6 @@
 use self::metrics::GatewayMetrics;
 pub use self::running::RunningGateway;
 use self::settings::{GatewaySettings, OnStale};
-use self::shelf::Shelf;
 use self::target::Target;
 use self::targets::Targets;
 use self::unread::UnreadNames;
@@ -111,7 +111,7 @@
     /// When a member that hears a leader was last heard.
     fresh_at: Mutex<Option<Instant>>,
     /// Large parcels of news, for other gateways.
-    shelf: Mutex<Shelf>,
+    shelf: Mutex<BlobCache>,
     /// Where other gateways fetch them, if they can.
     passes_on_at: Option<SocketAddr>,
     budgets: Mutex<HashMap<String, ServiceBudget>>,
@@ -283,11 +283,11 @@
     /// The text for a scrape.
     fn render_metrics(&self) -> Vec<u8> {
         let age = lock(&self.fresh_at).map_or(-1.0, |at| at.elapsed().as_secs_f64());
-        self.metrics.news_age.set(age);
+        self.metrics.update_age.set(age);
         self.metrics.paused.set(self.run_clock.paused().as_secs_f64());
         self.metrics.revision.set(read(&self.targets).revision() as i64);
         let (known, blocked) = self.count_poison();
-        self.metrics.held.set(self.holdings.held() as i64);
+        self.metrics.held_bytes.set(self.holdings.held() as i64);
         self.metrics.poison_known.set(known as i64);
         self.metrics.poison_blocked.set(blocked as i64);
         self.metrics.render()
--- a/src/gateway/outflow.rs
+++ b/src/gateway/outflow.rs
@@ -134,7 +134,7 @@
                     Err(back) => piece = back,
                 }
             }
-            if clock.ran() >= read_at + longest || clock.past(self.deadline) {
+            if clock.ran() >= read_at + longest || clock.is_past(self.deadline) {
                 trace::client_cut(&self.gateway, self.holder.unread(), ClientCut::Unread);
                 source.cut(Refusal::AnswerLate);
                 return false;
@@ -151,6 +151,6 @@
     /// Whether the client's buffer has room; a piece that is larger than all of it goes alone.
     fn fits(&self, piece: &Bytes) -> bool {
         let unread = self.holder.unread();
-        unread == 0 || unread + piece.len() <= self.gateway.settings.client_buffer()
+        unread == 0 || unread + piece.len() <= self.gateway.settings.client_buffer_bytes()
     }
 }
--- a/src/gateway/neighbours.rs
+++ b/src/gateway/peers.rs
@@ -9,13 +9,13 @@
 use tokio::time::Instant;
 
 use super::Gateway;
+use crate::blob::{Blob, BlobId};
 use crate::group::message::{FromNeighbour, ToNeighbour};
-use crate::link::{FrameReceiver, LinkError, LinkTiming, dial, frames};
-use crate::parcel::{Parcel, ParcelId};
+use crate::link::{FrameReceiver, LinkError, LinkTimeouts, dial, framed};
 use crate::sync::lock;
 
 /// How fast connections between gateways give up: the member is asked then.
-const TIMING: LinkTiming = LinkTiming {
+const TIMING: LinkTimeouts = LinkTimeouts {
     connect: Duration::from_millis(150),
     unacknowledged: Duration::from_millis(1_000),
 };
@@ -49,10 +49,10 @@
 }
 
 async fn answer(gateway: &Gateway, stream: TcpStream) -> Result<(), LinkError> {
-    let (mut sender, mut receiver) = frames(stream, TIMING)?;
+    let (mut sender, mut receiver) = framed(stream, TIMING)?;
     let ToNeighbour::Fetch(id) = receiver.receive().await?;
     let kept = lock(&gateway.shelf).get(id).map(|parcel| parcel.bytes().clone());
-    gateway.metrics.asked_for_parcel(kept.is_some());
+    gateway.metrics.blob_requested(kept.is_some());
     sender.send(&kept.map_or(FromNeighbour::Unknown, FromNeighbour::Parcel)).await?;
     // Closed by the other side, once it has all.
     receiver.receive::<ToNeighbour>().await.map(|_| ())
@@ -65,14 +65,14 @@
 pub(super) async fn fetch(
     source: Option<IpAddr>,
     from: SocketAddr,
-    id: ParcelId,
-) -> Result<Parcel, LinkError> {
+    id: BlobId,
+) -> Result<Blob, LinkError> {
     let (mut sender, mut receiver) = dial(source, from, TIMING).await?;
     sender.send(&ToNeighbour::Fetch(id)).await?;
     let FromNeighbour::Parcel(bytes) = receive(&mut receiver).await? else {
         return Err(LinkError::Closed);
     };
-    let parcel = Parcel::of(bytes);
+    let parcel = Blob::new(bytes);
     if parcel.id() == id { Ok(parcel) } else { Err(LinkError::Garbled) }
 }
 
@@ -83,7 +83,7 @@
         tokio::select! {
             received = receiver.receive() => return received,
             () = tokio::time::sleep_until(silent_at) => {
-                silent_at = Instant::from(receiver.heard_at() + SILENCE);
+                silent_at = Instant::from(receiver.last_read_at() + SILENCE);
                 if silent_at <= Instant::now() {
                     return Err(LinkError::Timeout);
                 }
--- a/src/gateway/source.rs
+++ b/src/gateway/prefix_source.rs
@@ -18,7 +18,7 @@
 const RETURNED_FOR: Duration = Duration::from_secs(20);
 
 /// What a search for a source goes by.
-pub(super) struct Search<'a> {
+pub(super) struct PrefixSearch<'a> {
     pub(super) now: Duration,
     pub(super) known: &'a Targets,
     /// All targets of the service.
@@ -45,7 +45,7 @@
 
 impl Gateway {
     /// The target to fetch from, if any is worth naming.
-    pub(super) fn source<'a>(&self, search: &Search<'a>) -> Option<&'a Arc<Target>> {
+    pub(super) fn prefix_source<'a>(&self, search: &PrefixSearch<'a>) -> Option<&'a Arc<Target>> {
         match self.told_keeper(search) {
             Told::Chosen => None,
             Told::Other(keeper) => Some(keeper),
@@ -57,7 +57,7 @@
     }
 
     /// Of the keepers that gateways told of the newest, one in the data hall of the chosen target first.
-    fn told_keeper<'a>(&self, search: &Search<'a>) -> Told<'a> {
+    fn told_keeper<'a>(&self, search: &PrefixSearch<'a>) -> Told<'a> {
         if !self.uses(Mechanism::Keepers) {
             return Told::Nothing;
         }
@@ -78,7 +78,7 @@
     }
 
     /// The prompt's home, if that keeps it and is sent nothing: it stands in an evacuated hall, rests, or turns requests away.
-    fn home_away<'a>(&self, search: &Search<'a>) -> Option<&'a Arc<Target>> {
+    fn home_away<'a>(&self, search: &PrefixSearch<'a>) -> Option<&'a Arc<Target>> {
         let homes = self.uses(Mechanism::Homes);
         let keeps = |target: &&Arc<Target>| match target.standing(search.now) {
             Standing::Evacuated | Standing::Resting { .. } => true,
@@ -106,7 +106,7 @@
     }
 }
 
-impl<'a> Search<'a> {
+impl<'a> PrefixSearch<'a> {
     fn chosen(&self) -> &'a Arc<Target> {
         self.targets[self.chosen]
     }
--- a/src/gateway/probe.rs
+++ b/src/gateway/probe.rs
@@ -38,7 +38,7 @@
         let began = Instant::now();
         tokio::spawn(async move {
             let found = look_at(&target, gateway.connection_limits(&service)).await;
-            gateway.metrics.inquired(&service, found);
+            gateway.metrics.target_probed(&service, found);
             gateway.note_met(&target, found);
             if found == Found::Lives
                 && let Some(subject) = counted_under
--- a/src/gateway/running.rs
+++ b/src/gateway/running.rs
@@ -14,7 +14,7 @@
 use super::metrics::GatewayMetrics;
 use super::opening::Reserved;
 use super::settings::GatewaySettings;
-use super::{Gateway, Stage, feed, listener, neighbours};
+use super::{Gateway, Stage, listener, peers, subscriber};
 use crate::clock::Instant;
 use crate::dialect::SharedDialect;
 use crate::poison::{Board, Reporter, Rule};
@@ -36,7 +36,7 @@
 /// Listens for other gateways, unless that is left out. One that can't, for example because a member on
 /// the same host has the port, gets all its news from members.
 async fn listen_for_neighbours(settings: &GatewaySettings, log: &Logger) -> Option<TcpListener> {
-    let addr = settings.neighbour_listen().filter(|_| settings.uses(Mechanism::PassOn))?;
+    let addr = settings.peer_listen().filter(|_| settings.uses(Mechanism::PassOn))?;
     match listen_on(addr).await {
         Ok(listener) => Some(listener),
         Err(error) => {
@@ -92,7 +92,7 @@
         let reporter = Reporter::of(&settings.host);
         let gateway = Arc::new(Gateway {
             seeds: Mutex::new(settings.member_peers()),
-            holdings: Holdings::new(settings.held_bytes()),
+            holdings: Holdings::new(settings.max_held_bytes()),
             settings,
             dialect,
             table: watch::Sender::new(None),
@@ -122,10 +122,10 @@
             metrics: GatewayMetrics::new()?,
             log,
         });
-        tokio::spawn(feed::follow(gateway.clone()));
+        tokio::spawn(subscriber::run(gateway.clone()));
         tokio::spawn(open_to_clients(gateway.clone(), clients));
         if let Some(neighbours) = neighbours {
-            tokio::spawn(neighbours::serve(gateway.clone(), neighbours));
+            tokio::spawn(peers::serve(gateway.clone(), neighbours));
         }
         if let Some(ready) = ready {
             tokio::spawn(listener::serve_ready(gateway.clone(), ready));
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -15,9 +15,9 @@
 const MIB: usize = 1_024 * KIB;
 /// Tenths of the memory that may be held for clients; buffers of connections come on top. With a list of 9,999 targets a
 /// gateway takes 14 MB of 160 without any.
-const HELD_TENTHS: usize = 4;
+const HELD_MEMORY_TENTHS: usize = 4;
 /// Least memory that a gateway runs in, in MiB.
-const LEAST_MEMORY_MB: usize = 32;
+const MIN_MEMORY_MB: usize = 32;
 
 /// What a gateway does when it has long heard no member that hears a leader.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -135,22 +135,22 @@
     }
 
     /// Where other gateways fetch news from this one.
-    pub fn neighbour_listen(&self) -> Option<SocketAddr> {
+    pub fn peer_listen(&self) -> Option<SocketAddr> {
         self.listen.map(|listen| SocketAddr::new(listen.ip(), self.peer_port))
     }
 
     /// Most that is held for clients, in bytes.
-    pub fn held_bytes(&self) -> usize {
-        self.memory_mb.saturating_mul(MIB) / 10 * HELD_TENTHS
+    pub fn max_held_bytes(&self) -> usize {
+        self.memory_mb.saturating_mul(MIB) / 10 * HELD_MEMORY_TENTHS
     }
 
     /// Most of an answer that is kept for one client, in bytes.
-    pub fn client_buffer(&self) -> usize {
+    pub fn client_buffer_bytes(&self) -> usize {
         self.client_buffer_kb.saturating_mul(KIB)
     }
 
     /// Most that bodies of requests of one of so many gateways have together at a target, in bytes.
-    pub fn bodies_at_target(&self, gateways: u32) -> usize {
+    pub fn max_target_body_bytes(&self, gateways: u32) -> usize {
         self.target_bodies_kb.saturating_mul(KIB) / (gateways.max(1) as usize)
     }
 
@@ -180,7 +180,7 @@
         checks.demand(self.load_bound >= 1.0, "load_bound", "must be at least 1");
         checks.demand(self.cold_over >= 0.0, "cold_over", "must be at least 0");
         checks.demand(self.cold_slack >= 0.0, "cold_slack", "must be at least 0");
-        checks.demand(self.memory_mb >= LEAST_MEMORY_MB, "memory_mb", "must be at least 32");
+        checks.demand(self.memory_mb >= MIN_MEMORY_MB, "memory_mb", "must be at least 32");
         checks.demand(self.client_buffer_kb > 0, "client_buffer_kb", "must be above 0");
         checks.demand(self.target_bodies_kb > 0, "target_bodies_kb", "must be above 0");
         checks.above_zero(&[
--- a/src/gateway/feed.rs
+++ b/src/gateway/subscriber.rs
@@ -11,13 +11,13 @@
 use super::disconnect::Disconnect;
 use super::failback::{Failback, Look};
 use super::mechanism::Mechanism;
-use super::news::{Fetched, News};
 use super::order::MemberOrder;
+use super::update_receiver::{Fetched, UpdateReceiver};
 use crate::clock::{Instant, Suspensions};
 use crate::group::loads::own_loads_interval;
 use crate::group::message::{FromMember, Subscription, ToMember, Update};
 use crate::level::Level;
-use crate::link::{FrameReceiver, FrameSender, LinkError, LinkTiming};
+use crate::link::{FrameReceiver, FrameSender, LinkError, LinkTimeouts};
 use crate::sync::{lock, read};
 
 /// Silence of a member after which another one is followed.
@@ -30,13 +30,13 @@
 /// Pause after a member could not be followed.
 const PAUSE: Duration = Duration::from_millis(50);
 /// How fast connections to members give up.
-const TIMING: LinkTiming = LinkTiming {
+const TIMING: LinkTimeouts = LinkTimeouts {
     connect: Duration::from_millis(200),
     unacknowledged: Duration::from_millis(1_000),
 };
 
 /// Follows members for ever.
-pub(super) async fn follow(gateway: Arc<Gateway>) {
+pub(super) async fn run(gateway: Arc<Gateway>) {
     let seeds = lock(&gateway.seeds).clone();
     let Some(order) = MemberOrder::new(&gateway.settings.host, seeds) else {
         error!(gateway.log, "no members to follow"; "event" => "no_members");
@@ -44,7 +44,7 @@
     };
     let mut follower = Follower {
         order,
-        news: News::new(gateway.clone()),
+        news: UpdateReceiver::new(gateway.clone()),
         failback: Failback::new(gateway.settings.source),
         lost: false,
         told_none: false,
@@ -108,7 +108,7 @@
     gateway: Arc<Gateway>,
     /// Members that have been told of, and those of the settings.
     order: MemberOrder,
-    news: News,
+    news: UpdateReceiver,
     failback: Failback,
     /// Whether the members are out of reach, and that was logged.
     lost: bool,
@@ -273,7 +273,7 @@
                 look = self.failback.next() => Event::Look(look),
                 fetched = self.news.fetched() => Event::Fetched(fetched),
                 () = tokio::time::sleep_until(loads_at) => Event::LoadsDue,
-                () = self.gateway.run_clock.run_for(left) => {
+                () = self.gateway.run_clock.sleep(left) => {
                     // A long frame may be on its way.
                     if self.silent_for(receiver) >= SILENCE {
                         return Err(LinkError::Timeout);
@@ -288,7 +288,7 @@
 
     /// For how long the member has said nothing while this process ran.
     fn silent_for(&mut self, receiver: &FrameReceiver) -> Duration {
-        let (at, ran) = (receiver.heard_at(), self.gateway.run_clock.ran());
+        let (at, ran) = (receiver.last_read_at(), self.gateway.run_clock.ran());
         if at != self.heard.at {
             self.heard = Heard { at, ran };
         }
@@ -365,7 +365,7 @@
 
     /// Logs why a member is followed no longer, and once that all are out of reach.
     fn note_left(&mut self, member: SocketAddr, why: &Disconnect) {
-        self.gateway.metrics.left_member(why.label());
+        self.gateway.metrics.member_disconnected(why.label());
         if !self.lost {
             info!(self.gateway.log, "member left"; "event" => "member_left",
                 "member" => %member, "why" => %why);
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -68,7 +68,7 @@
 ) {
     let failed = outcome.is_err();
     let code = outcome.as_ref().map_or_else(|(refusal, _)| refusal.code(), StatusCode::as_str);
-    gateway.metrics.attempted(&plan.service, code);
+    gateway.metrics.attempt_ended(&plan.service, code);
     let kept = lock(&gateway.attempt_lines).keep(gateway.now());
     // Attempts at cold targets are few, and what these got in all has to be counted.
     if !failed && kept.is_none() && !choice.cold {
@@ -96,7 +96,7 @@
 /// An answer went to the client, or, for a stream, its first event did.
 pub(super) fn answered(gateway: &Gateway, plan: &Plan, target: &Target, status: StatusCode) {
     gateway.metrics.answered(status);
-    gateway.metrics.took(&plan.service, plan.arrived.elapsed());
+    gateway.metrics.answer_started(&plan.service, plan.arrived.elapsed());
     let kept = lock(&gateway.answer_lines).keep(gateway.now());
     let Some(stands_for) = kept else {
         return;
@@ -109,13 +109,13 @@
 
 /// The end of an answer went out.
 pub(super) fn ended(gateway: &Gateway, plan: &mut Plan) {
-    gateway.metrics.ended(&plan.service, plan.arrived.elapsed());
+    gateway.metrics.answer_ended(&plan.service, plan.arrived.elapsed());
     plan.departure.finish();
 }
 
 /// An answer says that its target is about to leave, the `first` of that start of it to do so.
 pub(super) fn says_leaving(gateway: &Gateway, target: &Target, first: bool, told: bool) {
-    gateway.metrics.said_leaving(&target.announcement.service);
+    gateway.metrics.draining_announced(&target.announcement.service);
     if first {
         info!(gateway.log, "target says that it leaves"; "event" => "target_leaving",
             "target" => &target.announcement.id, "addr" => %target.announcement.addr,
@@ -126,7 +126,7 @@
 
 /// A target that turned a request away wants nothing more for a while.
 pub(super) fn asks_for_rest(gateway: &Gateway, target: &Target, rest: RetryAfter) {
-    gateway.metrics.asked_for_rest(&target.announcement.service);
+    gateway.metrics.backoff_requested(&target.announcement.service);
     if let Some(stands_for) = lock(&gateway.rest_lines).keep(gateway.now()) {
         info!(gateway.log, "target asks for rest"; "event" => "target_rests",
             "target" => &target.announcement.id, "addr" => %target.announcement.addr,
@@ -155,7 +155,7 @@
 
 /// A stream that had begun was cut, since it could not go on.
 pub(super) fn cut(gateway: &Gateway, plan: &Plan, refusal: Refusal) {
-    gateway.metrics.cut(refusal);
+    gateway.metrics.stream_cut(refusal);
     info!(gateway.log, "stream cut"; "event" => "stream_cut",
         "id" => text(Some(&plan.outgoing.id)), "reason" => refusal.code(),
         "route" => &plan.route.name, "sends" => plan.sends, "version" => plan.version,
@@ -164,7 +164,7 @@
 
 /// A stream went on at another target.
 pub(super) fn resumed(gateway: &Gateway, plan: &Plan, target: &Target, last_event: &str) {
-    gateway.metrics.resumed();
+    gateway.metrics.stream_resumed();
     info!(gateway.log, "stream resumed"; "event" => "resumed",
         "id" => text(Some(&plan.outgoing.id)), "target" => &target.announcement.id,
         "last_event" => last_event, "sends" => plan.sends,
@@ -219,7 +219,7 @@
 impl Drop for Departure {
     fn drop(&mut self) {
         if !self.finished {
-            self.gateway.metrics.left();
+            self.gateway.metrics.client_disconnected();
             info!(self.gateway.log, "client left"; "event" => "client_left",
                 "id" => text(Some(&self.id)), "elapsed_ms" => millis_since(self.arrived));
         }
--- a/src/gateway/news.rs
+++ b/src/gateway/update_receiver.rs
@@ -8,25 +8,25 @@
 use tokio::task::JoinSet;
 
 use super::lateness::Lateness;
-use super::{Gateway, neighbours};
-use crate::document::{Document, Packed};
+use super::{Gateway, peers};
+use crate::blob::{Blob, BlobId, Content};
+use crate::document::{Document, PackedDocument};
 use crate::group::listing::PackedDelta;
 use crate::group::message::{Elsewhere, Evacuation, HallNews, ToMember, Update};
 use crate::link::{FrameSender, LinkError};
-use crate::parcel::{Content, Parcel, ParcelId};
 use crate::rollout::RolloutNews;
 use crate::route_table::RouteTable;
 use crate::sync::{lock, read, write};
 
 /// A parcel that a member named, fetched from another gateway or not.
 pub(super) struct Fetched {
-    id: ParcelId,
+    id: BlobId,
     from: SocketAddr,
-    parcel: Result<Parcel, LinkError>,
+    parcel: Result<Blob, LinkError>,
 }
 
 /// What the gateway has been told.
-pub(super) struct News {
+pub(super) struct UpdateReceiver {
     gateway: Arc<Gateway>,
     /// The configuration, as the next difference builds on it.
     document: Option<Document>,
@@ -35,9 +35,14 @@
     fetches: JoinSet<Fetched>,
 }
 
-impl News {
+impl UpdateReceiver {
     pub(super) fn new(gateway: Arc<Gateway>) -> Self {
-        News { gateway, document: None, lateness: Lateness::default(), fetches: JoinSet::new() }
+        UpdateReceiver {
+            gateway,
+            document: None,
+            lateness: Lateness::default(),
+            fetches: JoinSet::new(),
+        }
     }
 
     /// Version of the last configuration that came, be it readable or not; 0 for none.
@@ -78,7 +83,7 @@
             return Err(LinkError::Garbled);
         }
         for bytes in update.parcels {
-            self.take_parcel(Parcel::of(bytes), member, sender).await?;
+            self.take_parcel(Blob::new(bytes), member, sender).await?;
         }
         if let Some(elsewhere) = update.elsewhere {
             self.fetches.spawn(fetch(self.gateway.settings.source, elsewhere));
@@ -112,7 +117,7 @@
         fetched: Fetched,
         sender: &mut FrameSender,
     ) -> Result<(), LinkError> {
-        self.gateway.metrics.fetched_parcel(fetched.parcel.as_ref().err());
+        self.gateway.metrics.blob_fetched(fetched.parcel.as_ref().err());
         match fetched.parcel {
             Ok(parcel) => self.take_parcel(parcel, fetched.from, sender).await,
             Err(error) => {
@@ -126,12 +131,12 @@
     /// Takes what is in a parcel, keeps it for others if it is large, and tells the member so.
     async fn take_parcel(
         &mut self,
-        parcel: Parcel,
+        parcel: Blob,
         from: SocketAddr,
         sender: &mut FrameSender,
     ) -> Result<(), LinkError> {
         let version = self.gateway.version();
-        match parcel.open()? {
+        match parcel.unpack()? {
             Content::Document(packed) => self.take_document(&packed, from)?,
             Content::Targets(packed) => self.take_targets(&packed, from)?,
         }
@@ -212,7 +217,7 @@
     fn take_signs(&mut self, update: &Update) {
         let held = self.version();
         self.lateness.hear(self.gateway.now(), update.fresh, update.version, held);
-        self.gateway.metrics.version_told.set(self.lateness.told() as i64);
+        self.gateway.metrics.version_announced.set(self.lateness.told() as i64);
         if let Some(loads) = &update.loads {
             self.gateway.take_loads(loads);
         }
@@ -234,7 +239,11 @@
         }
     }
 
-    fn take_document(&mut self, packed: &Packed, from: SocketAddr) -> Result<(), LinkError> {
+    fn take_document(
+        &mut self,
+        packed: &PackedDocument,
+        from: SocketAddr,
+    ) -> Result<(), LinkError> {
         let held = self.version();
         if packed.version <= held {
             return Ok(());
@@ -269,6 +278,6 @@
 /// Fetches a parcel from another gateway.
 async fn fetch(source: Option<IpAddr>, elsewhere: Elsewhere) -> Fetched {
     let Elsewhere { parcel: id, at: from } = elsewhere;
-    let parcel = neighbours::fetch(source, from, id).await;
+    let parcel = peers::fetch(source, from, id).await;
     Fetched { id, from, parcel }
 }
--- a/src/group/archive.rs
+++ b/src/group/archive.rs
@@ -3,9 +3,9 @@
 use std::collections::{HashMap, VecDeque};
 
 use super::cursor::{Brings, Piece};
+use crate::blob::{Blob, Content};
 use crate::document::Document;
 use crate::link::LinkError;
-use crate::parcel::{Content, Parcel};
 
 /// Documents kept: at four changes a second, a gateway that was out of reach for 8 s still gets a
 /// difference of some hundred bytes, where the whole document takes some thousand.
@@ -42,7 +42,7 @@
         }
         let base = self.documents.iter().find(|document| document.version == known);
         let packed = newest.pack(base).map_err(|_| LinkError::Garbled)?;
-        let parcel = Parcel::pack(&Content::Document(packed))?;
+        let parcel = Blob::pack(&Content::Document(packed))?;
         let piece = Piece { parcel, brings: Brings::Version(newest.version) };
         self.packed.insert(known, piece.clone());
         Ok(Some(piece))
--- a/src/group/cursor.rs
+++ b/src/group/cursor.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::parcel::{Parcel, ParcelId};
+use crate::blob::{Blob, BlobId};
 use crate::store::Revision;
 
 use super::keepers::Told;
@@ -21,14 +21,14 @@
 /// A parcel that a gateway lacks.
 #[derive(Clone, Debug)]
 pub(super) struct Piece {
-    pub(super) parcel: Parcel,
+    pub(super) parcel: Blob,
     pub(super) brings: Brings,
 }
 
 /// A parcel that a gateway was told to fetch from another.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Loan {
-    pub(super) parcel: ParcelId,
+    pub(super) parcel: BlobId,
     pub(super) from: SocketAddr,
     pub(super) brings: Brings,
 }
--- a/src/group/deltas.rs
+++ b/src/group/deltas.rs
@@ -5,9 +5,9 @@
 
 use super::cursor::{Brings, Piece};
 use super::listing::Packer;
+use crate::blob::{Blob, Content};
 use crate::directory::Directory;
 use crate::link::LinkError;
-use crate::parcel::{Content, Parcel};
 use crate::store::Revision;
 
 /// How long a large parcel stays the one for all gateways that know the same, though the directory has
@@ -84,7 +84,7 @@
             Some(packer) => packer,
             none => none.insert(Packer::new()?),
         };
-        let parcel = Parcel::pack(&Content::Targets(packer.pack(delta)?))?;
+        let parcel = Blob::pack(&Content::Targets(packer.pack(delta)?))?;
         let piece = Piece { parcel, brings: Brings::Revision(newest) };
         let kept = Kept { piece: piece.clone(), revision: newest, at: now };
         self.kept.insert(base, kept);
--- a/src/group/endpoints.rs
+++ b/src/group/endpoints.rs
@@ -58,7 +58,7 @@
             tokio::time::sleep(PAUSE).await;
             continue;
         };
-        let _ = crate::link::give_up_after(&stream, IDLE);
+        let _ = crate::link::set_tcp_timeouts(&stream, IDLE);
         let shared = shared.clone();
         tokio::spawn(async move {
             let service = service_fn(|request| {
--- a/src/group/fan_out.rs
+++ b/src/group/fan_out.rs
@@ -11,7 +11,7 @@
 
 use tokio::sync::Notify;
 
-use crate::parcel::ParcelId;
+use crate::blob::BlobId;
 
 /// Gateways that fetch a parcel from one other at the same time. On 10 Mbit/s four pieces of 21 KB
 /// take 70 ms, in which that gateway's clients wait for it at worst.
@@ -37,7 +37,7 @@
 
 #[derive(Debug)]
 struct Spread {
-    parcel: ParcelId,
+    parcel: BlobId,
     holders: Vec<Holder>,
     /// Wakes one of those that wait for a place.
     room: Arc<Notify>,
@@ -50,7 +50,7 @@
 impl FanOut {
     /// Names a gateway that has the parcel and a place free, in the data hall of `to` if there is one,
     /// and takes the place.
-    pub fn lend(&mut self, parcel: ParcelId, to: &Neighbour) -> Option<SocketAddr> {
+    pub fn lend(&mut self, parcel: BlobId, to: &Neighbour) -> Option<SocketAddr> {
         let spread = self.known(parcel)?;
         let free = spread.holders.iter_mut();
         let free = free.filter(|holder| holder.places > 0 && holder.neighbour.addr != to.addr);
@@ -61,7 +61,7 @@
     }
 
     /// A gateway has the parcel.
-    pub fn hold(&mut self, parcel: ParcelId, neighbour: &Neighbour) {
+    pub fn hold(&mut self, parcel: BlobId, neighbour: &Neighbour) {
         let spread = self.spread(parcel);
         if spread.holders.iter().any(|holder| holder.neighbour.addr == neighbour.addr) {
             return;
@@ -71,7 +71,7 @@
     }
 
     /// A gateway that was named has passed the parcel on.
-    pub fn passed_on(&mut self, parcel: ParcelId, from: SocketAddr) {
+    pub fn passed_on(&mut self, parcel: BlobId, from: SocketAddr) {
         let Some(spread) = self.known(parcel) else {
             return;
         };
@@ -83,7 +83,7 @@
     }
 
     /// A gateway that was named did not pass the parcel on.
-    pub fn failed(&mut self, parcel: ParcelId, from: SocketAddr) {
+    pub fn failed(&mut self, parcel: BlobId, from: SocketAddr) {
         if let Some(spread) = self.known(parcel) {
             spread.holders.retain(|holder| holder.neighbour.addr != from);
         }
@@ -97,16 +97,16 @@
     }
 
     /// What wakes one of those that wait for a place.
-    pub fn room(&mut self, parcel: ParcelId) -> Arc<Notify> {
+    pub fn room(&mut self, parcel: BlobId) -> Arc<Notify> {
         self.spread(parcel).room.clone()
     }
 
-    fn known(&mut self, parcel: ParcelId) -> Option<&mut Spread> {
+    fn known(&mut self, parcel: BlobId) -> Option<&mut Spread> {
         self.0.iter_mut().find(|spread| spread.parcel == parcel)
     }
 
     /// How a parcel spreads; from now on, if it is new.
-    fn spread(&mut self, parcel: ParcelId) -> &mut Spread {
+    fn spread(&mut self, parcel: BlobId) -> &mut Spread {
         let known = self.0.iter().position(|spread| spread.parcel == parcel);
         let at = known.unwrap_or_else(|| {
             if self.0.len() >= KEPT {
--- a/src/group/frames/to_member.rs
+++ b/src/group/frames/to_member.rs
@@ -6,6 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::with;
+use crate::blob::BlobId;
 use crate::compat::base;
 use crate::compat::parts::{self, Parts};
 use crate::directory::Announcement;
@@ -14,7 +15,6 @@
 use crate::group::message::{Call, Subscription, ToMember};
 use crate::level::Level;
 use crate::link::{LinkError, Message};
-use crate::parcel::ParcelId;
 use crate::raft::Envelope;
 use crate::rollout::tally::Tallies;
 use crate::store::Revision;
@@ -158,7 +158,7 @@
 
 /// A frame of a gateway that the first build passes over.
 fn passed_over() -> base::ToMember<'static> {
-    base::ToMember::Lacks(ParcelId::NONE)
+    base::ToMember::Lacks(BlobId::NONE)
 }
 
 fn agreement(
@@ -173,7 +173,7 @@
     Ok(ToMember::Agreement { from, messages: messages.into_owned(), knows })
 }
 
-fn lacks(parcel: ParcelId, parts: Parts<'_>) -> Result<ToMember, LinkError> {
+fn lacks(parcel: BlobId, parts: Parts<'_>) -> Result<ToMember, LinkError> {
     if let Some(reports) = parts.get(tag::POISON)? {
         return Ok(ToMember::Poison(reports));
     }
--- a/src/group/incoming.rs
+++ b/src/group/incoming.rs
@@ -8,7 +8,7 @@
 use super::keepers::Teller;
 use super::message::{Call, FromMember, ToMember};
 use super::{Shared, feed};
-use crate::link::{FrameSender, LinkError, frames};
+use crate::link::{FrameSender, LinkError, framed};
 use crate::poison::Origin;
 use crate::sync::lock;
 
@@ -30,7 +30,7 @@
 }
 
 async fn serve(shared: Arc<Shared>, stream: TcpStream) -> Result<(), LinkError> {
-    let (sender, mut receiver) = frames(stream, super::peers::TIMING)?;
+    let (sender, mut receiver) = framed(stream, super::peers::TIMING)?;
     let (replies, waiting) = mpsc::channel(REPLIES_LEN);
     let mut sender = Some(sender);
     let mut waiting = Some(waiting);
--- a/src/group/message.rs
+++ b/src/group/message.rs
@@ -9,9 +9,9 @@
 use super::heartbeats::Taken;
 use super::keepers::Keeper;
 use super::loads::Loads;
+use crate::blob::BlobId;
 use crate::directory::Announcement;
 use crate::level::Level;
-use crate::parcel::ParcelId;
 use crate::poison::Report;
 use crate::raft::{Envelope, Index, StoreId};
 use crate::rollout::RolloutNews;
@@ -78,9 +78,9 @@
     /// The gateway on this connection now obeys the orders about data halls up to this revision.
     Obeys(Revision),
     /// The gateway on this connection has a large parcel, from wherever it came.
-    Has(ParcelId),
+    Has(BlobId),
     /// The gateway on this connection could not fetch the parcel that it was told of.
-    Lacks(ParcelId),
+    Lacks(BlobId),
     /// A gateway wants to be told of every change.
     Subscribe(Subscription),
 }
@@ -166,7 +166,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Elsewhere {
     /// The parcel.
-    pub parcel: ParcelId,
+    pub parcel: BlobId,
     /// Where to fetch it.
     pub at: SocketAddr,
 }
@@ -175,7 +175,7 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub enum ToNeighbour {
     /// Wants a parcel.
-    Fetch(ParcelId),
+    Fetch(BlobId),
 }
 
 /// A frame on the way back.
--- a/src/group/peers.rs
+++ b/src/group/peers.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::message::{Call, FromMember, Reply, ToMember};
-use crate::link::{FrameReceiver, FrameSender, LinkError, LinkTiming, dial};
+use crate::link::{FrameReceiver, FrameSender, LinkError, LinkTimeouts, dial};
 use crate::sync::lock;
 
 /// Frames that wait for a peer; what does not fit is dropped, as the agreement allows.
@@ -17,7 +17,7 @@
 /// Pause after a failed connection, in which frames for the peer are dropped.
 const PAUSE: Duration = Duration::from_millis(100);
 /// How fast connections between members give up.
-pub(super) const TIMING: LinkTiming = LinkTiming {
+pub(super) const TIMING: LinkTimeouts = LinkTimeouts {
     connect: Duration::from_millis(500),
     unacknowledged: Duration::from_millis(1_000),
 };
--- a/src/group/push.rs
+++ b/src/group/push.rs
@@ -18,10 +18,10 @@
 use super::message::{Elsewhere, FromMember, HallNews, Subscription, Update};
 use super::metrics::ParcelWay;
 use super::pacer::Turn;
+use crate::blob::BlobId;
 use crate::clock::Instant;
 use crate::control::member::Published;
 use crate::link::{FrameSender, LinkError, encode};
-use crate::parcel::ParcelId;
 use crate::rollout::RolloutNews;
 use crate::sync::lock;
 
@@ -34,9 +34,9 @@
 /// What a gateway tells of a parcel.
 pub(super) enum Word {
     /// It has the parcel.
-    Has(ParcelId),
+    Has(BlobId),
     /// It could not fetch the parcel.
-    Lacks(ParcelId),
+    Lacks(BlobId),
 }
 
 /// A turn to send a large parcel that is waited for.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -21,6 +21,7 @@
 
 pub mod account;
 pub mod availability;
+pub mod blob;
 pub mod checks;
 pub mod choice;
 pub mod claims;
@@ -46,7 +47,6 @@
 pub mod millis;
 pub mod operator;
 pub mod orders;
-pub mod parcel;
 pub mod placement;
 pub mod platform;
 pub mod poison;
--- a/src/link.rs
+++ b/src/link.rs
@@ -30,7 +30,7 @@
 
 /// How fast a connection gives up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct LinkTiming {
+pub struct LinkTimeouts {
     /// Longest time to connect.
     pub connect: Duration,
     /// Longest time that sent bytes stay unacknowledged.
@@ -106,7 +106,7 @@
 /// A connection that notes when bytes came.
 struct Watched {
     half: OwnedReadHalf,
-    heard_at: Instant,
+    last_read_at: Instant,
 }
 
 impl AsyncRead for Watched {
@@ -118,7 +118,7 @@
         let watched = self.get_mut();
         let polled = Pin::new(&mut watched.half).poll_read(context, buffer);
         if polled.is_ready() {
-            watched.heard_at = Instant::now();
+            watched.last_read_at = Instant::now();
         }
         polled
     }
@@ -131,23 +131,23 @@
 pub async fn dial(
     source: Option<IpAddr>,
     addr: SocketAddr,
-    timing: LinkTiming,
+    timing: LinkTimeouts,
 ) -> Result<(FrameSender, FrameReceiver), LinkError> {
     let connecting = tokio::time::timeout(timing.connect, connect_from(source, addr));
     let stream = connecting.await.map_err(|_| LinkError::Timeout)??;
-    Ok(frames(stream, timing)?)
+    Ok(framed(stream, timing)?)
 }
 
 /// Makes frames of a connection.
 ///
 /// # Errors
 /// When the socket takes none of the options that make it give up.
-pub fn frames(stream: TcpStream, timing: LinkTiming) -> io::Result<(FrameSender, FrameReceiver)> {
-    give_up_after(&stream, timing.unacknowledged)?;
+pub fn framed(stream: TcpStream, timing: LinkTimeouts) -> io::Result<(FrameSender, FrameReceiver)> {
+    set_tcp_timeouts(&stream, timing.unacknowledged)?;
     let (read, write) = stream.into_split();
     let codec = || LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     let sender = FrameSender(FramedWrite::new(write, codec()));
-    let watched = Watched { half: read, heard_at: Instant::now() };
+    let watched = Watched { half: read, last_read_at: Instant::now() };
     Ok((sender, FrameReceiver(FramedRead::new(watched, codec()))))
 }
 
@@ -156,7 +156,7 @@
 ///
 /// # Errors
 /// When the socket takes none of the options.
-pub fn give_up_after(stream: &TcpStream, silence: Duration) -> io::Result<()> {
+pub fn set_tcp_timeouts(stream: &TcpStream, silence: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(silence))?;
@@ -204,8 +204,8 @@
 
 impl FrameReceiver {
     /// When bytes last came: a long frame on a busy link takes its time, and is no silence.
-    pub fn heard_at(&self) -> Instant {
-        self.0.get_ref().heard_at
+    pub fn last_read_at(&self) -> Instant {
+        self.0.get_ref().last_read_at
     }
 
     /// Waits for the next message.
--- a/src/raft/format5.rs
+++ b/src/raft/format5.rs
@@ -6,7 +6,7 @@
 use super::{Entry, HardState, Index, Members, Payload, Position, Snapshot, StoreId, Term};
 use crate::claims::{Claim, Release};
 use crate::directory::Incarnation;
-use crate::document::Packed;
+use crate::document::PackedDocument;
 use crate::evacuations::{EvacuationOrder, WarmAgain};
 use crate::rollout::{RolloutOrder, RolloutStep};
 use crate::store::{Change, Command, Drain, Move, Sight, StoreFormat5};
@@ -50,7 +50,7 @@
     Move(Move),
     Claim(Claim),
     Release(Release),
-    Configure(Packed),
+    Configure(PackedDocument),
     Announce(Vec<Sight>),
     Remove(Incarnation),
     Silence(Vec<Incarnation>),
--- a/src/run_clock.rs
+++ b/src/run_clock.rs
@@ -42,7 +42,7 @@
     }
 
     /// Looks at the clock; a long time since the last look was a pause that ends now.
-    pub fn look(&mut self, now: Instant) {
+    pub fn advance(&mut self, now: Instant) {
         let step = now.saturating_duration_since(self.looked);
         self.looked = now;
         if step <= LONGEST_STEP {
@@ -64,13 +64,13 @@
     }
 
     /// Until when an answer with this deadline is passed on while it lies ready.
-    pub fn latest(&self, deadline: Instant) -> Instant {
+    pub fn latest_delivery(&self, deadline: Instant) -> Instant {
         self.resumed.map_or(deadline, |resumed| deadline.max(resumed)) + OVERRUN
     }
 
     /// When a wait for a part of it ends that began at `began`.
-    pub fn ends(&self, began: Instant, deadline: Instant) -> Instant {
-        deadline.max(self.latest(deadline).min(began + NEXT_WITHIN))
+    pub fn wait_end(&self, began: Instant, deadline: Instant) -> Instant {
+        deadline.max(self.latest_delivery(deadline).min(began + NEXT_WITHIN))
     }
 }
 
@@ -90,7 +90,7 @@
         let mut told = Duration::ZERO;
         loop {
             tokio::time::sleep(TICK).await;
-            let paused = self.look().paused();
+            let paused = self.advance().paused();
             let since_told = paused.saturating_sub(told);
             told = paused;
             if since_told >= LOGGED_FROM {
@@ -100,15 +100,15 @@
         }
     }
 
-    fn look(&self) -> RunTime {
+    fn advance(&self) -> RunTime {
         let mut time = lock(&self.0);
-        time.look(Instant::now());
+        time.advance(Instant::now());
         *time
     }
 
     /// Time in which this process ran.
     pub fn ran(&self) -> Duration {
-        self.look().ran()
+        self.advance().ran()
     }
 
     /// Time in which it did not, as far as the ticks show.
@@ -117,15 +117,15 @@
     }
 
     /// Whether an answer with this deadline can't be passed on any more, even if it lies ready.
-    pub fn past(&self, deadline: Instant) -> bool {
-        Instant::now() >= self.look().latest(deadline)
+    pub fn is_past(&self, deadline: Instant) -> bool {
+        Instant::now() >= self.advance().latest_delivery(deadline)
     }
 
     /// Waits until `deadline`, or where that is over, as long as what lies ready takes to be read.
-    async fn reach(&self, deadline: Instant) {
+    async fn sleep_until(&self, deadline: Instant) {
         let began = Instant::now();
         loop {
-            let ends = self.look().ends(began, deadline);
+            let ends = self.advance().wait_end(began, deadline);
             if Instant::now() >= ends {
                 break;
             }
@@ -135,7 +135,7 @@
     }
 
     /// Waits until this process has run for so long.
-    pub async fn run_for(&self, longest: Duration) {
+    pub async fn sleep(&self, longest: Duration) {
         let end = self.ran() + longest;
         loop {
             let left = end.saturating_sub(self.ran());
@@ -152,7 +152,7 @@
         tokio::select! {
             biased;
             done = future => Some(done),
-            () = self.reach(deadline) => None,
+            () = self.sleep_until(deadline) => None,
         }
     }
 
@@ -166,8 +166,8 @@
         tokio::select! {
             biased;
             done = future => Some(done),
-            () = self.run_for(longest) => None,
-            () = self.reach(deadline) => None,
+            () = self.sleep(longest) => None,
+            () = self.sleep_until(deadline) => None,
         }
     }
 }
--- a/src/store/command.rs
+++ b/src/store/command.rs
@@ -9,7 +9,7 @@
 use crate::compat::base;
 use crate::compat::command::Encoded;
 use crate::directory::{Announcement, Incarnation};
-use crate::document::Packed;
+use crate::document::PackedDocument;
 use crate::evacuations::{EvacuationOrder, OrderVerdict, WarmAgain};
 use crate::jsonc::{Fault, Validate};
 use crate::level::Level;
@@ -31,7 +31,7 @@
     /// A router gives a claim back.
     Release(Release),
     /// An operator sends a whole configuration.
-    Configure(Packed),
+    Configure(PackedDocument),
     /// Targets announce something new.
     Announce(Vec<Sight>),
     /// A target leaves for good, in the start that it names; in whichever it is where it names none.
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -13,7 +13,7 @@
 
 use crate::claims::Claims;
 use crate::directory::Directory;
-use crate::document::{Document, Packed};
+use crate::document::{Document, PackedDocument};
 use crate::evacuations::Evacuations;
 use crate::jsonc::Fault;
 use crate::level::Level;
@@ -213,7 +213,7 @@
     }
 
     /// The highest version holds; the first content that came under a version is its content.
-    fn apply_document(&mut self, index: u64, packed: &Packed) -> Answer {
+    fn apply_document(&mut self, index: u64, packed: &PackedDocument) -> Answer {
         let held = self.document.as_ref().map_or(0, |held| held.version);
         if packed.version <= held {
             return Answer::Configured { held };
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -95,13 +95,13 @@
             let longest = if rng.random_bool(0.2) { 3_000 } else { 100 };
             let now = looks[looks.len() - 1] + ms(rng.random_range(0..=longest));
             looks.push(now);
-            time.look(now);
+            time.advance(now);
             let (ran, resumed) = ran_by_all_looks(&looks);
             let whole = now.saturating_duration_since(looks[0]);
             assert_eq!((time.ran(), time.paused()), (ran, whole.saturating_sub(ran)));
             let due = now + ms(rng.random_range(0..200));
             let latest = resumed.map_or(due, |resumed| due.max(resumed)) + ms(1_000);
-            assert_eq!(time.latest(due), latest);
+            assert_eq!(time.latest_delivery(due), latest);
         }
     }
 }
@@ -119,14 +119,14 @@
 ) {
     let start = Instant::now();
     let time = RunTime::since(start);
-    assert_eq!(time.ends(start + ms(began), start + ms(deadline)), start + ms(ends));
+    assert_eq!(time.wait_end(start + ms(began), start + ms(deadline)), start + ms(ends));
 }
 
 #[test]
 fn a_deadline_that_passed_during_a_pause_leaves_time_to_read_what_lies_ready() {
     let start = Instant::now();
     let mut time = RunTime::since(start);
-    time.look(start + ms(5_000));
+    time.advance(start + ms(5_000));
     let (began, deadline) = (start + ms(5_001), start + ms(600));
-    assert_eq!(time.ends(began, deadline), start + ms(5_051));
+    assert_eq!(time.wait_end(began, deadline), start + ms(5_051));
 }
--- a/tests/compat/frames.rs
+++ b/tests/compat/frames.rs
@@ -4,6 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
+use latchmount::blob::{Blob, Content};
 use latchmount::directory::DirectoryDelta;
 use latchmount::group::evidence::{Evidence, Outcomes};
 use latchmount::group::heartbeats::Taken;
@@ -14,7 +15,6 @@
 };
 use latchmount::level::Level;
 use latchmount::link::Message;
-use latchmount::parcel::{Content, Parcel};
 use latchmount::poison::{EndReport, Identity, Report, Reporter, Suspect};
 use latchmount::rollout::division::{Mix, RolloutMix, RouteShare};
 use latchmount::rollout::tally::{RouteKey, Side, Subject, Tallies};
@@ -212,8 +212,8 @@
     assert_eq!(unpacked(&parcel()), delta());
 }
 
-fn unpacked(parcel: &Parcel) -> DirectoryDelta {
-    match parcel.open().expect("a parcel") {
+fn unpacked(parcel: &Blob) -> DirectoryDelta {
+    match parcel.unpack().expect("a parcel") {
         Content::Targets(packed) => packed.unpack().expect("a list"),
         Content::Document(_) => panic!("a list was packed"),
     }
--- a/tests/compat/samples.rs
+++ b/tests/compat/samples.rs
@@ -3,6 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use latchmount::blob::{Blob, Content};
 use latchmount::directory::{
     Announcement, Born, DirectoryDelta, Incarnation, Listed, Moved, TargetState, key,
 };
@@ -14,7 +15,6 @@
     Call, Elsewhere, FromMember, HallNews, Reply, Subscription, ToMember, Update,
 };
 use latchmount::level::Level;
-use latchmount::parcel::{Content, Parcel};
 use latchmount::raft::{
     Body, Entry, Envelope, GroupId, Member, Members, Payload, Position, Snapshot, Standing, StoreId,
 };
@@ -191,9 +191,9 @@
 }
 
 /// The parcel that the first build made of [`delta`].
-pub fn base_parcel() -> Parcel {
+pub fn base_parcel() -> Blob {
     let bytes = crate::frames::base("parcel", "targets");
-    Parcel::of(bytes.into())
+    Blob::new(bytes.into())
 }
 
 pub fn delta() -> DirectoryDelta {
@@ -217,9 +217,9 @@
 }
 
 /// The parcel that this build makes of it.
-pub fn parcel() -> Parcel {
+pub fn parcel() -> Blob {
     let mut packer = Packer::new().expect("memory");
-    Parcel::pack(&Content::Targets(packer.pack(delta()).expect("a delta"))).expect("a parcel")
+    Blob::pack(&Content::Targets(packer.pack(delta()).expect("a delta"))).expect("a parcel")
 }
 
 /// Frames of a member of the first build, by name.
--- a/tests/gateway/first_news.rs
+++ b/tests/gateway/first_news.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use latchmount::gateway::first_news::wait;
+use latchmount::gateway::first_update::wait;
 use latchmount::gateway::reason::{Outlook, Refusal};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
--- a/tests/gateway/spread.rs
+++ b/tests/gateway/spread.rs
@@ -4,9 +4,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
+use latchmount::blob::{Blob, BlobId};
 use latchmount::group::fan_out::{FanOut, Neighbour};
 use latchmount::group::pacer::{PART_FOR_LARGE, Pacer};
-use latchmount::parcel::{Parcel, ParcelId};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use tokio::sync::Mutex as Link;
@@ -55,7 +55,7 @@
 struct Followers {
     fan_out: Mutex<FanOut>,
     pacer: Pacer,
-    parcel: ParcelId,
+    parcel: BlobId,
     bytes: usize,
     fates: Vec<Fate>,
     /// One fetch at a time leaves each gateway's link.
@@ -67,7 +67,7 @@
         Arc::new(Followers {
             fan_out: Mutex::default(),
             pacer: Pacer::new(MEMBER_MBPS, PART_FOR_LARGE),
-            parcel: Parcel::of(vec![7; bytes].into()).id(),
+            parcel: Blob::new(vec![7; bytes].into()).id(),
             bytes,
             fates: (0..gateways).map(|_| Fate::draw(rng)).collect(),
             links: (0..gateways).map(|_| Link::default()).collect(),
@@ -161,7 +161,7 @@
 
 #[test]
 fn a_place_is_taken_once_and_free_again_when_the_parcel_was_passed_on() {
-    let parcel = Parcel::of(vec![1; 9].into()).id();
+    let parcel = Blob::new(vec![1; 9].into()).id();
     let neighbour = |port: u16, hall: &str| Neighbour {
         addr: SocketAddr::from(([10, 0, 0, 1], port)),
         data_hall: hall.to_owned(),
