--- a/src/blob.rs
+++ b/src/blob.rs
@@ -1,8 +1,9 @@
-//! Pieces of news that many gateways need alike, and pass on to each other.
+//! Content-addressed blobs: configurations and target lists that many gateways need, and that they
+//! distribute peer-to-peer.
 //!
-//! A member's link is small beside those of all its gateways together. So a member sends a large
-//! piece to few, and tells the others its name and a gateway that has it. The name is a hash over the
-//! bytes: what comes from a gateway is taken only if it is what the member named.
+//! A member's link has far less bandwidth than those of all its gateways together. So a member sends a large
+//! blob to a few gateways only; the others get its id and the address of a gateway to fetch it from. The id
+//! is a hash of the bytes, so a blob from a gateway is accepted only if it is the one that the member announced.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -12,29 +13,29 @@
 use crate::group::listing::PackedDelta;
 use crate::link::LinkError;
 
-/// Length in bytes from which a parcel is worth fetching from another gateway, rather than to be sent
-/// along with a sign of life: naming it takes some 30 bytes, fetching it a connection.
-const LARGE_FROM: usize = 2_000;
+/// Blobs of at least this size are distributed peer-to-peer; smaller ones are sent with a heartbeat.
+/// Announcing a blob takes about 30 bytes, fetching it from a peer a connection of its own.
+const LARGE_BLOB_MIN_BYTES: usize = 2_000;
 
-/// Name of a parcel.
+/// Hash of a blob's bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct BlobId(u128);
 
 impl BlobId {
-    /// The name of no parcel.
+    /// An id that stands for no blob.
     pub const NONE: BlobId = BlobId(0);
 }
 
-/// What is in a parcel.
+/// The decoded content of a blob.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Content {
     /// A configuration.
     Document(PackedDocument),
-    /// A change of targets, or all of them.
+    /// A change to the list of targets, or the whole list.
     Targets(PackedDelta),
 }
 
-/// A piece of news as it travels.
+/// An encoded [`Content`] with its id.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Blob {
     id: BlobId,
@@ -42,7 +43,7 @@
 }
 
 impl Blob {
-    /// Packs the content.
+    /// Encodes the content.
     ///
     /// # Errors
     /// [`LinkError::Garbled`] when it can't be encoded.
@@ -51,27 +52,27 @@
         Ok(Blob::new(bytes.into()))
     }
 
-    /// The parcel that these bytes are.
+    /// Wraps encoded bytes, as received from a member or a gateway.
     pub fn new(bytes: Bytes) -> Self {
         Blob { id: BlobId(xxh3_128(&bytes)), bytes }
     }
 
-    /// Its name.
+    /// Hash of the bytes.
     pub fn id(&self) -> BlobId {
         self.id
     }
 
-    /// Its bytes.
+    /// The encoded content.
     pub fn bytes(&self) -> &Bytes {
         &self.bytes
     }
 
-    /// Whether gateways pass it on.
+    /// Whether gateways distribute the blob peer-to-peer.
     pub fn is_large(&self) -> bool {
-        self.bytes.len() >= LARGE_FROM
+        self.bytes.len() >= LARGE_BLOB_MIN_BYTES
     }
 
-    /// Takes the content out.
+    /// Decodes the content.
     ///
     /// # Errors
     /// [`LinkError::Garbled`] when it can't be decoded.
--- a/src/gateway/blob_cache.rs
+++ b/src/gateway/blob_cache.rs
@@ -1,34 +1,34 @@
-//! Large parcels of news that this gateway has, for other gateways to fetch.
+//! Recent large blobs, which other gateways fetch from this one.
 
 use std::collections::VecDeque;
 
 use crate::blob::{Blob, BlobId};
 
-/// Parcels kept: the members name them to others for some seconds.
-const KEPT: usize = 8;
-/// Bytes kept, beyond the newest parcel.
-const KEPT_BYTES: usize = 2 * 1024 * 1024;
+/// Maximum number of blobs. Members refer other gateways to a blob for some seconds only.
+const MAX_BLOBS: usize = 8;
+/// Maximum total size, unless the newest blob alone is larger.
+const MAX_BYTES: usize = 2 * 1024 * 1024;
 
-/// Parcels, the newest last.
+/// Blobs in the order in which they were inserted.
 #[derive(Debug, Default)]
 pub struct BlobCache(VecDeque<Blob>);
 
 impl BlobCache {
-    /// Keeps a parcel, and drops the oldest beyond what is kept.
-    pub fn keep(&mut self, parcel: Blob) {
-        self.0.retain(|kept| kept.id() != parcel.id());
-        self.0.push_back(parcel);
-        while self.0.len() > KEPT || (self.0.len() > 1 && self.bytes() > KEPT_BYTES) {
+    /// Inserts a blob as the newest, and evicts the oldest ones beyond the limits.
+    pub fn insert(&mut self, blob: Blob) {
+        self.0.retain(|cached| cached.id() != blob.id());
+        self.0.push_back(blob);
+        while self.0.len() > MAX_BLOBS || (self.0.len() > 1 && self.total_bytes() > MAX_BYTES) {
             self.0.pop_front();
         }
     }
 
-    /// A parcel that is kept.
+    /// The cached blob with this id.
     pub fn get(&self, id: BlobId) -> Option<&Blob> {
-        self.0.iter().find(|kept| kept.id() == id)
+        self.0.iter().find(|cached| cached.id() == id)
     }
 
-    fn bytes(&self) -> usize {
-        self.0.iter().map(|kept| kept.bytes().len()).sum()
+    fn total_bytes(&self) -> usize {
+        self.0.iter().map(|cached| cached.bytes().len()).sum()
     }
 }
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -1,4 +1,4 @@
-//! Passes large parcels of news on to other gateways, and fetches them from there.
+//! Peer-to-peer distribution of large blobs: serves them to other gateways and fetches them from there.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -14,77 +14,82 @@
 use crate::link::{FrameReceiver, LinkError, LinkTimeouts, dial, framed};
 use crate::sync::lock;
 
-/// How fast connections between gateways give up: the member is asked then.
-const TIMING: LinkTimeouts = LinkTimeouts {
+/// Timeouts of connections between gateways. They are short, since a blob that a peer gateway does not
+/// deliver is requested from the member.
+const TIMEOUTS: LinkTimeouts = LinkTimeouts {
     connect: Duration::from_millis(150),
     unacknowledged: Duration::from_millis(1_000),
 };
-/// Silence after which a fetch is given up: the other has the parcel, and only its link may be busy.
-const SILENCE: Duration = Duration::from_millis(300);
-/// Longest time that a connection of another gateway is kept.
-const SERVED_WITHIN: Duration = Duration::from_secs(5);
-/// Connections of other gateways at the same time; members name few at a time.
-const MOST_CONNECTIONS: usize = 32;
-/// Pause after the listener fails, for example without descriptors.
-const PAUSE: Duration = Duration::from_millis(50);
+/// A fetch fails when no byte arrives for this long. The peer has the blob in memory, so only a busy link
+/// delays it.
+const READ_TIMEOUT: Duration = Duration::from_millis(300);
+/// Connections of other gateways are closed after this time.
+const SERVE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of concurrent connections from other gateways. Members refer only a few gateways at a
+/// time to the same peer.
+const MAX_CONNECTIONS: usize = 32;
+/// Delay after a failed accept, for example when the process is out of file descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// Serves other gateways for ever.
+/// Serves blobs to other gateways until the process ends.
 pub(super) async fn serve(gateway: Arc<Gateway>, listener: TcpListener) {
-    let places = Arc::new(Semaphore::new(MOST_CONNECTIONS));
+    let slots = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else {
+        let Ok(slot) = slots.clone().acquire_owned().await else {
             return;
         };
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let gateway = gateway.clone();
         tokio::spawn(async move {
-            // Whoever fetched and got nothing asks its member.
-            let _ = tokio::time::timeout(SERVED_WITHIN, answer(&gateway, stream)).await;
-            drop(place);
+            // Errors are ignored: a peer that did not get the blob reports that to its member.
+            let _ = tokio::time::timeout(SERVE_TIMEOUT, answer(&gateway, stream)).await;
+            drop(slot);
         });
     }
 }
 
+/// Answers one fetch request.
 async fn answer(gateway: &Gateway, stream: TcpStream) -> Result<(), LinkError> {
-    let (mut sender, mut receiver) = framed(stream, TIMING)?;
+    let (mut sender, mut receiver) = framed(stream, TIMEOUTS)?;
     let ToNeighbour::Fetch(id) = receiver.receive().await?;
-    let kept = lock(&gateway.shelf).get(id).map(|parcel| parcel.bytes().clone());
-    gateway.metrics.blob_requested(kept.is_some());
-    sender.send(&kept.map_or(FromNeighbour::Unknown, FromNeighbour::Parcel)).await?;
-    // Closed by the other side, once it has all.
+    let cached = lock(&gateway.shelf).get(id).map(|blob| blob.bytes().clone());
+    gateway.metrics.blob_requested(cached.is_some());
+    sender.send(&cached.map_or(FromNeighbour::Unknown, FromNeighbour::Parcel)).await?;
+    // Waits until the peer, having received everything, closes the connection.
     receiver.receive::<ToNeighbour>().await.map(|_| ())
 }
 
-/// Fetches a parcel from another gateway.
+/// Fetches a blob from another gateway.
 ///
 /// # Errors
-/// [`LinkError`] when it can't be had there, or is not the one that was asked for.
+/// [`LinkError::Closed`] when that gateway does not have the blob, [`LinkError::Garbled`] when the bytes
+/// received don't match `id`, another [`LinkError`] when the connection fails.
 pub(super) async fn fetch(
     source: Option<IpAddr>,
     from: SocketAddr,
     id: BlobId,
 ) -> Result<Blob, LinkError> {
-    let (mut sender, mut receiver) = dial(source, from, TIMING).await?;
+    let (mut sender, mut receiver) = dial(source, from, TIMEOUTS).await?;
     sender.send(&ToNeighbour::Fetch(id)).await?;
     let FromNeighbour::Parcel(bytes) = receive(&mut receiver).await? else {
         return Err(LinkError::Closed);
     };
-    let parcel = Blob::new(bytes);
-    if parcel.id() == id { Ok(parcel) } else { Err(LinkError::Garbled) }
+    let blob = Blob::new(bytes);
+    if blob.id() == id { Ok(blob) } else { Err(LinkError::Garbled) }
 }
 
-/// Waits for an answer for as long as bytes come.
+/// Receives the answer; times out only when no byte arrives for [`READ_TIMEOUT`].
 async fn receive(receiver: &mut FrameReceiver) -> Result<FromNeighbour, LinkError> {
-    let mut silent_at = Instant::now() + SILENCE;
+    let mut timeout_at = Instant::now() + READ_TIMEOUT;
     loop {
         tokio::select! {
             received = receiver.receive() => return received,
-            () = tokio::time::sleep_until(silent_at) => {
-                silent_at = Instant::from(receiver.last_read_at() + SILENCE);
-                if silent_at <= Instant::now() {
+            () = tokio::time::sleep_until(timeout_at) => {
+                timeout_at = Instant::from(receiver.last_read_at() + READ_TIMEOUT);
+                if timeout_at <= Instant::now() {
                     return Err(LinkError::Timeout);
                 }
             }
