--- a/src/gateway/failback.rs
+++ b/src/gateway/failback.rs
@@ -1,5 +1,5 @@
-//! Looks whether a member that comes earlier in a gateway's order can be followed again, while another
-//! is followed.
+//! Failback to a preferred member: while a gateway is subscribed to one member, checks from time to time whether
+//! a member that comes earlier in the gateway's order is available again.
 
 use std::net::{IpAddr, SocketAddr};
 use std::time::Duration;
@@ -11,82 +11,85 @@
 use super::order::{Looks, MemberOrder};
 use crate::group::message::Subscription;
 
-/// Longest time for one member to answer a look.
-const LOOKS_FOR: Duration = Duration::from_millis(500);
+/// Timeout for the check of one member.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What becomes of looks.
+/// What [`Failback::next`] returns.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Look {
-    /// It is time for one.
-    Due,
-    /// This member can be followed.
-    Found(SocketAddr),
+pub(super) enum FailbackEvent {
+    /// A check is due.
+    CheckDue,
+    /// A check found that the gateway can subscribe to this earlier member.
+    Available(SocketAddr),
 }
 
-/// Looks at members now and then.
+/// Schedules and runs the checks.
 pub(super) struct Failback {
     source: Option<IpAddr>,
-    looks: Looks,
-    look_at: Instant,
-    /// The look that is under way; finds a member or none.
-    looking: JoinSet<Option<SocketAddr>>,
+    schedule: Looks,
+    next_check_at: Instant,
+    /// The running check, which finds an available member or none.
+    check: JoinSet<Option<SocketAddr>>,
 }
 
 impl Failback {
-    /// Connects from `source`, where one is set.
+    /// Checks connect from the address `source`, where one is set.
     pub(super) fn new(source: Option<IpAddr>) -> Self {
-        let look_at = Instant::now();
-        Failback { source, looks: Looks::default(), look_at, looking: JoinSet::new() }
+        let next_check_at = Instant::now();
+        Failback { source, schedule: Looks::default(), next_check_at, check: JoinSet::new() }
     }
 
-    /// A member is followed from now on.
-    pub(super) fn start(&mut self) {
-        // Dropped with what it may have found already.
-        self.looking = JoinSet::new();
-        self.pause();
+    /// Starts anew when the gateway has subscribed to a member: aborts a running check and drops its result.
+    pub(super) fn restart(&mut self) {
+        self.check = JoinSet::new();
+        self.schedule_next();
     }
 
-    /// Waits until it is time for a look, or until the look that is under way has found a member.
-    pub(super) async fn next(&mut self) -> Look {
+    /// Waits until a check is due, or until the running check has found an available member.
+    pub(super) async fn next(&mut self) -> FailbackEvent {
         loop {
-            if self.looking.is_empty() {
-                tokio::time::sleep_until(self.look_at).await;
-                return Look::Due;
+            if self.check.is_empty() {
+                tokio::time::sleep_until(self.next_check_at).await;
+                return FailbackEvent::CheckDue;
             }
-            if let Some(Ok(found)) = self.looking.join_next().await {
-                self.looks.note_made();
-                self.pause();
+            if let Some(Ok(found)) = self.check.join_next().await {
+                self.schedule.note_made();
+                self.schedule_next();
                 if let Some(member) = found {
-                    return Look::Found(member);
+                    return FailbackEvent::Available(member);
                 }
             }
         }
     }
 
-    /// Looks at the members that come before the current one, as one that subscribes.
-    pub(super) fn look(&mut self, order: &MemberOrder, subscription: Subscription) {
+    /// Starts a check of the members that come before the current one in `order`; `subscription` is what the gateway
+    /// would send them.
+    pub(super) fn start_check(&mut self, order: &MemberOrder, subscription: Subscription) {
         if order.earlier().is_empty() {
-            self.looks.reset();
-            return self.pause();
+            self.schedule.reset();
+            return self.schedule_next();
         }
         let (source, members) = (self.source, order.earlier().to_vec());
-        self.looking.spawn(async move { first_to_follow(source, members, subscription).await });
+        self.check.spawn(async move { first_available(source, members, subscription).await });
     }
 
-    fn pause(&mut self) {
-        self.look_at = Instant::now() + self.looks.pause(rand::random());
+    fn schedule_next(&mut self) {
+        self.next_check_at = Instant::now() + self.schedule.pause(rand::random());
     }
 }
 
-/// The first of the members that answers, hears a leader, and holds no less than the gateway.
-async fn first_to_follow(
+/// The first member that answers in time, has contact with a leader, and has a configuration at least as new as the
+/// gateway's.
+async fn first_available(
     source: Option<IpAddr>,
     members: Vec<SocketAddr>,
     subscription: Subscription,
 ) -> Option<SocketAddr> {
     for member in members {
-        let answered =
-            tokio::time::timeout(LOOKS_FOR, bootstrap::ask(source, member, &subscription));
+        let answered = tokio::time::timeout(
+            CHECK_TIMEOUT,
+            bootstrap::first_update(source, member, &subscription),
+        );
         if let Ok(Ok(first)) = answered.await
             && first.fresh
             && first.version >= subscription.version
--- a/src/gateway/subscriber.rs
+++ b/src/gateway/subscriber.rs
@@ -1,4 +1,5 @@
-//! Follows the members: which of them tells this gateway its news, and when it turns to another.
+//! Keeps this gateway subscribed to one of the members, from which it receives its updates, and decides when to
+//! subscribe to another one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,10 +10,10 @@
 use super::Gateway;
 use super::bootstrap::{self, Subscribed};
 use super::disconnect::Disconnect;
-use super::failback::{Failback, Look};
+use super::failback::{Failback, FailbackEvent};
 use super::mechanism::Mechanism;
 use super::order::MemberOrder;
-use super::update_receiver::{Fetched, UpdateReceiver};
+use super::update_receiver::{FetchResult, UpdateReceiver};
 use crate::clock::{Instant, Suspensions};
 use crate::group::loads::own_loads_interval;
 use crate::group::message::{FromMember, Subscription, ToMember, Update};
@@ -20,158 +21,161 @@
 use crate::link::{FrameReceiver, FrameSender, LinkError, LinkTimeouts};
 use crate::sync::{lock, read};
 
-/// Silence of a member after which another one is followed.
-const SILENCE: Duration = Duration::from_millis(1_000);
-/// How long a member that hears no leader is followed.
-const LEADERLESS: Duration = Duration::from_millis(800);
-/// Longest time in which the members that are asked at the start stay the same: others may have
-/// been named since.
-const LONGEST_RACE: Duration = Duration::from_secs(4);
-/// Pause after a member could not be followed.
-const PAUSE: Duration = Duration::from_millis(50);
-/// How fast connections to members give up.
-const TIMING: LinkTimeouts = LinkTimeouts {
+/// After this time without data from the member, the gateway subscribes to another one.
+const MEMBER_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// After the member's updates have reported no contact with a leader for this time, the gateway subscribes to another
+/// one.
+const LEADERLESS_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout for the first answer of any known member at the start. After it, all known members are asked again, which
+/// may be others by then.
+const RACE_TIMEOUT: Duration = Duration::from_secs(4);
+/// Delay before the next member after one that failed.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Timeouts of connections to members.
+const TIMEOUTS: LinkTimeouts = LinkTimeouts {
     connect: Duration::from_millis(200),
     unacknowledged: Duration::from_millis(1_000),
 };
 
-/// Follows members for ever.
+/// Subscribes to members, one after the other, until the process ends.
 pub(super) async fn run(gateway: Arc<Gateway>) {
     let seeds = lock(&gateway.seeds).clone();
     let Some(order) = MemberOrder::new(&gateway.settings.host, seeds) else {
-        error!(gateway.log, "no members to follow"; "event" => "no_members");
+        error!(gateway.log, "the settings name no members to subscribe to"; "event" => "no_members");
         return;
     };
-    let mut follower = Follower {
+    let mut subscriber = Subscriber {
         order,
-        news: UpdateReceiver::new(gateway.clone()),
+        updates: UpdateReceiver::new(gateway.clone()),
         failback: Failback::new(gateway.settings.source),
-        lost: false,
-        told_none: false,
+        unreachable: false,
+        reported_idle: false,
         suspensions: Suspensions::watch(),
-        heard: Heard { at: Instant::now(), ran: gateway.run_clock.ran() },
-        poison_told: 0,
+        last_data: LastData { at: Instant::now(), ran: gateway.run_clock.ran() },
+        poison_reported: 0,
         gateway,
     };
     loop {
-        let (member, left) = match follower.news.version() {
-            0 if follower.gateway.uses(Mechanism::Race) => follower.follow_first_to_tell().await,
-            _ => follower.follow_current().await,
+        let (member, reason) = match subscriber.updates.version() {
+            0 if subscriber.gateway.uses(Mechanism::Race) => subscriber.follow_first().await,
+            _ => subscriber.follow_current().await,
         };
-        follower.note_left(member, &left);
-        follower.learn(follower.order.from_current());
-        match left {
-            Disconnect::Earlier(earlier) => follower.order.turn_to(earlier),
-            // The same member tells all that is new, on a connection that holds nothing old.
+        subscriber.note_disconnected(member, &reason);
+        subscriber.set_members(subscriber.order.from_current());
+        match reason {
+            Disconnect::Earlier(earlier) => subscriber.order.turn_to(earlier),
+            // Subscribes to the same member again: a new connection carries only current data.
             Disconnect::Suspended(_) => {}
             _ => {
-                follower.order.turn_to_next();
-                tokio::time::sleep(PAUSE).await;
+                subscriber.order.turn_to_next();
+                tokio::time::sleep(RETRY_DELAY).await;
             }
         }
     }
 }
 
-/// For how long a member is followed.
+/// How long a subscription is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Until {
-    /// Until it can't be heard, or hears no leader.
+    /// Until the member is unresponsive or has no contact with a leader.
     Lost,
-    /// Until there is a configuration.
+    /// Until the gateway has received its first configuration.
     Configured,
 }
 
-/// What happens while a member is followed.
+/// What happens during a subscription.
 enum Event {
-    /// The member told something.
-    Told(Box<Update>),
-    /// A parcel was fetched from another gateway, or not.
-    Fetched(Fetched),
-    /// A look for an earlier member.
-    Look(Look),
-    /// This host was suspended for so long, and woke.
-    Woken(Duration),
-    /// It is time to tell what is in flight.
+    /// The member sent an update.
+    Update(Box<Update>),
+    /// A fetch from another gateway succeeded or failed.
+    Fetch(FetchResult),
+    /// A check for an earlier member is due, or found one.
+    Failback(FailbackEvent),
+    /// This host resumed after a suspension of this length.
+    Resumed(Duration),
+    /// It is time to report the requests in flight.
     LoadsDue,
-    /// A target ended under a request, or one that was suspected ended well.
+    /// A target crashed under a request, or a suspected request completed without a crash.
     Poison,
 }
 
-/// When a member was last heard: by the clock, and by the time that this process had run.
+/// When the member last sent data.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct LastData {
+    /// By the clock.
     at: Instant,
+    /// By the run time of this process.
     ran: Duration,
 }
 
-struct Follower {
+struct Subscriber {
     gateway: Arc<Gateway>,
-    /// Members that have been told of, and those of the settings.
+    /// Members that other members have announced, and those of the settings.
     order: MemberOrder,
-    news: UpdateReceiver,
+    updates: UpdateReceiver,
     failback: Failback,
-    /// Whether the members are out of reach, and that was logged.
-    lost: bool,
-    /// Whether the member knows that nothing is in flight here.
-    told_none: bool,
+    /// Whether the loss of all members has been logged, and contact not been restored since.
+    unreachable: bool,
+    /// Whether the last load report said that nothing is in flight here.
+    reported_idle: bool,
     suspensions: Suspensions,
-    /// When the member was last heard.
-    heard: Heard,
-    /// Up to which change the member knows under which requests targets ended here.
-    poison_told: u64,
+    last_data: LastData,
+    /// Change number up to which poison requests seen here have been reported to the member.
+    poison_reported: u64,
 }
 
-impl Follower {
-    /// Follows the member that it is the turn of; tells which, and why no longer.
+impl Subscriber {
+    /// Subscribes to the current member of the order; returns it, and why the subscription ended.
     async fn follow_current(&mut self) -> (SocketAddr, Disconnect) {
         let member = self.order.current();
         let subscription = self.subscription();
         let opened =
-            bootstrap::open(self.gateway.settings.source, member, &subscription, TIMING).await;
+            bootstrap::open(self.gateway.settings.source, member, &subscription, TIMEOUTS).await;
         match opened {
             Ok((sender, receiver)) => {
                 let subscribed = Subscribed { member, sender, receiver, first: None };
-                (member, self.stay(subscribed, Until::Lost).await)
+                (member, self.run_until_disconnect(subscribed, Until::Lost).await)
             }
             Err(error) => (member, Disconnect::Link(error)),
         }
     }
 
-    /// Takes the first configuration from whichever member tells one, and then follows the member that
-    /// it is the turn of.
+    /// Takes the first configuration from whichever member sends one, and then subscribes to the current member of the
+    /// order.
     ///
-    /// Most gateways of a start hear the same member first, the one that is up or leads before the
-    /// others: if all stayed with it, its link would carry every later change to all of them.
-    async fn follow_first_to_tell(&mut self) -> (SocketAddr, Disconnect) {
-        if let Err(error) = self.find_members().await {
+    /// When many gateways start together, most get the first answer from the same member, the one that is up or leads
+    /// before the others. If all stayed subscribed to it, its link would carry every later change to all of them.
+    async fn follow_first(&mut self) -> (SocketAddr, Disconnect) {
+        if let Err(error) = self.discover_members().await {
             return (self.order.current(), Disconnect::Link(error));
         }
         let members = self.order.from_current();
         let subscription = self.subscription();
         let racing =
-            bootstrap::first_to_tell(self.gateway.settings.source, &members, &subscription);
-        let Ok(subscribed) = tokio::time::timeout(LONGEST_RACE, racing).await else {
+            bootstrap::subscribe_to_first(self.gateway.settings.source, &members, &subscription);
+        let Ok(subscribed) = tokio::time::timeout(RACE_TIMEOUT, racing).await else {
             return (members[0], Disconnect::Link(LinkError::Timeout));
         };
         let member = subscribed.member;
         if member == members[0] {
-            return (member, self.stay(subscribed, Until::Lost).await);
+            return (member, self.run_until_disconnect(subscribed, Until::Lost).await);
         }
-        match self.stay(subscribed, Until::Configured).await {
+        match self.run_until_disconnect(subscribed, Until::Configured).await {
             Disconnect::First => self.follow_current().await,
-            left => (member, left),
+            reason => (member, reason),
         }
     }
 
-    /// Learns from whichever known member tells where all members are. A gateway that starts knows a few only, and the
-    /// links of those would carry the first lists of all gateways.
-    async fn find_members(&mut self) -> Result<(), LinkError> {
-        let (known, subscription) = (self.order.from_current(), self.subscription_to_look());
-        let naming = bootstrap::first_to_name(self.gateway.settings.source, &known, &subscription);
-        let named = tokio::time::timeout(LONGEST_RACE, naming).await;
-        let named = named.map_err(|_| LinkError::Timeout)?;
+    /// Asks the known members for the addresses of all members. A gateway that starts knows only the few in its
+    /// settings, and their links would have to carry the first target lists of all gateways.
+    async fn discover_members(&mut self) -> Result<(), LinkError> {
+        let (known, subscription) = (self.order.from_current(), self.query_subscription());
+        let racing =
+            bootstrap::discover_members(self.gateway.settings.source, &known, &subscription);
+        let members = tokio::time::timeout(RACE_TIMEOUT, racing).await;
+        let members = members.map_err(|_| LinkError::Timeout)?;
         self.gateway.heard_member.send_replace(true);
-        self.learn(named);
+        self.set_members(members);
         self.order.turn_to_first();
         Ok(())
     }
@@ -180,8 +184,8 @@
         Subscription {
             gateway: self.gateway.settings.host.clone(),
             knows: Level::NEWEST,
-            version: self.news.version(),
-            directory: self.news.directory(),
+            version: self.updates.version(),
+            directory: self.updates.directory(),
             evacuations: read(&self.gateway.targets).halls_revision(),
             rollouts: read(&self.gateway.targets).rollouts_revision(),
             data_hall: self.gateway.settings.data_hall.clone(),
@@ -190,113 +194,117 @@
         }
     }
 
-    /// A subscription that only looks, and neither passes parcels on nor is given any to fetch.
-    fn subscription_to_look(&self) -> Subscription {
+    /// A subscription that only asks for member addresses and contact with a leader; no blobs are sent for it, and this
+    /// gateway serves none to others through it.
+    fn query_subscription(&self) -> Subscription {
         Subscription { looks: true, passes_on_at: None, ..self.subscription() }
     }
 
-    /// Takes what a member tells; tells why no longer.
-    async fn stay(&mut self, subscribed: Subscribed, until: Until) -> Disconnect {
-        match self.take_news(subscribed, until).await {
-            Ok(left) => left,
+    /// Handles a subscription until it ends; returns why it ended.
+    async fn run_until_disconnect(&mut self, subscribed: Subscribed, until: Until) -> Disconnect {
+        match self.handle_events(subscribed, until).await {
+            Ok(reason) => reason,
             Err(error) => Disconnect::Link(error),
         }
     }
 
-    /// Takes what a member tells until it falls silent or hears no leader, or as long as is wanted.
-    async fn take_news(
+    /// Handles the events of a subscription, until the member is unresponsive, has no contact with a leader, or `until`
+    /// is reached.
+    async fn handle_events(
         &mut self,
         subscribed: Subscribed,
         until: Until,
     ) -> Result<Disconnect, LinkError> {
         let Subscribed { member, mut sender, mut receiver, first } = subscribed;
-        info!(self.gateway.log, "member followed"; "event" => "member_followed",
+        info!(self.gateway.log, "subscribed to a member"; "event" => "member_followed",
             "member" => %member, "until" => ?until, "version" => self.gateway.version());
-        self.news.forget_fetches();
-        self.failback.start();
+        self.updates.abort_fetches();
+        self.failback.restart();
         self.suspensions = Suspensions::watch();
-        // A member that has just started knows of nothing.
-        self.poison_told = 0;
-        self.tell_poison(&mut sender).await?;
+        // The member may just have started, with no reports at all.
+        self.poison_reported = 0;
+        self.report_poison(&mut sender).await?;
         let mut fresh_at = self.gateway.run_clock.ran();
         let mut loads_at = tokio::time::Instant::now() + self.loads_interval();
         if let Some(first) = first {
-            self.hear(member, first, &mut sender).await?;
+            self.apply_update(member, first, &mut sender).await?;
         }
-        while until == Until::Lost || self.news.version() == 0 {
+        while until == Until::Lost || self.updates.version() == 0 {
             match self.next_event(&mut receiver, loads_at).await? {
-                Event::Told(update) => {
-                    if self.hear(member, *update, &mut sender).await? {
+                Event::Update(update) => {
+                    if self.apply_update(member, *update, &mut sender).await? {
                         fresh_at = self.gateway.run_clock.ran();
-                    } else if self.gateway.run_clock.ran() >= fresh_at + LEADERLESS {
+                    } else if self.gateway.run_clock.ran() >= fresh_at + LEADERLESS_TIMEOUT {
                         return Ok(Disconnect::Leaderless);
                     }
                 }
-                Event::Woken(suspended) => return Ok(Disconnect::Suspended(suspended)),
-                Event::Fetched(fetched) => self.news.take_fetched(fetched, &mut sender).await?,
+                Event::Resumed(suspended) => return Ok(Disconnect::Suspended(suspended)),
+                Event::Fetch(result) => self.updates.apply_fetch(result, &mut sender).await?,
                 Event::LoadsDue => {
                     loads_at = tokio::time::Instant::now() + self.loads_interval();
-                    self.tell_loads(&mut sender).await?;
+                    self.report_loads(&mut sender).await?;
                 }
-                Event::Poison => self.tell_poison(&mut sender).await?,
-                Event::Look(Look::Due) => {
-                    self.failback.look(&self.order, self.subscription_to_look());
+                Event::Poison => self.report_poison(&mut sender).await?,
+                Event::Failback(FailbackEvent::CheckDue) => {
+                    self.failback.start_check(&self.order, self.query_subscription());
                 }
-                // What is on its way would be lost with the connection.
-                Event::Look(Look::Found(earlier)) if self.news.complete() => {
+                // Switches only when no data is in transit, which would be lost with the connection.
+                Event::Failback(FailbackEvent::Available(earlier))
+                    if self.updates.is_complete() =>
+                {
                     return Ok(Disconnect::Earlier(earlier));
                 }
-                Event::Look(Look::Found(_)) => {}
+                Event::Failback(FailbackEvent::Available(_)) => {}
             }
         }
         Ok(Disconnect::First)
     }
 
-    /// Waits for what happens next while a member is followed.
+    /// Waits for the next event of a subscription.
     ///
     /// # Errors
-    /// [`LinkError`] when the connection fails, or nothing has come for too long.
+    /// [`LinkError`] when the connection fails, or no data has arrived for [`MEMBER_TIMEOUT`].
     async fn next_event(
         &mut self,
         receiver: &mut FrameReceiver,
         loads_at: tokio::time::Instant,
     ) -> Result<Event, LinkError> {
         loop {
-            let left = SILENCE.saturating_sub(self.silent_for(receiver));
+            let remaining = MEMBER_TIMEOUT.saturating_sub(self.idle_time(receiver));
             let event = tokio::select! {
                 biased;
                 received = receiver.receive() => match received? {
-                    FromMember::Update(update) => Event::Told(update),
+                    FromMember::Update(update) => Event::Update(update),
                     FromMember::Reply { .. } => return Err(LinkError::Garbled),
                 },
                 () = self.gateway.poison_news.notified() => Event::Poison,
-                look = self.failback.next() => Event::Look(look),
-                fetched = self.news.fetched() => Event::Fetched(fetched),
+                event = self.failback.next() => Event::Failback(event),
+                result = self.updates.next_fetch() => Event::Fetch(result),
                 () = tokio::time::sleep_until(loads_at) => Event::LoadsDue,
-                () = self.gateway.run_clock.sleep(left) => {
-                    // A long frame may be on its way.
-                    if self.silent_for(receiver) >= SILENCE {
+                () = self.gateway.run_clock.sleep(remaining) => {
+                    // Parts of a long frame may have arrived meanwhile.
+                    if self.idle_time(receiver) >= MEMBER_TIMEOUT {
                         return Err(LinkError::Timeout);
                     }
                     continue;
                 }
             };
-            // Whatever woke this first: what it brings may be from before.
-            return Ok(self.suspensions.look().map_or(event, Event::Woken));
+            // After a suspension the event is dropped, whichever it is: its data may be from before.
+            return Ok(self.suspensions.look().map_or(event, Event::Resumed));
         }
     }
 
-    /// For how long the member has said nothing while this process ran.
-    fn silent_for(&mut self, receiver: &FrameReceiver) -> Duration {
+    /// Run time of this process since the member last sent data.
+    fn idle_time(&mut self, receiver: &FrameReceiver) -> Duration {
         let (at, ran) = (receiver.last_read_at(), self.gateway.run_clock.ran());
-        if at != self.heard.at {
-            self.heard = Heard { at, ran };
+        if at != self.last_data.at {
+            self.last_data = LastData { at, ran };
         }
-        ran.saturating_sub(self.heard.ran)
+        ran.saturating_sub(self.last_data.ran)
     }
 
-    /// Takes an update, and tells whether the member hears a leader.
-    async fn hear(
+    /// Applies an update, and returns whether the member has contact with a leader.
+    async fn apply_update(
         &mut self,
         member: SocketAddr,
         update: Update,
@@ -306,74 +314,79 @@
         self.gateway.heard_member.send_replace(true);
         if fresh {
             *lock(&self.gateway.fresh_at) = Some(Instant::now());
-            self.note_found(member);
+            self.note_reconnected(member);
         }
         if let Some(members) = &update.members {
-            self.learn(members.clone());
+            self.set_members(members.clone());
         }
-        self.news.take(member, update, sender).await?;
+        self.updates.apply(member, update, sender).await?;
         Ok(fresh)
     }
 
-    /// Time between two words about loads.
+    /// Interval between load reports.
     fn loads_interval(&self) -> Duration {
         own_loads_interval(self.gateway.gateways())
     }
 
-    /// Tells the member what this gateway has in flight, if that has changed or is not nothing.
-    async fn tell_loads(&mut self, sender: &mut FrameSender) -> Result<(), LinkError> {
+    /// Reports to the member what this gateway has in flight and how attempts ended. Sends nothing if there is nothing
+    /// to report and the last report said so.
+    async fn report_loads(&mut self, sender: &mut FrameSender) -> Result<(), LinkError> {
         let (loads, outcomes) = (self.gateway.tell_loads(), self.gateway.tell_outcomes());
         let keepers = lock(&self.gateway.keepers).tell();
         let tallies = self.gateway.tell_tallies();
-        let quiet = outcomes.is_empty() && keepers.is_empty() && tallies.is_empty();
-        if loads.is_empty() && quiet && self.told_none {
+        let no_events = outcomes.is_empty() && keepers.is_empty() && tallies.is_empty();
+        if loads.is_empty() && no_events && self.reported_idle {
             return Ok(());
         }
-        self.told_none = loads.is_empty();
+        self.reported_idle = loads.is_empty();
         let frame = ToMember::Loads { loads, outcomes, keepers, tallies };
         let sending = sender.send(&frame);
-        tokio::time::timeout(SILENCE, sending).await.map_err(|_| LinkError::Timeout)?
+        tokio::time::timeout(MEMBER_TIMEOUT, sending).await.map_err(|_| LinkError::Timeout)?
     }
 
-    /// Tells the member what it does not know yet of requests under which targets ended here. Such words are small,
-    /// and wait for nothing.
-    async fn tell_poison(&mut self, sender: &mut FrameSender) -> Result<(), LinkError> {
+    /// Sends the member the pending reports on poison requests seen here. They are small, and sent without delay.
+    async fn report_poison(&mut self, sender: &mut FrameSender) -> Result<(), LinkError> {
         loop {
-            let (word, upto) = self.gateway.poison_news_since(self.poison_told);
-            if word.is_empty() {
+            let (reports, upto) = self.gateway.poison_news_since(self.poison_reported);
+            if reports.is_empty() {
                 return Ok(());
             }
-            let frame = ToMember::Poison(word);
+            let frame = ToMember::Poison(reports);
             let sending = sender.send(&frame);
-            tokio::time::timeout(SILENCE, sending).await.map_err(|_| LinkError::Timeout)??;
-            self.poison_told = upto;
+            tokio::time::timeout(MEMBER_TIMEOUT, sending)
+                .await
+                .map_err(|_| LinkError::Timeout)??;
+            self.poison_reported = upto;
         }
     }
 
-    /// Remembers where members are, and keeps those of the settings.
-    fn learn(&mut self, mut members: Vec<SocketAddr>) {
+    /// Replaces the known members with these and those of the settings.
+    fn set_members(&mut self, mut members: Vec<SocketAddr>) {
         members.extend(lock(&self.gateway.seeds).iter());
         self.order.learn(members);
     }
 
-    fn note_found(&mut self, member: SocketAddr) {
-        if std::mem::replace(&mut self.lost, false) {
-            info!(self.gateway.log, "members in reach"; "event" => "members_found",
+    /// Logs that contact with the members is restored.
+    fn note_reconnected(&mut self, member: SocketAddr) {
+        if std::mem::replace(&mut self.unreachable, false) {
+            info!(self.gateway.log, "contact with the members restored"; "event" => "members_found",
                 "member" => %member);
         }
     }
 
-    /// Logs why a member is followed no longer, and once that all are out of reach.
-    fn note_left(&mut self, member: SocketAddr, why: &Disconnect) {
-        self.gateway.metrics.member_disconnected(why.label());
-        if !self.lost {
-            info!(self.gateway.log, "member left"; "event" => "member_left",
-                "member" => %member, "why" => %why);
+    /// Logs why a subscription ended, and once that no member is reachable.
+    fn note_disconnected(&mut self, member: SocketAddr, reason: &Disconnect) {
+        self.gateway.metrics.member_disconnected(reason.label());
+        if !self.unreachable {
+            info!(self.gateway.log, "subscription to a member ended"; "event" => "member_left",
+                "member" => %member, "why" => %reason);
         }
-        let long = lock(&self.gateway.fresh_at).is_none_or(|at| at.elapsed() >= SILENCE * 2);
-        if long && !std::mem::replace(&mut self.lost, true) {
-            warn!(self.gateway.log, "members out of reach"; "event" => "members_lost",
-                "member" => %member, "error" => %why, "version" => self.gateway.version());
+        let stale =
+            lock(&self.gateway.fresh_at).is_none_or(|at| at.elapsed() >= MEMBER_TIMEOUT * 2);
+        if stale && !std::mem::replace(&mut self.unreachable, true) {
+            warn!(self.gateway.log, "no contact with a member that has a leader";
+                "event" => "members_lost",
+                "member" => %member, "error" => %reason, "version" => self.gateway.version());
         }
     }
 }
