--- a/src/gateway/first_update.rs
+++ b/src/gateway/first_update.rs
@@ -1,10 +1,9 @@
-//! What becomes of requests that come before a gateway has its first configuration: they wait for it, or are
-//! refused at once.
+//! Requests that arrive before the gateway has its first configuration wait for it, or are refused at once.
 //!
-//! The load that this answers is the return of all power. Gateways listen some hundred milliseconds before the
-//! members have told them anything, the balancer sends them clients all the same since no other host is ready, and
-//! each of those clients has lost an answer just before: most come back once and no more. A refusal is then the
-//! last word for them, while the configuration is a tenth or two of a second away.
+//! This matters when all hosts start together after a power failure. Gateways listen some hundred milliseconds
+//! before the members send them anything, and the load balancer sends them clients all the same, since no other host
+//! is ready. Each of those clients has just lost an answer, and most retry only once. So a refusal is final for
+//! them, although the configuration arrives 0.1 to 0.2 s later.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,33 +12,35 @@
 use super::mechanism::Mechanism;
 use crate::route_table::RouteTable;
 
-/// Part of the time that a caller has left for which its request waits: the other three quarters are enough to come back
-/// to another gateway. With half of the time worth is the same within noise (docs/design/shifted-work.md).
-const LEFT_PART: u32 = 4;
+/// A request waits for at most 1/4 of the time left until its deadline. The other three quarters are enough for the
+/// client to retry at another gateway; waiting for half of the time gives the same result within noise
+/// (docs/design/shifted-work.md).
+const WAIT_DIVISOR: u32 = 4;
 
-/// How long a request waits for the first configuration of a gateway that has run for `up_for`, when first
-/// configurations come within `within` of a start; zero when it is refused at once.
+/// How long a request may wait for the first configuration; zero when it is refused at once.
 ///
-/// `left` is what the request has left of its own time.
-pub fn wait(within: Duration, up_for: Duration, left: Duration) -> Duration {
-    within.saturating_sub(up_for).min(left / LEFT_PART)
+/// `within` is the time after its start in which a gateway expects its first configuration, `up_for` the time since the
+/// start, and `left` the time until the request's deadline.
+pub fn max_wait(within: Duration, up_for: Duration, left: Duration) -> Duration {
+    within.saturating_sub(up_for).min(left / WAIT_DIVISOR)
 }
 
 impl Gateway {
-    /// The configuration in force, if need be after a wait for the first one; `None` when it does not come in time.
+    /// The configuration in force. Before the first one has arrived, waits for it; `None` when it does not arrive in
+    /// time. `left` is the time until the request's deadline.
     pub(super) async fn table_within(&self, left: Duration) -> Option<Arc<RouteTable>> {
         if let Some(table) = self.table() {
             return Some(table);
         }
         let within = Duration::from_millis(self.settings.first_news_within_ms);
-        let longest = wait(within, self.now(), left);
+        let longest = max_wait(within, self.now(), left);
         if longest.is_zero() || !self.uses(Mechanism::FirstNewsWait) {
             return None;
         }
         let mut tables = self.table.subscribe();
         let first = tables.wait_for(Option::is_some);
         let first = tokio::time::timeout(longest, first).await;
-        let table = first.ok().and_then(|told| told.ok()?.clone());
+        let table = first.ok().and_then(|received| received.ok()?.clone());
         self.metrics.waited_for_first_update(table.is_some());
         table
     }
--- a/src/gateway/update_receiver.rs
+++ b/src/gateway/update_receiver.rs
@@ -1,4 +1,5 @@
-//! What members tell: configurations, targets and loads, from themselves or by way of other gateways.
+//! Applies the updates that members push: configurations, targets, evacuations, roll-outs and loads. Large blobs are
+//! fetched from other gateways.
 
 use std::net::{IpAddr, SocketAddr};
 use std::sync::Arc;
@@ -18,21 +19,21 @@
 use crate::route_table::RouteTable;
 use crate::sync::{lock, read, write};
 
-/// A parcel that a member named, fetched from another gateway or not.
-pub(super) struct Fetched {
+/// The result of fetching a blob from another gateway.
+pub(super) struct FetchResult {
     id: BlobId,
     from: SocketAddr,
-    parcel: Result<Blob, LinkError>,
+    blob: Result<Blob, LinkError>,
 }
 
-/// What the gateway has been told.
+/// Receives updates of the member that the gateway is subscribed to, and applies them to the gateway's state.
 pub(super) struct UpdateReceiver {
     gateway: Arc<Gateway>,
-    /// The configuration, as the next difference builds on it.
+    /// The last configuration received, as the base of the next delta.
     document: Option<Document>,
     lateness: Lateness,
-    /// Parcels that are being fetched.
-    fetches: JoinSet<Fetched>,
+    /// Running fetches from other gateways.
+    fetches: JoinSet<FetchResult>,
 }
 
 impl UpdateReceiver {
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Version of the last configuration that came, be it readable or not; 0 for none.
+    /// Version of the last configuration received, even if it was not readable; 0 for none.
     pub(super) fn version(&self) -> u64 {
         self.document.as_ref().map_or(0, |document| document.version)
     }
@@ -55,35 +56,35 @@
         read(&self.gateway.targets).revision()
     }
 
-    /// Whether nothing is on its way that a member has told of.
-    pub(super) fn complete(&self) -> bool {
+    /// Whether no fetch is running and no member has announced a newer configuration.
+    pub(super) fn is_complete(&self) -> bool {
         self.fetches.is_empty() && self.lateness.told() <= self.version()
     }
 
-    /// Takes what an update of a member brings, or begins to fetch it.
+    /// Applies an update, and starts to fetch the blob that it refers to, if any.
     ///
     /// # Errors
-    /// [`LinkError`] when it can't be read, or the member can't be told that it came.
-    pub(super) async fn take(
+    /// [`LinkError`] when the update can't be decoded, or the acknowledgement can't be sent to the member.
+    pub(super) async fn apply(
         &mut self,
         member: SocketAddr,
         update: Update,
         sender: &mut FrameSender,
     ) -> Result<(), LinkError> {
-        if let Some(halls) = update.halls.clone().filter(|halls| self.lacks_halls(halls)) {
-            self.take_halls(halls, member, sender).await?;
+        if let Some(halls) = update.halls.clone().filter(|halls| self.needs_halls(halls)) {
+            self.apply_halls(halls, member, sender).await?;
         }
         if let Some(rollouts) = update.rollouts.clone() {
-            self.take_rollouts(rollouts, member);
+            self.apply_rollouts(rollouts, member);
         }
-        self.take_signs(&update);
-        let brings = !update.parcels.is_empty() || update.elsewhere.is_some();
-        if brings && !self.knows_orders() {
-            // Requests could reach a hall that is evacuated, or a version that was rolled back.
+        self.apply_state(&update);
+        let has_blob = !update.parcels.is_empty() || update.elsewhere.is_some();
+        if has_blob && !self.has_orders() {
+            // Otherwise requests could reach an evacuated data hall, or a version that was rolled back.
             return Err(LinkError::Garbled);
         }
         for bytes in update.parcels {
-            self.take_parcel(Blob::new(bytes), member, sender).await?;
+            self.apply_blob(Blob::new(bytes), member, sender).await?;
         }
         if let Some(elsewhere) = update.elsewhere {
             self.fetches.spawn(fetch(self.gateway.settings.source, elsewhere));
@@ -91,58 +92,58 @@
         Ok(())
     }
 
-    /// Waits for a parcel that another gateway passes on, for ever if none is to come.
-    pub(super) async fn fetched(&mut self) -> Fetched {
+    /// Waits for the next result of a running fetch; never returns while none runs.
+    pub(super) async fn next_fetch(&mut self) -> FetchResult {
         loop {
             match self.fetches.join_next().await {
-                Some(Ok(fetched)) => return fetched,
-                // Given up, with the member that named it.
+                Some(Ok(result)) => return result,
+                // Aborted, since the gateway has subscribed to another member meanwhile.
                 Some(Err(_)) => {}
                 None => std::future::pending().await,
             }
         }
     }
 
-    /// Gives up what is being fetched: another member names it anew.
-    pub(super) fn forget_fetches(&mut self) {
+    /// Aborts all fetches: the next member sends or announces the blobs again.
+    pub(super) fn abort_fetches(&mut self) {
         self.fetches.abort_all();
     }
 
-    /// Takes a parcel that was fetched, or tells the member that it could not be.
+    /// Applies a blob that was fetched, or reports to the member that the fetch failed.
     ///
     /// # Errors
-    /// [`LinkError`] when it can't be read, or the member can't be told.
-    pub(super) async fn take_fetched(
+    /// [`LinkError`] when the blob can't be decoded, or nothing can be sent to the member.
+    pub(super) async fn apply_fetch(
         &mut self,
-        fetched: Fetched,
+        result: FetchResult,
         sender: &mut FrameSender,
     ) -> Result<(), LinkError> {
-        self.gateway.metrics.blob_fetched(fetched.parcel.as_ref().err());
-        match fetched.parcel {
-            Ok(parcel) => self.take_parcel(parcel, fetched.from, sender).await,
+        self.gateway.metrics.blob_fetched(result.blob.as_ref().err());
+        match result.blob {
+            Ok(blob) => self.apply_blob(blob, result.from, sender).await,
             Err(error) => {
-                info!(self.gateway.log, "parcel not fetched"; "event" => "not_fetched",
-                    "from" => %fetched.from, "error" => %error);
-                sender.send(&ToMember::Lacks(fetched.id)).await
+                info!(self.gateway.log, "could not fetch a blob from a peer gateway";
+                    "event" => "not_fetched", "from" => %result.from, "error" => %error);
+                sender.send(&ToMember::Lacks(result.id)).await
             }
         }
     }
 
-    /// Takes what is in a parcel, keeps it for others if it is large, and tells the member so.
-    async fn take_parcel(
+    /// Applies a blob's content, caches a large blob for other gateways, and reports both to the member.
+    async fn apply_blob(
         &mut self,
-        parcel: Blob,
+        blob: Blob,
         from: SocketAddr,
         sender: &mut FrameSender,
     ) -> Result<(), LinkError> {
         let version = self.gateway.version();
-        match parcel.unpack()? {
-            Content::Document(packed) => self.take_document(&packed, from)?,
-            Content::Targets(packed) => self.take_targets(&packed, from)?,
+        match blob.unpack()? {
+            Content::Document(packed) => self.apply_document(&packed, from)?,
+            Content::Targets(packed) => self.apply_targets(&packed, from)?,
         }
-        if parcel.is_large() {
-            let id = parcel.id();
-            lock(&self.gateway.shelf).keep(parcel);
+        if blob.is_large() {
+            let id = blob.id();
+            lock(&self.gateway.shelf).insert(blob);
             sender.send(&ToMember::Has(id)).await?;
         }
         if self.gateway.version() != version {
@@ -151,7 +152,7 @@
         Ok(())
     }
 
-    fn take_targets(&self, packed: &PackedDelta, from: SocketAddr) -> Result<(), LinkError> {
+    fn apply_targets(&self, packed: &PackedDelta, from: SocketAddr) -> Result<(), LinkError> {
         let delta = packed.unpack()?;
         let mut targets = write(&self.gateway.targets);
         let changed = delta.changed.len() + delta.moved.len();
@@ -165,13 +166,14 @@
         Ok(())
     }
 
-    /// Whether word of orders about data halls may be new. Members of the first build always tell that there are none.
-    fn lacks_halls(&self, halls: &HallNews) -> bool {
+    /// Whether evacuation orders may be new to this gateway. Members of the first build always send revision 0, which
+    /// stands for no orders.
+    fn needs_halls(&self, halls: &HallNews) -> bool {
         halls.revision > 0 || read(&self.gateway.targets).halls_revision().is_none()
     }
 
-    /// Takes orders about data halls, and tells the member up to which one they are obeyed.
-    async fn take_halls(
+    /// Applies evacuation orders, and reports to the member up to which revision they are applied here.
+    async fn apply_halls(
         &self,
         halls: HallNews,
         from: SocketAddr,
@@ -182,39 +184,38 @@
         let evacuated: Vec<&str> = evacuated.map(|hall| hall.data_hall.as_str()).collect();
         let evacuated = evacuated.join(",");
         if write(&self.gateway.targets).obey(self.gateway.now(), halls) {
-            info!(self.gateway.log, "orders about data halls"; "event" => "evacuations",
+            info!(self.gateway.log, "evacuation orders applied"; "event" => "evacuations",
                 "revision" => revision, "evacuated" => evacuated, "from" => %from);
         }
-        let obeys = read(&self.gateway.targets).halls_revision().unwrap_or(0);
-        sender.send(&ToMember::Obeys(obeys)).await
+        let applied = read(&self.gateway.targets).halls_revision().unwrap_or(0);
+        sender.send(&ToMember::Obeys(applied)).await
     }
 
-    /// Whether anything was ever heard of orders about data halls and of roll-outs.
-    fn knows_orders(&self) -> bool {
+    /// Whether the gateway has received the state of both evacuations and roll-outs.
+    fn has_orders(&self) -> bool {
         let targets = read(&self.gateway.targets);
         targets.halls_revision().is_some() && targets.rollouts_revision().is_some()
     }
 
-    /// Takes word of roll-outs.
-    fn take_rollouts(&self, news: RolloutNews, from: SocketAddr) {
-        let told = news.rollouts.iter().map(|told| {
+    fn apply_rollouts(&self, update: RolloutNews, from: SocketAddr) {
+        let summaries = update.rollouts.iter().map(|rollout| {
             format!(
                 "{}:{}:{}:{}",
-                told.service,
-                told.version,
-                told.stage.label(),
-                told.stage.share()
+                rollout.service,
+                rollout.version,
+                rollout.stage.label(),
+                rollout.stage.share()
             )
         });
-        let (revision, told) = (news.revision, told.collect::<Vec<_>>().join(","));
-        if write(&self.gateway.targets).follow_rollouts(news) {
-            info!(self.gateway.log, "roll-outs"; "event" => "rollouts", "revision" => revision,
-                "rollouts" => told, "from" => %from);
+        let (revision, summary) = (update.revision, summaries.collect::<Vec<_>>().join(","));
+        if write(&self.gateway.targets).follow_rollouts(update) {
+            info!(self.gateway.log, "roll-out states applied"; "event" => "rollouts", "revision" => revision,
+                "rollouts" => summary, "from" => %from);
         }
     }
 
-    /// Takes what an update tells besides parcels.
-    fn take_signs(&mut self, update: &Update) {
+    /// Applies what an update carries besides blobs and orders.
+    fn apply_state(&mut self, update: &Update) {
         let held = self.version();
         self.lateness.hear(self.gateway.now(), update.fresh, update.version, held);
         self.gateway.metrics.version_announced.set(self.lateness.told() as i64);
@@ -234,12 +235,12 @@
         let before = self.gateway.gateways.swap(update.gateways, Ordering::Relaxed);
         if before != update.gateways {
             self.gateway.metrics.gateways.set(i64::from(update.gateways));
-            info!(self.gateway.log, "gateways alive"; "event" => "gateways",
+            info!(self.gateway.log, "number of live gateways changed"; "event" => "gateways",
                 "gateways" => update.gateways, "before" => before);
         }
     }
 
-    fn take_document(
+    fn apply_document(
         &mut self,
         packed: &PackedDocument,
         from: SocketAddr,
@@ -265,7 +266,7 @@
                     "waited_ms" => waited.map(|waited| waited.as_millis() as u64));
             }
             Err(faults) => {
-                warn!(self.gateway.log, "configuration can't be read";
+                warn!(self.gateway.log, "configuration is not readable; keeping the one in force";
                     "event" => "configuration_unreadable", "version" => document.version,
                     "fault" => %faults[0]);
             }
@@ -275,9 +276,9 @@
     }
 }
 
-/// Fetches a parcel from another gateway.
-async fn fetch(source: Option<IpAddr>, elsewhere: Elsewhere) -> Fetched {
+/// Fetches a blob from the gateway that the member assigned.
+async fn fetch(source: Option<IpAddr>, elsewhere: Elsewhere) -> FetchResult {
     let Elsewhere { parcel: id, at: from } = elsewhere;
-    let parcel = peers::fetch(source, from, id).await;
-    Fetched { id, from, parcel }
+    let blob = peers::fetch(source, from, id).await;
+    FetchResult { id, from, blob }
 }
--- a/tests/gateway/first_news.rs
+++ b/tests/gateway/first_news.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use latchmount::gateway::first_update::wait;
+use latchmount::gateway::first_update::max_wait;
 use latchmount::gateway::reason::{Outlook, Refusal};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -81,7 +81,7 @@
     let first = seeds::seed();
     for seed in first..first + SEEDS {
         let refusing = play(seed, |_, _| Duration::ZERO);
-        let waiting = play(seed, |up_for, left| wait(WITHIN, up_for, left));
+        let waiting = play(seed, |up_for, left| max_wait(WITHIN, up_for, left));
         println!("seed {seed}: refusing {refusing:?}, waiting {waiting:?}");
         assert!(refusing.refused > CALLERS / 4, "seed {seed}: {refusing:?}");
         assert!(waiting.refused * 6 < refusing.refused, "seed {seed}: {waiting:?}");
@@ -99,11 +99,11 @@
 #[case::whose_time_is_over(0, 0, 0)]
 fn a_request_waits(#[case] up_ms: u64, #[case] left_ms: u64, #[case] waits_ms: u64) {
     let ms = Duration::from_millis;
-    assert_eq!(wait(WITHIN, ms(up_ms), ms(left_ms)), ms(waits_ms));
+    assert_eq!(max_wait(WITHIN, ms(up_ms), ms(left_ms)), ms(waits_ms));
 }
 
 #[test]
 fn without_an_expected_time_nobody_waits() {
     let long = Duration::from_secs(60);
-    assert_eq!(wait(Duration::ZERO, Duration::ZERO, long), Duration::ZERO);
+    assert_eq!(max_wait(Duration::ZERO, Duration::ZERO, long), Duration::ZERO);
 }
