--- a/src/gateway/prefix_source.rs
+++ b/src/gateway/prefix_source.rs
@@ -1,5 +1,5 @@
-//! Where a chosen target may fetch what it lacks of a prompt: from whoever gateways told of, from its home in an
-//! evacuated hall or at rest, or from whoever most likely keeps it.
+//! Selects the target from which the chosen target may fetch the cached prefix of a prompt: a prefix holder that
+//! gateways reported, the prompt's home if that is evacuated or backing off, or the most likely holder.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,95 +14,99 @@
 use crate::group::loads::LoadKey;
 use crate::sync::lock;
 
-/// How long after its hall was taken back into use a target is thought to lack what others read meanwhile.
-const RETURNED_FOR: Duration = Duration::from_secs(20);
+/// After the evacuation of its data hall was withdrawn, a target is assumed for this long to lack the prefixes that
+/// others have processed meanwhile.
+const RETURN_WINDOW: Duration = Duration::from_secs(20);
 
-/// What a search for a source goes by.
+/// Input of the search for a source.
 pub(super) struct PrefixSearch<'a> {
     pub(super) now: Duration,
     pub(super) known: &'a Targets,
     /// All targets of the service.
     pub(super) of_service: &'a [Arc<Target>],
-    /// Those that could have been chosen.
+    /// Targets that could have been chosen.
     pub(super) targets: &'a [&'a Arc<Target>],
-    /// The same, as they were weighed.
+    /// The same targets in the same order, as the balancer saw them.
     pub(super) candidates: &'a [Candidate],
-    /// Which of them was chosen.
+    /// Index of the chosen target.
     pub(super) chosen: usize,
-    /// What the request shares with others.
+    /// Prompt prefix that the request shares with earlier ones.
     pub(super) affinity: Affinity,
 }
 
-/// What gateways told of a prompt.
-enum Told<'a> {
-    /// Nothing that is of use.
-    Nothing,
-    /// The chosen target keeps it.
+/// Prefix holder of a prompt, from the reports of gateways.
+enum Reported<'a> {
+    /// No usable holder was reported.
+    Nobody,
+    /// The chosen target holds the prefix itself.
     Chosen,
-    /// This one does.
+    /// Another target holds it.
     Other(&'a Arc<Target>),
 }
 
 impl Gateway {
-    /// The target to fetch from, if any is worth naming.
+    /// The target to fetch the prefix from, if one is likely to have it.
     pub(super) fn prefix_source<'a>(&self, search: &PrefixSearch<'a>) -> Option<&'a Arc<Target>> {
-        match self.told_keeper(search) {
-            Told::Chosen => None,
-            Told::Other(keeper) => Some(keeper),
-            Told::Nothing if self.uses(Mechanism::FetchOut) => {
-                self.home_away(search).or_else(|| search.likely(search.returned_lately()))
-            }
-            Told::Nothing => search.likely(false),
+        match self.reported_holder(search) {
+            Reported::Chosen => None,
+            Reported::Other(holder) => Some(holder),
+            Reported::Nobody if self.uses(Mechanism::FetchOut) => self
+                .unavailable_home(search)
+                .or_else(|| search.likely_holder(search.returned_recently())),
+            Reported::Nobody => search.likely_holder(false),
         }
     }
 
-    /// Of the keepers that gateways told of the newest, one in the data hall of the chosen target first.
-    fn told_keeper<'a>(&self, search: &PrefixSearch<'a>) -> Told<'a> {
+    /// The holder that gateways reported last, those in the chosen target's data hall first. Unresponsive and ejected
+    /// targets are left out.
+    fn reported_holder<'a>(&self, search: &PrefixSearch<'a>) -> Reported<'a> {
         if !self.uses(Mechanism::Keepers) {
-            return Told::Nothing;
+            return Reported::Nobody;
         }
         let prompt = PromptKey::of(search.affinity.hash);
-        let told: Vec<LoadKey> = lock(&self.keepers).of(search.now, prompt).collect();
+        let reported: Vec<LoadKey> = lock(&self.keepers).of(search.now, prompt).collect();
         let chosen = search.chosen();
-        if told.contains(&LoadKey::of(chosen.key)) {
-            return Told::Chosen;
+        if reported.contains(&LoadKey::of(chosen.key)) {
+            return Reported::Chosen;
         }
-        let sound = |target: &&Arc<Target>| !target.silent() && !target.health().paused(search.now);
-        let keepers = told.iter().filter_map(|told| {
-            let mut sound = search.of_service.iter().filter(sound);
-            sound.find(|target| LoadKey::of(target.key) == *told)
+        let usable =
+            |target: &&Arc<Target>| !target.silent() && !target.health().paused(search.now);
+        let holders = reported.iter().filter_map(|key| {
+            let mut usable = search.of_service.iter().filter(usable);
+            usable.find(|target| LoadKey::of(target.key) == *key)
         });
-        let keepers: Vec<&Arc<Target>> = keepers.collect();
-        let near = keepers.iter().find(|keeper| keeper.hall == chosen.hall);
-        near.or(keepers.first()).map_or(Told::Nothing, |keeper| Told::Other(keeper))
+        let holders: Vec<&Arc<Target>> = holders.collect();
+        let near = holders.iter().find(|holder| holder.hall == chosen.hall);
+        near.or(holders.first()).map_or(Reported::Nobody, |holder| Reported::Other(holder))
     }
 
-    /// The prompt's home, if that keeps it and is sent nothing: it stands in an evacuated hall, rests, or turns requests away.
-    fn home_away<'a>(&self, search: &PrefixSearch<'a>) -> Option<&'a Arc<Target>> {
-        let homes = self.uses(Mechanism::Homes);
-        let keeps = |target: &&Arc<Target>| match target.standing(search.now) {
+    /// The prompt's home, if it still runs but gets no requests: its data hall is evacuated, it is backing off, or it
+    /// turns requests away.
+    fn unavailable_home<'a>(&self, search: &PrefixSearch<'a>) -> Option<&'a Arc<Target>> {
+        let uses_homes = self.uses(Mechanism::Homes);
+        let unavailable = |target: &&Arc<Target>| match target.standing(search.now) {
             Standing::Evacuated | Standing::Resting { .. } => true,
             Standing::Leaving => false,
             Standing::Open | Standing::Returning { .. } => target.health().turns_away(search.now),
         };
         let others = search.of_service.iter().filter(|target| target.key != search.chosen().key);
-        let keepers: Vec<&Arc<Target>> = others.filter(keeps).collect();
-        if keepers.is_empty() {
+        let others: Vec<&Arc<Target>> = others.filter(unavailable).collect();
+        if others.is_empty() {
             return None;
         }
-        let away = keepers.iter().map(|target| Candidate {
+        let homes = others.iter().map(|target| Candidate {
             key: target.key,
-            home: target.home().filter(|_| homes),
+            home: target.home().filter(|_| uses_homes),
             load: 0.0,
             slots: target.announcement.slots,
             strain: 1.0,
             near: false,
             doubtful: false,
         });
-        let away: Vec<Candidate> = away.collect();
-        let sound = search.candidates.iter().filter(|candidate| !candidate.doubtful);
-        let sound: Vec<Candidate> = sound.copied().collect();
-        earlier_home(&sound, &away, search.affinity).map(|at| keepers[at])
+        let homes: Vec<Candidate> = homes.collect();
+        let usable = search.candidates.iter().filter(|candidate| !candidate.doubtful);
+        let usable: Vec<Candidate> = usable.copied().collect();
+        earlier_home(&usable, &homes, search.affinity).map(|at| others[at])
     }
 }
 
@@ -111,22 +115,22 @@
         self.targets[self.chosen]
     }
 
-    /// Who most likely keeps what the chosen target may lack: for the first home of an affinity only while it is new
-    /// there, or has just returned.
-    fn likely(&self, returned_lately: bool) -> Option<&'a Arc<Target>> {
+    /// The most likely holder of a prefix that the chosen target may lack. If the chosen target is the home of the
+    /// affinity, it may lack the prefix only while it is new as that home, or has just returned.
+    fn likely_holder(&self, returned_recently: bool) -> Option<&'a Arc<Target>> {
         let (candidates, chosen, affinity) = (self.candidates, self.chosen, self.affinity);
         let other = || likely_keeper(candidates, chosen, affinity).map(|at| self.targets[at]);
-        if returned_lately || !is_first_home(candidates, chosen, affinity) {
+        if returned_recently || !is_first_home(candidates, chosen, affinity) {
             return other();
         }
         let former = self.known.moved_in_lately(self.chosen())?;
         former.or_else(other)
     }
 
-    /// Whether the chosen target's hall was taken back into use a short time ago: others have served its affinities
-    /// meanwhile.
-    fn returned_lately(&self) -> bool {
+    /// Whether the evacuation of the chosen target's data hall was withdrawn within [`RETURN_WINDOW`]. Other targets
+    /// served its affinities meanwhile.
+    fn returned_recently(&self) -> bool {
         let returned_at = self.chosen().warmth().returned_at();
-        returned_at.is_some_and(|at| self.now < at + RETURNED_FOR)
+        returned_at.is_some_and(|at| self.now < at + RETURN_WINDOW)
     }
 }
