--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -21,16 +21,16 @@
     streams_cut: IntCounterVec,
     probes: IntCounterVec,
     poison_cleared: IntCounter,
-    /// Requests under which targets ended, forgotten for want of room.
+    /// Poison requests forgotten because the list was full.
     pub(super) poison_dropped: IntCounter,
-    /// Requests under which targets ended.
+    /// Poison requests remembered: those under which targets crashed.
     pub(super) poison_known: IntGauge,
-    /// Requests that are sent nowhere.
+    /// Poison requests that are sent to no target.
     pub(super) poison_blocked: IntGauge,
     streams_resumed: IntCounter,
     clients_disconnected: IntCounter,
     clients_cut: IntCounterVec,
-    /// Bytes held for clients.
+    /// Bytes of requests and answers buffered for clients.
     pub(super) held_bytes: IntGauge,
     answer_seconds: HistogramVec,
     whole_answer_seconds: HistogramVec,
@@ -46,26 +46,26 @@
     blob_requests: IntCounterVec,
     blob_fetches: IntCounterVec,
     member_disconnects: IntCounterVec,
-    /// Time since the last news of a leader, in seconds.
+    /// Seconds since the last update of a member that has contact with a leader; -1 before the first.
     pub(super) update_age: Gauge,
-    /// Time in which this process stood still, in seconds.
+    /// Seconds in which this process was paused.
     pub(super) paused: Gauge,
     /// Revision of the directory.
     pub(super) revision: IntGauge,
     /// Version of the configuration in force.
     pub(super) version: IntGauge,
-    /// Newest version that a member told of.
+    /// Newest configuration version that a member has announced.
     pub(super) version_announced: IntGauge,
-    /// How late configurations came into force here, at most.
+    /// Upper bound of the delay with which configurations came into force here.
     pub(super) in_force: Histogram,
-    /// Targets known.
+    /// Number of targets in the directory.
     pub(super) targets: IntGauge,
-    /// Gateways alive.
+    /// Number of live gateways.
     pub(super) gateways: IntGauge,
 }
 
 impl GatewayMetrics {
-    /// Metrics that start at zero.
+    /// Registers all metrics, at zero.
     pub(super) fn new() -> Result<Self, prometheus::Error> {
         let set = MetricSet::default();
         let metrics = GatewayMetrics {
@@ -246,18 +246,18 @@
         Ok(metrics)
     }
 
-    /// Another gateway asked for a parcel.
+    /// Counts a peer gateway's request for a blob; `had` says whether it was in the cache.
     pub(super) fn blob_requested(&self, had: bool) {
         self.blob_requests.with_label_values(&[if had { "yes" } else { "no" }]).inc();
     }
 
-    /// A parcel was fetched from another gateway, or could not be.
+    /// Counts a fetch of a blob from a peer gateway, which failed if there is an `error`.
     pub(super) fn blob_fetched(&self, error: Option<&LinkError>) {
         let outcome = error.map_or("fetched", LinkError::label);
         self.blob_fetches.with_label_values(&[outcome]).inc();
     }
 
-    /// A member is followed no longer.
+    /// Counts the end of a subscription to a member.
     pub(super) fn member_disconnected(&self, reason: &str) {
         self.member_disconnects.with_label_values(&[reason]).inc();
     }
@@ -274,7 +274,7 @@
         self.refused.with_label_values(&[refusal.code()]).inc();
     }
 
-    /// A request waited for the first configuration, which came in time or did not.
+    /// Counts a request that waited for the first configuration; `came` says whether that arrived in time.
     pub(super) fn waited_for_first_update(&self, came: bool) {
         self.first_update_waits.with_label_values(&[if came { "yes" } else { "no" }]).inc();
     }
@@ -295,42 +295,42 @@
         self.clients_disconnected.inc();
     }
 
-    /// The connection of a slow client was cut.
+    /// Counts a slow client whose connection was closed.
     pub(super) fn client_cut(&self, why: &str) {
         self.clients_cut.with_label_values(&[why]).inc();
     }
 
-    /// An attempt ended; `outcome` is a status or a reason.
+    /// Counts an attempt; `outcome` is an HTTP status or the reason of a failure.
     pub(super) fn attempt_ended(&self, service: &str, outcome: &str) {
         self.attempts.with_label_values(&[service, outcome]).inc();
     }
 
-    /// A request goes to a target that is slow after a start, or may be.
+    /// Counts a request to a target that is cold, or may be.
     pub(super) fn cold_attempt(&self, service: &str) {
         self.cold_attempts.with_label_values(&[service]).inc();
     }
 
-    /// An answer says that its target is about to leave.
+    /// Counts an answer whose headers say that the target is about to shut down.
     pub(super) fn draining_announced(&self, service: &str) {
         self.draining_answers.with_label_values(&[service]).inc();
     }
 
-    /// A target that turned a request away wants nothing more for a while.
+    /// Counts an answer with which a target turned the request away and asked for a back-off.
     pub(super) fn backoff_requested(&self, service: &str) {
         self.backoffs.with_label_values(&[service]).inc();
     }
 
-    /// A header of an answer that nothing reads.
+    /// Counts a header of the dialect in a target's answer that no code reads.
     pub(super) fn unread_header(&self, name: &str) {
         self.unread_headers.with_label_values(&[name]).inc();
     }
 
-    /// A target was left because of what all gateways saw.
+    /// Counts a target that was ejected because of what all gateways together observed.
     pub(super) fn ejected_by_fleet(&self, service: &str) {
         self.fleet_ejections.with_label_values(&[service]).inc();
     }
 
-    /// A connection was opened, or could not be.
+    /// Records the time that it took to open a connection to a target, or to fail.
     pub(super) fn connected(&self, opened: Result<(), ConnectError>, time: Duration) {
         let outcome = match opened {
             Ok(()) => "open",
@@ -344,12 +344,12 @@
         self.connect_seconds.with_label_values(&[outcome]).observe(time.as_secs_f64());
     }
 
-    /// A request under which a target ended has ended well.
+    /// Counts a request that was cleared of suspicion: a target crashed under it, and it was answered in full later.
     pub(super) fn poison_cleared(&self) {
         self.poison_cleared.inc();
     }
 
-    /// A target whose answer broke off was looked at.
+    /// Counts the probe of a target whose answer broke off.
     pub(super) fn target_probed(&self, service: &str, found: Found) {
         let found = match found {
             Found::Ended => "ended",
@@ -359,22 +359,23 @@
         self.probes.with_label_values(&[service, found]).inc();
     }
 
-    /// The budget allowed a further attempt, or did not.
+    /// Counts a retry that the budget allowed or did not allow.
     pub(super) fn retried(&self, service: &str, allowed: bool) {
         let counter = if allowed { &self.retries } else { &self.retries_withheld };
         counter.with_label_values(&[service]).inc();
     }
 
-    /// The end of an answer went out.
+    /// Records the time from a request's head to the end of its answer.
     pub(super) fn answer_ended(&self, service: &str, time: Duration) {
         self.whole_answer_seconds.with_label_values(&[service]).observe(time.as_secs_f64());
     }
 
+    /// Records the time from a request's head to the start of its answer; for a stream, to the first event.
     pub(super) fn answer_started(&self, service: &str, time: Duration) {
         self.answer_seconds.with_label_values(&[service]).observe(time.as_secs_f64());
     }
 
-    /// The text for a scrape.
+    /// The metrics in the Prometheus text format.
     pub(super) fn render(&self) -> Vec<u8> {
         self.set.render()
     }
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -10,23 +10,23 @@
 use crate::checks::Checks;
 use crate::jsonc::{Fault, Validate};
 
-/// Bytes of a KiB and a MiB.
+/// Bytes in a KiB and in a MiB.
 const KIB: usize = 1_024;
 const MIB: usize = 1_024 * KIB;
-/// Tenths of the memory that may be held for clients; buffers of connections come on top. With a list of 9,999 targets a
-/// gateway takes 14 MB of 160 without any.
+/// Tenths of the process's memory that may be used for clients' requests and answers; connection buffers come on top.
+/// Without any of them, a gateway with 9,999 targets uses 14 MB of 160.
 const HELD_MEMORY_TENTHS: usize = 4;
-/// Least memory that a gateway runs in, in MiB.
+/// Lower limit of `memory_mb`, in MiB.
 const MIN_MEMORY_MB: usize = 32;
 
-/// What a gateway does when it has long heard no member that hears a leader.
+/// What a gateway does when it has had no update of a member with contact to a leader for `stale_after_ms`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OnStale {
-    /// Refuse requests, so that an accepted change is in force wherever requests are served.
+    /// Refuse requests, so that every gateway that serves requests has applied all accepted changes.
     #[default]
     Refuse,
-    /// Serve on what was last known.
+    /// Continue to serve with the last known state.
     Serve,
 }
 
@@ -40,57 +40,57 @@
     pub data_hall: String,
     /// Data halls of the system, with their regions.
     pub data_halls: BTreeMap<String, String>,
-    /// Where clients connect.
+    /// Address on which clients connect.
     pub listen: Option<SocketAddr>,
-    /// Address that this host connects from, when the system's choice is not right.
+    /// Source address of outgoing connections, where the operating system would choose a wrong one.
     pub source: Option<IpAddr>,
-    /// Where the balancer asks whether this gateway is ready.
+    /// Address of the readiness endpoint for the load balancer.
     pub ready_listen: Option<SocketAddr>,
-    /// Where metrics are served, if anywhere.
+    /// Address on which metrics are served; none without one.
     pub metrics_listen: Option<SocketAddr>,
-    /// Addresses of some members, as operators reach them.
+    /// API addresses of some members, the same that operators use.
     pub members: Vec<SocketAddr>,
-    /// Port of members for gateways, and of gateways for each other, the same on every host.
+    /// Port on which members take connections of gateways, and gateways those of each other; the same on every host.
     pub peer_port: u16,
-    /// What to do without news.
+    /// What to do without updates.
     pub on_stale: OnStale,
-    /// Time without news from which the gateway's beliefs are stale.
+    /// Time without updates after which the gateway's state counts as stale.
     pub stale_after_ms: u64,
-    /// Further arrivals at a service, as a part of the requests for it.
+    /// Retry budget: retries allowed per request to a service.
     pub retry_ratio: f64,
-    /// Length of the window that the budget of retries holds for, in seconds.
+    /// Length of the retry budget's window, in seconds.
     pub retry_window_s: f64,
-    /// Further arrivals at a service in a window beyond the ratio, for all gateways together.
+    /// Retries allowed to a service per window in addition to the ratio, for all gateways together.
     pub retry_slack: f64,
-    /// No engine gets more than this multiple of the mean load, and some.
+    /// Bounded-load factor: an engine gets at most this multiple of the mean load, plus a small constant.
     pub load_bound: f64,
-    /// Multiple of the stated rate that a target may get from all gateways while it is slow after its start.
+    /// A cold target may get this multiple of its service's `cold_per_s` from all gateways together.
     pub cold_over: f64,
-    /// Requests beyond that multiple in any second.
+    /// Requests in any second that a cold target may get in addition to that multiple.
     pub cold_slack: f64,
-    /// Longest time to connect to a target.
+    /// Timeout for connections to targets.
     pub connect_timeout_ms: u64,
-    /// Longest time that bytes sent to a target stay unacknowledged.
+    /// A connection to a target fails when sent bytes stay unacknowledged for this long.
     pub unacknowledged_ms: u64,
-    /// Time after its start within which a gateway expects its first configuration; requests that come before that
-    /// wait for it, afterwards they are refused at once. 0: they never wait. After a loss of all power configurations came
-    /// 0.2 to 0.7 s after the start of 65 gateways.
+    /// Time after its start within which a gateway expects its first configuration. Until then requests wait for the
+    /// configuration, afterwards they are refused at once; with 0 they never wait. When 65 gateways started together
+    /// after a power failure, their configurations arrived after 0.2 to 0.7 s.
     pub first_news_within_ms: u64,
-    /// Longest time that a planned stop takes.
+    /// Upper limit for the duration of a planned stop.
     pub stop_within_ms: u64,
-    /// Descriptors that the process may use.
+    /// File descriptors that the process may use.
     pub max_descriptors: usize,
-    /// Memory that the process may use, in MiB; four tenths of it are for bodies of requests and answers that clients
-    /// send or read slowly.
+    /// Memory that the process may use, in MiB. Four tenths of it are for the bodies of requests and answers that
+    /// clients send or read slowly.
     pub memory_mb: usize,
-    /// Most of an answer that is kept for a client that reads it slowly, in KiB, so that its target is done meanwhile.
+    /// Buffer for the answer to a client that reads slowly, in KiB, so that its target can finish earlier.
     pub client_buffer_kb: usize,
-    /// Longest time that a client with a full buffer reads nothing before its connection is cut, in milliseconds: its
-    /// target waits as well, and gives up after some seconds.
+    /// A client whose buffer is full and that reads nothing for this long is disconnected, in milliseconds. Its target
+    /// waits meanwhile, and would time out after some seconds.
     pub client_unread_ms: u64,
-    /// Most that bodies of requests under way at one target have together, from all gateways, in KiB.
+    /// Upper limit for the bodies of all requests in flight at one target, from all gateways together, in KiB.
     pub target_bodies_kb: usize,
-    /// Mechanisms that are left out, to see what each is worth; none in service.
+    /// Mechanisms that are switched off, to measure the effect of each; empty in production.
     pub without: Vec<Mechanism>,
 }
 
@@ -129,27 +129,28 @@
 }
 
 impl GatewaySettings {
-    /// Where the members in the settings are reached by gateways.
+    /// Addresses of the members in the settings for connections of gateways.
     pub fn member_peers(&self) -> Vec<SocketAddr> {
         self.members.iter().map(|member| SocketAddr::new(member.ip(), self.peer_port)).collect()
     }
 
-    /// Where other gateways fetch news from this one.
+    /// Address on which other gateways fetch blobs from this one.
     pub fn peer_listen(&self) -> Option<SocketAddr> {
         self.listen.map(|listen| SocketAddr::new(listen.ip(), self.peer_port))
     }
 
-    /// Most that is held for clients, in bytes.
+    /// Limit for the bytes of requests and answers buffered for all clients.
     pub fn max_held_bytes(&self) -> usize {
         self.memory_mb.saturating_mul(MIB) / 10 * HELD_MEMORY_TENTHS
     }
 
-    /// Most of an answer that is kept for one client, in bytes.
+    /// Limit for the buffered part of the answer to one client, in bytes.
     pub fn client_buffer_bytes(&self) -> usize {
         self.client_buffer_kb.saturating_mul(KIB)
     }
 
-    /// Most that bodies of requests of one of so many gateways have together at a target, in bytes.
+    /// This gateway's share of the limit for bodies of requests in flight at one target, in bytes, when there are
+    /// `gateways` of them.
     pub fn max_target_body_bytes(&self, gateways: u32) -> usize {
         self.target_bodies_kb.saturating_mul(KIB) / (gateways.max(1) as usize)
     }
@@ -159,7 +160,7 @@
         !self.without.contains(&mechanism)
     }
 
-    /// Longest time to connect to a target.
+    /// Timeout for connections to targets.
     pub fn connect_timeout(&self) -> Duration {
         Duration::from_millis(self.connect_timeout_ms)
     }
