--- a/src/link.rs
+++ b/src/link.rs
@@ -1,7 +1,7 @@
-//! Framed connections between the processes of the project.
+//! Framed TCP connections between members and gateways.
 //!
-//! A frame is a length, a byte that tells whether the rest is compressed, and a [`Message`].
-//! Connections give up soon when the other side falls silent, since a cut network says nothing.
+//! A frame is a length, a byte that says whether the rest is compressed, and a [`Message`]. Connections have
+//! short timeouts, since a network partition closes no connection.
 
 use std::io;
 use std::net::{IpAddr, SocketAddr};
@@ -21,26 +21,28 @@
 
 /// Largest frame, in bytes.
 const MAX_FRAME_BYTES: usize = 64 * 1024 * 1024;
-/// Messages from this length on are compressed.
-const COMPRESS_FROM_BYTES: usize = 1_024;
-/// Compression level: the cheapest.
-const LEVEL: i32 = 1;
+/// Messages of at least this size are compressed.
+const COMPRESSION_MIN_BYTES: usize = 1_024;
+/// Compression level of zstd: the fastest of the regular ones.
+const COMPRESSION_LEVEL: i32 = 1;
+/// Marks a frame whose message is not compressed.
 const PLAIN: u8 = 0;
+/// Marks a frame whose message is compressed, after its length of 4 bytes.
 const COMPRESSED: u8 = 1;
 
-/// How fast a connection gives up.
+/// Timeouts of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LinkTimeouts {
-    /// Longest time to connect.
+    /// For opening the connection.
     pub connect: Duration,
-    /// Longest time that sent bytes stay unacknowledged.
+    /// For the acknowledgement of sent bytes by the peer's TCP stack.
     pub unacknowledged: Duration,
 }
 
-/// Connects to `addr` from the address `source`, where one is set: on a host with several.
+/// Connects to `addr`, from the local address `source` where one is set.
 ///
 /// # Errors
-/// Those of the socket.
+/// Errors of the socket.
 pub async fn connect_from(source: Option<IpAddr>, addr: SocketAddr) -> io::Result<TcpStream> {
     let Some(source) = source else {
         return TcpStream::connect(addr).await;
@@ -53,40 +55,40 @@
     socket.connect(addr).await
 }
 
-/// A message that goes over a link.
+/// A message that is sent in a frame.
 pub trait Message: Sized {
-    /// Encodes it.
+    /// Encodes the message.
     ///
     /// # Errors
-    /// [`LinkError::Garbled`] when it can't be encoded.
+    /// [`LinkError::Garbled`] when the message can't be encoded.
     fn to_bytes(&self) -> Result<Vec<u8>, LinkError>;
 
-    /// Decodes it.
+    /// Decodes a message.
     ///
     /// # Errors
-    /// [`LinkError::Garbled`] when it can't be decoded.
+    /// [`LinkError::Garbled`] when the bytes can't be decoded.
     fn from_bytes(bytes: &[u8]) -> Result<Self, LinkError>;
 }
 
-/// A link failed.
+/// Failure of a connection between processes.
 #[derive(Debug, thiserror::Error)]
 pub enum LinkError {
-    /// The connection could not be made, or broke.
+    /// The connection could not be opened, or failed.
     #[error("connection: {0}")]
     Io(#[from] io::Error),
-    /// The other side did not answer in time.
+    /// The peer did not answer in time.
     #[error("no answer in time")]
     Timeout,
-    /// The other side closed the connection.
+    /// The peer closed the connection.
     #[error("closed by the other side")]
     Closed,
-    /// A frame can't be read.
+    /// A message can't be encoded or decoded, or is not valid here.
     #[error("a frame can't be read")]
     Garbled,
 }
 
 impl LinkError {
-    /// The kind of failure, as it stands in logs and metrics.
+    /// Name of the failure in logs and metrics.
     pub fn label(&self) -> &'static str {
         match self {
             LinkError::Io(_) => "connection",
@@ -97,72 +99,75 @@
     }
 }
 
-/// The half of a connection that sends.
+/// The sending half of a connection.
 pub struct FrameSender(FramedWrite<OwnedWriteHalf, LengthDelimitedCodec>);
 
-/// The half of a connection that receives.
-pub struct FrameReceiver(FramedRead<Watched, LengthDelimitedCodec>);
+/// The receiving half of a connection.
+pub struct FrameReceiver(FramedRead<TimedRead, LengthDelimitedCodec>);
 
-/// A connection that notes when bytes came.
-struct Watched {
+/// The receiving half of a socket, with the time of the last read.
+struct TimedRead {
     half: OwnedReadHalf,
     last_read_at: Instant,
 }
 
-impl AsyncRead for Watched {
+impl AsyncRead for TimedRead {
     fn poll_read(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let watched = self.get_mut();
-        let polled = Pin::new(&mut watched.half).poll_read(context, buffer);
+        let timed = self.get_mut();
+        let polled = Pin::new(&mut timed.half).poll_read(context, buffer);
         if polled.is_ready() {
-            watched.last_read_at = Instant::now();
+            timed.last_read_at = Instant::now();
         }
         polled
     }
 }
 
-/// Connects to `addr`.
+/// Opens a framed connection to `addr`, from the local address `source` where one is set.
 ///
 /// # Errors
-/// [`LinkError`] when no connection comes about in time.
+/// [`LinkError`] when it can't be opened in time.
 pub async fn dial(
     source: Option<IpAddr>,
     addr: SocketAddr,
-    timing: LinkTimeouts,
+    timeouts: LinkTimeouts,
 ) -> Result<(FrameSender, FrameReceiver), LinkError> {
-    let connecting = tokio::time::timeout(timing.connect, connect_from(source, addr));
+    let connecting = tokio::time::timeout(timeouts.connect, connect_from(source, addr));
     let stream = connecting.await.map_err(|_| LinkError::Timeout)??;
-    Ok(framed(stream, timing)?)
+    Ok(framed(stream, timeouts)?)
 }
 
-/// Makes frames of a connection.
+/// Splits a connection into a sender and a receiver of frames, and sets its timeout for unacknowledged bytes.
 ///
 /// # Errors
-/// When the socket takes none of the options that make it give up.
-pub fn framed(stream: TcpStream, timing: LinkTimeouts) -> io::Result<(FrameSender, FrameReceiver)> {
-    set_tcp_timeouts(&stream, timing.unacknowledged)?;
+/// When a socket option can't be set.
+pub fn framed(
+    stream: TcpStream,
+    timeouts: LinkTimeouts,
+) -> io::Result<(FrameSender, FrameReceiver)> {
+    set_tcp_timeouts(&stream, timeouts.unacknowledged)?;
     let (read, write) = stream.into_split();
     let codec = || LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec();
     let sender = FrameSender(FramedWrite::new(write, codec()));
-    let watched = Watched { half: read, last_read_at: Instant::now() };
-    Ok((sender, FrameReceiver(FramedRead::new(watched, codec()))))
+    let timed = TimedRead { half: read, last_read_at: Instant::now() };
+    Ok((sender, FrameReceiver(FramedRead::new(timed, codec()))))
 }
 
-/// Lets a socket fail when sent bytes stay unacknowledged for `silence`, or when the other side
-/// answers no probe for about as long.
+/// Makes a connection fail when sent bytes stay unacknowledged for `timeout`, or when the peer answers no keep-alive
+/// probes for about that time (at least a second). Also disables Nagle's algorithm.
 ///
 /// # Errors
-/// When the socket takes none of the options.
-pub fn set_tcp_timeouts(stream: &TcpStream, silence: Duration) -> io::Result<()> {
+/// When a socket option can't be set.
+pub fn set_tcp_timeouts(stream: &TcpStream, timeout: Duration) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(silence))?;
+    socket.set_tcp_user_timeout(Some(timeout))?;
     let whole_second = Duration::from_secs(1);
     let probes =
-        TcpKeepalive::new().with_time(silence.max(whole_second)).with_interval(whole_second);
+        TcpKeepalive::new().with_time(timeout.max(whole_second)).with_interval(whole_second);
     socket.set_tcp_keepalive(&probes)
 }
 
@@ -170,40 +175,41 @@
     /// Sends a message.
     ///
     /// # Errors
-    /// [`LinkError`] when the connection is broken.
+    /// [`LinkError`] when the message can't be encoded or the connection has failed.
     pub async fn send<T: Message>(&mut self, message: &T) -> Result<(), LinkError> {
         self.send_encoded(encode(message)?).await
     }
 
-    /// Sends what [`encode`] made of a message.
+    /// Sends a message that [`encode`] has encoded.
     ///
     /// # Errors
-    /// [`LinkError`] when the connection is broken.
+    /// [`LinkError`] when the connection has failed.
     pub async fn send_encoded(&mut self, frame: Bytes) -> Result<(), LinkError> {
         Ok(self.0.send(frame).await?)
     }
 }
 
-/// Makes a frame of a message.
+/// Encodes a message as a frame, compressed if it is large.
 ///
 /// # Errors
 /// [`LinkError::Garbled`] when the message can't be encoded.
 pub fn encode<T: Message>(message: &T) -> Result<Bytes, LinkError> {
     let payload = message.to_bytes()?;
     let mut frame = Vec::with_capacity(payload.len() + 1);
-    if payload.len() < COMPRESS_FROM_BYTES {
+    if payload.len() < COMPRESSION_MIN_BYTES {
         frame.push(PLAIN);
         frame.extend(payload);
     } else {
         frame.push(COMPRESSED);
         frame.extend((payload.len() as u32).to_le_bytes());
-        frame.extend(zstd::bulk::compress(&payload, LEVEL)?);
+        frame.extend(zstd::bulk::compress(&payload, COMPRESSION_LEVEL)?);
     }
     Ok(frame.into())
 }
 
 impl FrameReceiver {
-    /// When bytes last came: a long frame on a busy link takes its time, and is no silence.
+    /// When data was last read from the socket. This advances while a long frame arrives over a busy link, so that
+    /// the peer doesn't count as unresponsive meanwhile.
     pub fn last_read_at(&self) -> Instant {
         self.0.get_ref().last_read_at
     }
@@ -211,7 +217,7 @@
     /// Waits for the next message.
     ///
     /// # Errors
-    /// [`LinkError`] when the connection is broken or closed.
+    /// [`LinkError`] when the connection has failed or is closed, or the message can't be decoded.
     pub async fn receive<T: Message>(&mut self) -> Result<T, LinkError> {
         let frame = self.0.next().await.ok_or(LinkError::Closed)??;
         match frame.split_first() {
--- a/src/run_clock.rs
+++ b/src/run_clock.rs
@@ -1,8 +1,8 @@
-//! Time in which this process ran, by which it judges the silence of others.
+//! A clock that counts only the time in which this process ran, for timeouts on other processes.
 //!
-//! A process that is stopped, or gets no processor time, hears nobody: whoever it waits for may have answered long ago.
-//! So silence counts only while this process ran, and what arrived during a pause is read before a wait for it ends.
-//! What this process owes to others, such as a lease, still goes by [`Instant`].
+//! A process that is stopped, or gets no CPU time, reads no data: the other side may have answered long ago. So
+//! timeouts count only the time in which this process ran, and data that arrived during a pause is read before a
+//! wait for it ends. Promises to other processes, such as leases, are measured with [`Instant`].
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -12,23 +12,26 @@
 use crate::clock::Instant;
 use crate::sync::lock;
 
-/// Between two looks at the clock.
-const TICK: Duration = Duration::from_millis(50);
-/// Longest time between two looks in which the process ran all the time.
-const LONGEST_STEP: Duration = Duration::from_millis(100);
-/// Past a deadline, longest wait for what follows at once.
-const NEXT_WITHIN: Duration = Duration::from_millis(50);
-/// Past a deadline, or a pause over which it passed, time in which an answer that lies ready is read and passed on.
-const OVERRUN: Duration = Duration::from_secs(1);
-/// Longer than the runtime takes to look at its sockets once more: a process that resumes sees its timers first.
-const SOCKETS_READ: Duration = Duration::from_millis(2);
-/// Pauses from this length on are logged.
-const LOGGED_FROM: Duration = Duration::from_millis(250);
-
-/// How long a process ran, from looks at the clock.
+/// Interval between readings of the clock.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// If two readings are further apart than this, the process was paused in between.
+const MAX_STEP: Duration = Duration::from_millis(100);
+/// After a deadline, how long to wait for further data that is probably ready to be read.
+const LATE_READ_TIMEOUT: Duration = Duration::from_millis(50);
+/// Data that is ready to be read is still delivered for this long after the deadline, or after the end of a pause
+/// during which the deadline passed.
+const MAX_OVERRUN: Duration = Duration::from_secs(1);
+/// Extra wait after a timer, in which the runtime polls its sockets once more: after a pause, timers fire before data
+/// that has arrived is read. Longer than such a poll takes.
+const SOCKET_POLL_TIME: Duration = Duration::from_millis(2);
+/// Shortest pause that is logged.
+const MIN_LOGGED_PAUSE: Duration = Duration::from_millis(250);
+
+/// How long a process ran, from periodic readings of the clock.
 #[derive(Clone, Copy, Debug)]
 pub struct RunTime {
-    looked: Instant,
+    /// Time of the last reading.
+    last_reading: Instant,
     ran: Duration,
     paused: Duration,
     /// When the last pause ended.
@@ -36,16 +39,16 @@
 }
 
 impl RunTime {
-    /// Counts from `now` on.
+    /// Starts to count at `now`.
     pub fn since(now: Instant) -> Self {
-        RunTime { looked: now, ran: Duration::ZERO, paused: Duration::ZERO, resumed: None }
+        RunTime { last_reading: now, ran: Duration::ZERO, paused: Duration::ZERO, resumed: None }
     }
 
-    /// Looks at the clock; a long time since the last look was a pause that ends now.
+    /// Counts the time since the last reading, as a pause that ends now if it is longer than `MAX_STEP`.
     pub fn advance(&mut self, now: Instant) {
-        let step = now.saturating_duration_since(self.looked);
-        self.looked = now;
-        if step <= LONGEST_STEP {
+        let step = now.saturating_duration_since(self.last_reading);
+        self.last_reading = now;
+        if step <= MAX_STEP {
             self.ran += step;
         } else {
             self.paused += step;
@@ -53,24 +56,25 @@
         }
     }
 
-    /// Time in which the process ran, up to the last look.
+    /// Time in which the process ran, up to the last reading.
     pub fn ran(&self) -> Duration {
         self.ran
     }
 
-    /// Time in which it did not.
+    /// Time in which the process was paused.
     pub fn paused(&self) -> Duration {
         self.paused
     }
 
-    /// Until when an answer with this deadline is passed on while it lies ready.
+    /// Until when data that is ready to be read is still delivered, if it was due at `deadline`.
     pub fn latest_delivery(&self, deadline: Instant) -> Instant {
-        self.resumed.map_or(deadline, |resumed| deadline.max(resumed)) + OVERRUN
+        self.resumed.map_or(deadline, |resumed| deadline.max(resumed)) + MAX_OVERRUN
     }
 
-    /// When a wait for a part of it ends that began at `began`.
+    /// When a wait for a part of that data ends, if the wait began at `began`: at the deadline or, if that is later,
+    /// `LATE_READ_TIMEOUT` after `began` and at most at [`RunTime::latest_delivery`].
     pub fn wait_end(&self, began: Instant, deadline: Instant) -> Instant {
-        deadline.max(self.latest_delivery(deadline).min(began + NEXT_WITHIN))
+        deadline.max(self.latest_delivery(deadline).min(began + LATE_READ_TIMEOUT))
     }
 }
 
@@ -79,7 +83,7 @@
 pub struct RunClock(Mutex<RunTime>);
 
 impl RunClock {
-    /// Starts to count, and looks at the clock from now on.
+    /// Starts to count, and a task that reads the clock periodically and logs pauses.
     pub fn start(log: &Logger) -> Arc<Self> {
         let clock = Arc::new(RunClock(Mutex::new(RunTime::since(Instant::now()))));
         tokio::spawn(clock.clone().tick(log.clone()));
@@ -87,15 +91,15 @@
     }
 
     async fn tick(self: Arc<Self>, log: Logger) {
-        let mut told = Duration::ZERO;
+        let mut logged = Duration::ZERO;
         loop {
-            tokio::time::sleep(TICK).await;
+            tokio::time::sleep(TICK_INTERVAL).await;
             let paused = self.advance().paused();
-            let since_told = paused.saturating_sub(told);
-            told = paused;
-            if since_told >= LOGGED_FROM {
-                info!(log, "this process stood still"; "event" => "process_paused",
-                    "paused_ms" => since_told.as_millis() as u64);
+            let new_pause = paused.saturating_sub(logged);
+            logged = paused;
+            if new_pause >= MIN_LOGGED_PAUSE {
+                info!(log, "this process was paused"; "event" => "process_paused",
+                    "paused_ms" => new_pause.as_millis() as u64);
             }
         }
     }
@@ -111,17 +115,17 @@
         self.advance().ran()
     }
 
-    /// Time in which it did not, as far as the ticks show.
+    /// Time in which this process was paused, up to the last reading.
     pub fn paused(&self) -> Duration {
         lock(&self.0).paused()
     }
 
-    /// Whether an answer with this deadline can't be passed on any more, even if it lies ready.
+    /// Whether data that was due at `deadline` is too late to be delivered, even if it is ready to be read.
     pub fn is_past(&self, deadline: Instant) -> bool {
         Instant::now() >= self.advance().latest_delivery(deadline)
     }
 
-    /// Waits until `deadline`, or where that is over, as long as what lies ready takes to be read.
+    /// Waits until `deadline`; after it, for as long as data that is ready takes to be read.
     async fn sleep_until(&self, deadline: Instant) {
         let began = Instant::now();
         loop {
@@ -131,23 +135,23 @@
             }
             tokio::time::sleep_until(ends.into()).await;
         }
-        tokio::time::sleep(SOCKETS_READ).await;
+        tokio::time::sleep(SOCKET_POLL_TIME).await;
     }
 
-    /// Waits until this process has run for so long.
-    pub async fn sleep(&self, longest: Duration) {
-        let end = self.ran() + longest;
+    /// Waits until this process has run for `duration`.
+    pub async fn sleep(&self, duration: Duration) {
+        let end = self.ran() + duration;
         loop {
-            let left = end.saturating_sub(self.ran());
-            if left.is_zero() {
+            let remaining = end.saturating_sub(self.ran());
+            if remaining.is_zero() {
                 break;
             }
-            tokio::time::sleep(left).await;
+            tokio::time::sleep(remaining).await;
         }
-        tokio::time::sleep(SOCKETS_READ).await;
+        tokio::time::sleep(SOCKET_POLL_TIME).await;
     }
 
-    /// What a future gives before `deadline`, or what lies ready then.
+    /// The future's output, if it completes before `deadline` or, after it, from data that is ready to be read.
     pub async fn before<T>(&self, deadline: Instant, future: impl Future<Output = T>) -> Option<T> {
         tokio::select! {
             biased;
@@ -156,17 +160,17 @@
         }
     }
 
-    /// The same, if it comes while this process runs for `longest`.
+    /// Like [`RunClock::before`], but also gives up after this process has run for `timeout`.
     pub async fn within<T>(
         &self,
-        longest: Duration,
+        timeout: Duration,
         deadline: Instant,
         future: impl Future<Output = T>,
     ) -> Option<T> {
         tokio::select! {
             biased;
             done = future => Some(done),
-            () = self.sleep(longest) => None,
+            () = self.sleep(timeout) => None,
             () = self.sleep_until(deadline) => None,
         }
     }
