--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -1,4 +1,4 @@
-//! A whole configuration: routes, services, limits and teams, checked before it is accepted.
+//! The configuration of routes, services, client limits and teams, and the checks that it must pass to be accepted.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,22 +8,22 @@
 use crate::jsonc::{Fault, Validate};
 use crate::millis;
 
-/// What may happen to a request when its outcome is not known.
+/// Whether a request may be repeated, and whether its answer is streamed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteKind {
-    /// It may run more than once.
+    /// Idempotent: a request may run more than once.
     Safe,
-    /// It may run at most once.
+    /// Not idempotent: a request may run at most once.
     Unsafe,
-    /// It is answered by a stream of events and may run at most once.
+    /// Answered by a stream of events; a request may run at most once.
     Stream,
-    /// It is answered by a stream that another target can go on with.
+    /// Answered by a stream of events that another target can resume.
     ResumableStream,
 }
 
 impl RouteKind {
-    /// Whether a request may run more than once.
+    /// Whether a request may be repeated.
     pub fn idempotent(self) -> bool {
         matches!(self, RouteKind::Safe | RouteKind::ResumableStream)
     }
@@ -34,98 +34,98 @@
     }
 }
 
-/// A service with its part of a route's requests.
+/// A service with its share of a route's requests.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WeightedService {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Its part, against the sum of all weights of the route.
+    /// Its share, relative to the sum of all weights of the route.
     pub weight: u64,
 }
 
-/// Where requests of a host below a path prefix go.
+/// Rules for requests to a host name and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Route {
     /// Name, for logs.
     pub name: String,
-    /// Host that requests name, in lower case.
+    /// Host name of the requests, in lower case.
     pub host: String,
-    /// Beginning of the path; begins and ends with a slash.
+    /// Prefix of the path; begins and ends with a slash.
     pub prefix: String,
-    /// What may happen to its requests.
+    /// Whether requests may be repeated, and whether answers are streamed.
     pub kind: RouteKind,
-    /// Longest time that a request is held.
+    /// Deadline of a request, from its arrival.
     #[serde(with = "millis", rename = "timeout_ms")]
     pub timeout: Duration,
-    /// Time within which an answer, or the first event of one, is worth most.
+    /// Target latency of an answer, for streams of the first event.
     #[serde(with = "millis", rename = "goal_ms")]
     pub goal: Duration,
-    /// Longest pause between events for which a stream is in time.
+    /// Target for the longest pause between events of a stream.
     #[serde(with = "millis::option", rename = "gap_goal_ms", default)]
     pub gap_goal: Option<Duration>,
-    /// Rank of its requests, 0 first; counts after the team's.
+    /// Priority of its requests, 0 being the highest; the team's priority takes precedence.
     #[serde(default)]
     pub priority: u32,
-    /// Services, with weights that add up to more than 0.
+    /// Services to which requests are distributed; the weights add up to more than 0.
     pub services: Vec<WeightedService>,
-    /// Most targets that a request is sent to.
+    /// Maximum number of targets that a request is sent to.
     pub max_attempts: u32,
-    /// Regions whose targets may get its requests; any without one.
+    /// Regions whose targets may get its requests; empty for all.
     #[serde(default)]
     pub regions: Vec<String>,
-    /// Whether requests need no key.
+    /// Whether requests without a key are accepted.
     #[serde(default)]
     pub public: bool,
-    /// Whether requests are best served by a target that has seen the beginning of their prompt.
+    /// Whether requests prefer targets that have the prefix of their prompt cached.
     #[serde(default)]
     pub sticky: bool,
 }
 
 impl Route {
-    /// Sum of its services' weights.
+    /// Sum of the weights of its services.
     pub fn total_weight(&self) -> u64 {
         let weights = self.services.iter().map(|weighted| weighted.weight);
         weights.fold(0, u64::saturating_add)
     }
 }
 
-/// A group of targets that do the same.
+/// A group of interchangeable targets.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
     /// Name.
     pub name: String,
-    /// Most connections to one target from all routers together.
+    /// Maximum number of connections to one target from all gateways together.
     #[serde(default)]
     pub max_connections: Option<u32>,
-    /// Requests that one target works on at once, where the service states it.
+    /// Number of requests that one target processes concurrently, if known.
     #[serde(default)]
     pub slots: Option<u32>,
     /// Whether its targets serve models.
     #[serde(default)]
     pub engine: bool,
-    /// Whether its targets can fetch what they keep of a prompt from each other.
+    /// Whether its targets can fetch cached prompt prefixes from each other.
     #[serde(default)]
     pub fetches: bool,
-    /// How long a target may stay slow after its start.
+    /// How long a target may be cold after its start.
     #[serde(with = "millis", rename = "cold_start_ms", default)]
     pub cold_start: Duration,
-    /// Requests a second that a target bears while it is slow after its start; 0 where none is stated.
+    /// Requests per second that a cold target can handle; 0 if not known.
     #[serde(default)]
     pub cold_per_s: f64,
 }
 
-/// What a client may send and how long it may take.
+/// Limits on what clients send, and on the time that they take.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ClientLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request's head, in bytes.
     pub max_header_bytes: usize,
-    /// Largest body, in bytes.
+    /// Maximum size of a request's body, in bytes.
     pub max_body_bytes: usize,
-    /// Longest time for the head.
+    /// Timeout for receiving the head.
     #[serde(with = "millis", rename = "header_timeout_ms")]
     pub header_timeout: Duration,
-    /// Longest time that a connection is idle.
+    /// Timeout for idle connections.
     #[serde(with = "millis", rename = "idle_timeout_ms")]
     pub idle_timeout: Duration,
 }
@@ -141,17 +141,17 @@
     }
 }
 
-/// Callers that share keys and a rank.
+/// A tenant: callers with common keys and a common priority.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Team {
     /// Name.
     pub name: String,
-    /// Keys of its callers.
+    /// API keys of its callers.
     pub keys: Vec<String>,
-    /// Rank of its requests, 0 first.
+    /// Priority of its requests, 0 being the highest.
     #[serde(default)]
     pub priority: u32,
-    /// Regions whose targets may get its requests; any without one. Those of a route bind besides.
+    /// Regions whose targets may get its requests; empty for all. The regions of the route apply as well.
     #[serde(default)]
     pub regions: Vec<String>,
 }
@@ -159,7 +159,7 @@
 /// A whole configuration.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Higher ones take the place of lower ones.
+    /// Version; a configuration replaces those with lower versions.
     pub version: u64,
     /// All routes.
     pub routes: Vec<Route>,
@@ -168,7 +168,7 @@
     /// Limits for clients.
     #[serde(default)]
     pub limits: ClientLimits,
-    /// All teams; `None` when requests need no key.
+    /// All teams; `None` if requests need no key.
     #[serde(default)]
     pub teams: Option<Vec<Team>>,
 }
@@ -187,7 +187,7 @@
     fn check_routes(&self, faults: &mut Vec<Fault>) {
         let services: BTreeSet<&str> =
             self.services.iter().map(|service| service.name.as_str()).collect();
-        let mut places = BTreeMap::new();
+        let mut by_prefix = BTreeMap::new();
         for (at, route) in self.routes.iter().enumerate() {
             for weighted in &route.services {
                 if !services.contains(weighted.service.as_str()) {
@@ -202,7 +202,7 @@
             if route.timeout.is_zero() {
                 faults.push(Fault::new(format!("routes[{at}].timeout_ms"), "must be above 0"));
             }
-            if let Some(other) = places.insert((&route.host, &route.prefix), at) {
+            if let Some(other) = by_prefix.insert((&route.host, &route.prefix), at) {
                 let message = format!("has the host and prefix of routes[{other}]");
                 faults.push(Fault::new(format!("routes[{at}].prefix"), message));
             }
--- a/src/document.rs
+++ b/src/document.rs
@@ -1,5 +1,5 @@
-//! The configuration document as operators sent it, and how it travels: as the difference from a
-//! version that the receiver holds.
+//! The configuration document as operators sent it, and its compressed form: where possible a delta against a version
+//! that the receiver has.
 
 use std::io;
 
@@ -8,65 +8,66 @@
 use zstd::bulk::Compressor;
 use zstd::zstd_safe::CParameter;
 
-/// Compression level: the cheapest, since documents change often and links are wide enough then.
-const LEVEL: i32 = 1;
-/// Smallest window of a difference, as a power of two of bytes; the library takes none below 10.
-const LEAST_WINDOW_LOG: u32 = 10;
+/// Compression level of zstd: the fastest of the regular ones. Documents change often, and links have enough bandwidth
+/// for the larger result.
+const COMPRESSION_LEVEL: i32 = 1;
+/// Smallest window of a delta, as the base-2 logarithm of its bytes; zstd accepts none below 10.
+const MIN_WINDOW_LOG: u32 = 10;
 /// Largest document, in bytes.
 pub const MAX_DOCUMENT_BYTES: usize = 16 * 1024 * 1024;
 
 /// A configuration document, byte for byte as it was sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Document {
-    /// Version that it carries; higher ones take the place of lower ones.
+    /// Version; a document replaces those with lower versions.
     pub version: u64,
-    /// Its bytes.
+    /// The document's text.
     pub bytes: Bytes,
 }
 
-/// A document packed for the way.
+/// A compressed document, whole or as a delta.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PackedDocument {
     /// Version of the document.
     pub version: u64,
-    /// Version that the receiver must hold, if this is a difference.
+    /// Version against which this is a delta, and which the receiver must have; `None` for a whole document.
     pub base: Option<u64>,
-    /// Length of the document, in bytes.
+    /// Length of the uncompressed document, in bytes.
     pub len: u32,
     /// Compressed bytes.
     pub bytes: Bytes,
 }
 
-/// A document can't be packed or unpacked.
+/// A document can't be compressed or decompressed.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PackError {
     /// The document is larger than [`MAX_DOCUMENT_BYTES`].
-    #[error("the document has more than {MAX_DOCUMENT_BYTES} bytes")]
+    #[error("the document is larger than {MAX_DOCUMENT_BYTES} bytes")]
     TooLarge,
-    /// It is a difference from a version that is not at hand.
-    #[error("the document is a difference from version {base}, which is not at hand")]
+    /// It is a delta against a version that the receiver does not have.
+    #[error("the document is a delta against version {base}, which the receiver does not have")]
     WrongBase {
-        /// Version needed.
+        /// Version that is needed.
         base: u64,
     },
-    /// The bytes are damaged.
-    #[error("the packed document is damaged")]
+    /// The compressor failed, or the compressed bytes are corrupt.
+    #[error("the document can't be compressed, or its compressed form is corrupt")]
     Damaged,
 }
 
 impl Document {
-    /// Packs this document as a difference from `base`, or whole without one.
+    /// Compresses this document, as a delta against `base` where one is given.
     ///
     /// # Errors
-    /// [`PackError::TooLarge`].
+    /// [`PackError::TooLarge`] beyond [`MAX_DOCUMENT_BYTES`]; [`PackError::Damaged`] when the compressor fails.
     pub fn pack(&self, base: Option<&Document>) -> Result<PackedDocument, PackError> {
         if self.bytes.len() > MAX_DOCUMENT_BYTES {
             return Err(PackError::TooLarge);
         }
         let known: &[u8] = base.map_or(&[], |base| &base.bytes);
-        let mut compressor = Compressor::new(LEVEL).map_err(|_| PackError::Damaged)?;
+        let mut compressor = Compressor::new(COMPRESSION_LEVEL).map_err(|_| PackError::Damaged)?;
         if !known.is_empty() {
-            build_on(&mut compressor, known, self.bytes.len()).map_err(|_| PackError::Damaged)?;
+            set_prefix(&mut compressor, known, self.bytes.len()).map_err(|_| PackError::Damaged)?;
         }
         let packed = compressor.compress(&self.bytes).map_err(|_| PackError::Damaged)?;
         Ok(PackedDocument {
@@ -78,23 +79,23 @@
     }
 }
 
-/// Has the compressor build on `known`, wherever in it a piece of a text of `len` bytes stands.
+/// Lets the compressor refer to any part of `known` while it compresses a text of `len` bytes.
 ///
-/// As a plain dictionary the cheapest level finds what stands near its end only: one changed value
-/// of 1,960 routes weighed 10.9 KB, and weighs 0.1 KB.
-fn build_on<'a>(compressor: &mut Compressor<'a>, known: &'a [u8], len: usize) -> io::Result<()> {
-    let window_log = (known.len() + len).next_power_of_two().ilog2().max(LEAST_WINDOW_LOG);
+/// With `known` as a plain dictionary, the fastest level finds only matches near its end: the delta for one changed
+/// value in 1,960 routes took 10.9 KB, against 0.1 KB this way.
+fn set_prefix<'a>(compressor: &mut Compressor<'a>, known: &'a [u8], len: usize) -> io::Result<()> {
+    let window_log = (known.len() + len).next_power_of_two().ilog2().max(MIN_WINDOW_LOG);
     compressor.set_parameter(CParameter::WindowLog(window_log))?;
     compressor.set_parameter(CParameter::EnableLongDistanceMatching(true))?;
-    let taken = compressor.context_mut().ref_prefix(known);
-    taken.map(|_| ()).map_err(|code| io::Error::other(zstd::zstd_safe::get_error_name(code)))
+    let result = compressor.context_mut().ref_prefix(known);
+    result.map(|_| ()).map_err(|code| io::Error::other(zstd::zstd_safe::get_error_name(code)))
 }
 
 impl PackedDocument {
-    /// Unpacks the document, given the one that the receiver holds.
+    /// Decompresses the document; `held` is the version that the receiver has.
     ///
     /// # Errors
-    /// [`PackError`] when it is a difference from another version, or damaged.
+    /// [`PackError`] when this is a delta against another version, too large or corrupt.
     pub fn unpack(&self, held: Option<&Document>) -> Result<Document, PackError> {
         let len = self.len as usize;
         if len > MAX_DOCUMENT_BYTES {
--- a/src/route_table.rs
+++ b/src/route_table.rs
@@ -1,34 +1,36 @@
-//! Finds the route and the team of a request in the configuration in force.
+//! Look-up of a request's route and team in the configuration in force.
 
 use std::collections::HashMap;
 use std::sync::Arc;
 
 use crate::configuration::{ClientLimits, Configuration, Route, Service, Team};
 
-/// A configuration, made ready for look-ups.
+/// A configuration, indexed for look-ups.
 #[derive(Debug, Default)]
 pub struct RouteTable {
     version: u64,
     limits: ClientLimits,
-    /// Routes by host, the longest prefix first.
+    /// Routes by host name, those with the longest prefix first.
     hosts: HashMap<String, Vec<Arc<Route>>>,
+    /// Services by name.
     services: HashMap<String, Service>,
+    /// Teams by API key; `None` if requests need no key.
     teams: Option<HashMap<String, Arc<Team>>>,
 }
 
-/// Who sends a request.
+/// Who sent a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Caller {
-    /// No key is needed.
+    /// Unauthenticated, where no key is needed.
     Anyone,
-    /// The holder of the key.
+    /// The team that has the key.
     Team(Arc<Team>),
-    /// The key is missing or unknown.
+    /// Rejected: the key is missing or unknown.
     Unknown,
 }
 
 impl RouteTable {
-    /// Makes a checked configuration ready.
+    /// Indexes a configuration that has passed its checks.
     pub fn new(configuration: Configuration) -> Self {
         let mut hosts: HashMap<String, Vec<Arc<Route>>> = HashMap::new();
         for route in configuration.routes {
@@ -37,7 +39,7 @@
         for routes in hosts.values_mut() {
             routes.sort_by_key(|route| std::cmp::Reverse(route.prefix.len()));
         }
-        let named = |service: Service| (service.name.clone(), service);
+        let by_name = |service: Service| (service.name.clone(), service);
         let by_key = |teams: Vec<Team>| {
             let teams = teams.into_iter().map(Arc::new);
             let keys = teams.flat_map(|team| {
@@ -49,7 +51,7 @@
             version: configuration.version,
             limits: configuration.limits,
             hosts,
-            services: configuration.services.into_iter().map(named).collect(),
+            services: configuration.services.into_iter().map(by_name).collect(),
             teams: configuration.teams.map(by_key),
         }
     }
@@ -69,9 +71,9 @@
         self.services.get(name)
     }
 
-    /// The route of a host whose prefix is the longest that begins `path`.
+    /// The route of `host` with the longest prefix of `path`.
     pub fn route(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
-        let host = host_name(host);
+        let host = without_port(host);
         let routes = match self.hosts.get(host) {
             Some(routes) => routes,
             None => self.hosts.get(&host.to_ascii_lowercase())?,
@@ -79,13 +81,13 @@
         routes.iter().find(|route| path.starts_with(&route.prefix))
     }
 
-    /// Who sends a request with this key on this route.
+    /// The sender of a request on this route, by its API key.
     pub fn caller(&self, route: &Route, key: Option<&str>) -> Caller {
         let Some(teams) = &self.teams else {
             return Caller::Anyone;
         };
-        let holder = key.and_then(|key| teams.get(key));
-        match holder {
+        let team = key.and_then(|key| teams.get(key));
+        match team {
             Some(team) => Caller::Team(team.clone()),
             None if route.public => Caller::Anyone,
             None => Caller::Unknown,
@@ -93,8 +95,8 @@
     }
 }
 
-/// The host without its port.
-fn host_name(host: &str) -> &str {
+/// The host name without the port.
+fn without_port(host: &str) -> &str {
     match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
         _ => host,
