--- a/src/group/archive.rs
+++ b/src/group/archive.rs
@@ -3,9 +3,9 @@
 use std::collections::{HashMap, VecDeque};
 
 use super::cursor::{MissingBlob, Progress};
+use crate::blob::{Blob, Content};
 use crate::document::Document;
 use crate::link::LinkError;
-use crate::parcel::{Content, Parcel};
 
 /// Documents kept. At four changes a second, a gateway that was unreachable for 8 s still gets a difference of some
 /// hundred bytes, where the whole document takes some thousand.
@@ -42,7 +42,7 @@
         }
         let base = self.documents.iter().find(|document| document.version == known);
         let packed = newest.pack(base).map_err(|_| LinkError::Garbled)?;
-        let blob = Parcel::pack(&Content::Document(packed))?;
+        let blob = Blob::pack(&Content::Document(packed))?;
         let missing = MissingBlob { blob, advances_to: Progress::Version(newest.version) };
         self.packed.insert(known, missing.clone());
         Ok(Some(missing))
--- a/src/group/cursor.rs
+++ b/src/group/cursor.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use crate::parcel::{Parcel, ParcelId};
+use crate::blob::{Blob, BlobId};
 use crate::store::Revision;
 
 use super::keepers::Told;
@@ -21,14 +21,14 @@
 /// A blob that a gateway lacks.
 #[derive(Clone, Debug)]
 pub(super) struct MissingBlob {
-    pub(super) blob: Parcel,
+    pub(super) blob: Blob,
     pub(super) advances_to: Progress,
 }
 
 /// A fetch from a peer gateway that this gateway was told to make.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerFetch {
-    pub(super) blob: ParcelId,
+    pub(super) blob: BlobId,
     pub(super) source: SocketAddr,
     pub(super) advances_to: Progress,
 }
--- a/src/group/deltas.rs
+++ b/src/group/deltas.rs
@@ -5,9 +5,9 @@
 
 use super::cursor::{MissingBlob, Progress};
 use super::listing::Packer;
+use crate::blob::{Blob, Content};
 use crate::directory::Directory;
 use crate::link::LinkError;
-use crate::parcel::{Content, Parcel};
 use crate::store::Revision;
 
 /// How long a large blob is reused for all gateways that know the same revision, although the directory has changed
@@ -85,7 +85,7 @@
             Some(packer) => packer,
             none => none.insert(Packer::new()?),
         };
-        let blob = Parcel::pack(&Content::Targets(packer.pack(delta)?))?;
+        let blob = Blob::pack(&Content::Targets(packer.pack(delta)?))?;
         let missing = MissingBlob { blob, advances_to: Progress::Revision(newest) };
         let cached = CachedDelta { missing: missing.clone(), revision: newest, packed_at: now };
         self.cached.insert(base, cached);
--- a/src/group/fan_out.rs
+++ b/src/group/fan_out.rs
@@ -11,7 +11,7 @@
 
 use tokio::sync::Notify;
 
-use crate::parcel::ParcelId;
+use crate::blob::BlobId;
 
 /// Concurrent uploads of a blob by one gateway. On a link of 10 Mbit/s, four blobs of 21 KB take 70 ms, which is the
 /// longest that this gateway's clients wait for them.
@@ -36,7 +36,7 @@
 
 #[derive(Debug)]
 struct Distribution {
-    blob: ParcelId,
+    blob: BlobId,
     holders: Vec<Holder>,
     /// Notifies one waiting gateway's task for each upload that becomes free.
     upload_freed: Arc<Notify>,
@@ -48,7 +48,7 @@
 
 impl FanOut {
     /// Picks a gateway that has the blob and a free upload, if possible in the data hall of `to`, and takes the upload.
-    pub fn assign_source(&mut self, blob: ParcelId, to: &PeerGateway) -> Option<SocketAddr> {
+    pub fn assign_source(&mut self, blob: BlobId, to: &PeerGateway) -> Option<SocketAddr> {
         let distribution = self.find(blob)?;
         let free = distribution.holders.iter_mut();
         let free = free.filter(|holder| holder.free_uploads > 0 && holder.gateway.addr != to.addr);
@@ -59,7 +59,7 @@
     }
 
     /// Records that a gateway has the blob.
-    pub fn add_holder(&mut self, blob: ParcelId, gateway: &PeerGateway) {
+    pub fn add_holder(&mut self, blob: BlobId, gateway: &PeerGateway) {
         let distribution = self.find_or_insert(blob);
         if distribution.holders.iter().any(|holder| holder.gateway.addr == gateway.addr) {
             return;
@@ -69,7 +69,7 @@
     }
 
     /// Frees the upload of a source that delivered the blob, or whose receiver disconnected.
-    pub fn release_upload(&mut self, blob: ParcelId, from: SocketAddr) {
+    pub fn release_upload(&mut self, blob: BlobId, from: SocketAddr) {
         let Some(distribution) = self.find(blob) else {
             return;
         };
@@ -81,7 +81,7 @@
     }
 
     /// Drops a source that did not deliver the blob.
-    pub fn fetch_failed(&mut self, blob: ParcelId, from: SocketAddr) {
+    pub fn fetch_failed(&mut self, blob: BlobId, from: SocketAddr) {
         if let Some(distribution) = self.find(blob) {
             distribution.holders.retain(|holder| holder.gateway.addr != from);
         }
@@ -95,16 +95,16 @@
     }
 
     /// Notified once for each upload of the blob that becomes free.
-    pub fn upload_freed(&mut self, blob: ParcelId) -> Arc<Notify> {
+    pub fn upload_freed(&mut self, blob: BlobId) -> Arc<Notify> {
         self.find_or_insert(blob).upload_freed.clone()
     }
 
-    fn find(&mut self, blob: ParcelId) -> Option<&mut Distribution> {
+    fn find(&mut self, blob: BlobId) -> Option<&mut Distribution> {
         self.0.iter_mut().find(|distribution| distribution.blob == blob)
     }
 
     /// Finds a blob's distribution, or starts it and drops the oldest if there are too many.
-    fn find_or_insert(&mut self, blob: ParcelId) -> &mut Distribution {
+    fn find_or_insert(&mut self, blob: BlobId) -> &mut Distribution {
         let known = self.0.iter().position(|distribution| distribution.blob == blob);
         let at = known.unwrap_or_else(|| {
             if self.0.len() >= MAX_BLOBS {
--- a/src/group/frames/to_member.rs
+++ b/src/group/frames/to_member.rs
@@ -6,6 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::encode_with_part;
+use crate::blob::BlobId;
 use crate::compat::base;
 use crate::compat::parts::{self, Parts};
 use crate::directory::Announcement;
@@ -14,7 +15,6 @@
 use crate::group::message::{Call, Subscription, ToMember};
 use crate::level::Level;
 use crate::link::{LinkError, Message};
-use crate::parcel::ParcelId;
 use crate::raft::Envelope;
 use crate::rollout::tally::Tallies;
 use crate::store::Revision;
@@ -175,7 +175,7 @@
 
 /// A message that the first build ignores when a gateway sends it: no blob has this id.
 fn ignored_by_first_build() -> base::ToMember<'static> {
-    base::ToMember::Lacks(ParcelId::NONE)
+    base::ToMember::Lacks(BlobId::NONE)
 }
 
 fn decode_raft(
@@ -190,7 +190,7 @@
     Ok(ToMember::Raft { from, messages: messages.into_owned(), supported_level })
 }
 
-fn decode_fetch_failed(blob: ParcelId, parts: Parts<'_>) -> Result<ToMember, LinkError> {
+fn decode_fetch_failed(blob: BlobId, parts: Parts<'_>) -> Result<ToMember, LinkError> {
     if let Some(reports) = parts.get(tag::POISON)? {
         return Ok(ToMember::Poison(reports));
     }
--- a/src/group/incoming.rs
+++ b/src/group/incoming.rs
@@ -8,7 +8,7 @@
 use super::keepers::Teller;
 use super::message::{Call, FromMember, ToMember};
 use super::{Shared, feed};
-use crate::link::{FrameSender, LinkError, frames};
+use crate::link::{FrameSender, LinkError, framed};
 use crate::poison::Origin;
 use crate::sync::lock;
 
@@ -31,7 +31,7 @@
 
 /// Serves one connection: the messages and calls of a member, or the subscription of a gateway.
 async fn serve(shared: Arc<Shared>, stream: TcpStream) -> Result<(), LinkError> {
-    let (sender, mut receiver) = frames(stream, super::peers::LINK_TIMING)?;
+    let (sender, mut receiver) = framed(stream, super::peers::LINK_TIMING)?;
     let (replies, queued) = mpsc::channel(REPLY_QUEUE_LEN);
     let mut sender = Some(sender);
     let mut queued = Some(queued);
--- a/src/group/message.rs
+++ b/src/group/message.rs
@@ -11,9 +11,9 @@
 use super::heartbeats::HeartbeatOutcome;
 use super::keepers::Keeper;
 use super::loads::Loads;
+use crate::blob::BlobId;
 use crate::directory::Announcement;
 use crate::level::Level;
-use crate::parcel::ParcelId;
 use crate::poison::Report;
 use crate::raft::{Envelope, Index, StoreId};
 use crate::rollout::RolloutNews;
@@ -81,9 +81,9 @@
     /// The gateway on this connection now applies the evacuation orders up to this revision.
     EvacuationsInForce(Revision),
     /// The gateway on this connection has this large blob, from the member or from a peer gateway.
-    HasBlob(ParcelId),
+    HasBlob(BlobId),
     /// The gateway on this connection could not fetch this blob from the [`BlobSource`] that it was given.
-    BlobFetchFailed(ParcelId),
+    BlobFetchFailed(BlobId),
     /// The gateway on this connection subscribes to updates; the first frame that it sends.
     Subscribe(Subscription),
 }
@@ -169,7 +169,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BlobSource {
     /// The blob.
-    pub blob: ParcelId,
+    pub blob: BlobId,
     /// Address where the peer gateway serves it.
     pub addr: SocketAddr,
 }
@@ -178,7 +178,7 @@
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub enum ToPeer {
     /// Asks for a blob.
-    Fetch(ParcelId),
+    Fetch(BlobId),
 }
 
 /// A frame from a peer gateway, on the same connection.
--- a/src/group/peers.rs
+++ b/src/group/peers.rs
@@ -9,7 +9,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use super::message::{Call, FromMember, Reply, ToMember};
-use crate::link::{FrameReceiver, FrameSender, LinkError, LinkTiming, dial};
+use crate::link::{FrameReceiver, FrameSender, LinkError, LinkTimeouts, dial};
 use crate::sync::lock;
 
 /// Frames queued for one peer. Frames beyond that are dropped, which Raft tolerates.
@@ -17,7 +17,7 @@
 /// Pause after a failed connection attempt; frames that were queued for the peer by its end are dropped.
 const RECONNECT_DELAY: Duration = Duration::from_millis(100);
 /// Timeouts of connections between members.
-pub(super) const LINK_TIMING: LinkTiming = LinkTiming {
+pub(super) const LINK_TIMING: LinkTimeouts = LinkTimeouts {
     connect: Duration::from_millis(500),
     unacknowledged: Duration::from_millis(1_000),
 };
--- a/src/group/update_sender.rs
+++ b/src/group/update_sender.rs
@@ -18,10 +18,10 @@
 use super::message::{BlobSource, EvacuationsUpdate, FromMember, Subscription, Update};
 use super::metrics::ParcelWay;
 use super::pacer::Turn;
+use crate::blob::BlobId;
 use crate::clock::Instant;
 use crate::control::member::Published;
 use crate::link::{FrameSender, LinkError, encode};
-use crate::parcel::ParcelId;
 use crate::rollout::RolloutNews;
 use crate::sync::lock;
 
@@ -34,9 +34,9 @@
 /// A gateway's report about a large blob.
 pub(super) enum BlobReport {
     /// It has the blob.
-    Received(ParcelId),
+    Received(BlobId),
     /// It could not fetch the blob from the peer that it was given.
-    FetchFailed(ParcelId),
+    FetchFailed(BlobId),
 }
 
 /// A wait for a turn at a pacer.
