--- a/benches/evacuation.rs
+++ b/benches/evacuation.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use harness::{Fleet, call, field};
-use latchmount::gateway::balance::{Affinity, Candidate, Wish, choose};
+use latchmount::gateway::balance::{Affinity, Candidate, Preference, choose};
 use rand::SeedableRng;
 use rand::rngs::StdRng;
 use serde_json::json;
@@ -73,18 +73,18 @@
         home: Some(home),
         load: 1.5,
         slots: 12,
-        strain: 1.0,
+        slowdown: 1.0,
         near: home % 4 == 0,
-        doubtful: home % 20 == 0,
+        last_resort: home % 20 == 0,
     };
     let all: Vec<Candidate> = (0..TARGETS).map(candidate).collect();
     let mut rng = StdRng::seed_from_u64(1);
     let mut took = Vec::new();
     for hash in 0..u64::from(CHOICES) {
         let affinity = Some(Affinity { hash, tokens: 10_512 });
-        let wish = Wish { affinity, load_bound: 2.0, targets: TARGETS as usize };
+        let preference = Preference { affinity, load_bound: 2.0, targets: TARGETS as usize };
         let began = Instant::now();
-        assert!(choose(&all, wish, &mut rng).is_some());
+        assert!(choose(&all, preference, &mut rng).is_some());
         took.push(began.elapsed().as_secs_f64() * 1e6);
     }
     print("choice among 112 targets, µs", took);
--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -51,16 +51,16 @@
     fn may_send(&self) -> bool;
 
     /// Whether another target could be asked instead of one that says nothing.
-    fn may_turn(&self) -> bool;
+    fn may_try_another(&self) -> bool;
 
     /// Time in which this process ran.
     fn run_clock(&self) -> &RunClock;
 
     /// The target is waited for on, since no other could be asked.
-    fn waits_on(&self);
+    fn on_stall(&self);
 
     /// The head of an answer that is the target's own, whatever becomes of the request.
-    fn hear(&self, status: StatusCode, headers: &HeaderMap);
+    fn on_answer_head(&self, status: StatusCode, headers: &HeaderMap);
 }
 
 /// Sends the request and waits for the head of the answer.
@@ -70,7 +70,7 @@
     outgoing: &Outgoing,
     names: &Headers,
     limits: ConnectionLimits<'_>,
-    patience: Duration,
+    answer_timeout: Duration,
     supervisor: &impl Supervisor,
 ) -> Result<Answer, AttemptError> {
     let in_flight = target.begin(outgoing.body_bytes());
@@ -91,10 +91,10 @@
         }
         let request = outgoing.to_target(target, fetch_from, names);
         let mut sending = pin!(connection.sender.try_send_request(request));
-        let answered = match clock.within(patience, deadline, &mut sending).await {
-            None if supervisor.may_turn() => return Err(AttemptError::Late),
+        let answered = match clock.within(answer_timeout, deadline, &mut sending).await {
+            None if supervisor.may_try_another() => return Err(AttemptError::Late),
             None => {
-                supervisor.waits_on();
+                supervisor.on_stall();
                 clock.before(deadline, sending).await
             }
             answered => answered,
@@ -102,11 +102,11 @@
         match answered {
             Some(Ok(response)) => {
                 let (head, body) = response.into_parts();
-                let judged = judge(&head, outgoing, names);
-                if matches!(judged, Ok(()) | Err(AttemptError::NotRun)) {
-                    supervisor.hear(head.status, &head.headers);
+                let verified = verify(&head, outgoing, names);
+                if matches!(verified, Ok(()) | Err(AttemptError::NotRun)) {
+                    supervisor.on_answer_head(head.status, &head.headers);
                 }
-                judged?;
+                verified?;
                 let (target, status, headers) = (target.clone(), head.status, head.headers);
                 return Ok(Answer { target, status, headers, body, connection, in_flight });
             }
@@ -115,7 +115,7 @@
                 if error.take_message().is_none() {
                     return Err(AttemptError::Lost);
                 }
-                reuse = Reuse::UsedLately;
+                reuse = Reuse::RecentlyUsed;
             }
             None => return Err(AttemptError::Late),
         }
@@ -123,7 +123,7 @@
 }
 
 /// Tells whether the answer is one to this request.
-fn judge(head: &Parts, outgoing: &Outgoing, names: &Headers) -> Result<(), AttemptError> {
+fn verify(head: &Parts, outgoing: &Outgoing, names: &Headers) -> Result<(), AttemptError> {
     let echoed = head.headers.get(&names.request_id);
     if echoed.is_some_and(|id| *id != outgoing.id) {
         return Err(AttemptError::Wrong);
--- a/src/gateway/balance.rs
+++ b/src/gateway/balance.rs
@@ -9,12 +9,12 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Tokens in common with earlier requests from which a request is worth the most to its home.
-const DEAR_TOKENS: f64 = 4_096.0;
+const FULL_WEIGHT_TOKENS: f64 = 4_096.0;
 /// Part of the bound that the cheapest and the dearest requests use: what is known of loads is some
 /// hundred milliseconds old, and the room beyond the first part is kept for dear ones.
-const BOUND_PARTS: (f64, f64) = (0.6, 0.95);
+const BOUND_FRACTIONS: (f64, f64) = (0.6, 0.95);
 /// Requests by which a target may exceed that part, so that a fleet at rest can begin to grow.
-const BOUND_SLACKS: (f64, f64) = (1.0, 2.0);
+const BOUND_SLACK_REQUESTS: (f64, f64) = (1.0, 2.0);
 
 /// A target that may take the request.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -28,11 +28,11 @@
     /// Requests that it works on at once.
     pub slots: u32,
     /// How long work takes there now, as a multiple of what is usual.
-    pub strain: f64,
+    pub slowdown: f64,
     /// Whether it stands in the gateway's data hall.
     pub near: bool,
     /// Whether it should be left alone if another will do.
-    pub doubtful: bool,
+    pub last_resort: bool,
 }
 
 /// What a request shares with others that came before.
@@ -46,7 +46,7 @@
 
 /// What the choice depends on besides the candidates.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Wish {
+pub struct Preference {
     /// What the request shares with others, if it does.
     pub affinity: Option<Affinity>,
     /// No target gets more than this multiple of the mean load, and some.
@@ -58,12 +58,17 @@
 /// Chooses a candidate; `None` when there is none.
 ///
 /// Doubtful ones are chosen only when no other is there.
-pub fn choose(candidates: &[Candidate], wish: Wish, rng: &mut impl Rng) -> Option<usize> {
-    let sound: Vec<usize> = (0..candidates.len()).filter(|at| !candidates[*at].doubtful).collect();
+pub fn choose(
+    candidates: &[Candidate],
+    preference: Preference,
+    rng: &mut impl Rng,
+) -> Option<usize> {
+    let preferred: Vec<usize> =
+        (0..candidates.len()).filter(|at| !candidates[*at].last_resort).collect();
     let all: Vec<usize> = (0..candidates.len()).collect();
-    let usable = if sound.is_empty() { all } else { sound };
-    match wish.affinity {
-        Some(affinity) => by_affinity(candidates, &usable, affinity, wish),
+    let usable = if preferred.is_empty() { all } else { preferred };
+    match preference.affinity {
+        Some(affinity) => by_affinity(candidates, &usable, affinity, preference),
         None => by_load(candidates, &usable, rng),
     }
 }
@@ -72,38 +77,38 @@
     candidates: &[Candidate],
     usable: &[usize],
     affinity: Affinity,
-    wish: Wish,
+    preference: Preference,
 ) -> Option<usize> {
     let total: f64 = candidates.iter().map(|candidate| candidate.load).sum();
-    let mean = (total + 1.0) / wish.targets.max(1) as f64;
-    let bound = bound(wish.load_bound, mean, affinity.tokens);
+    let mean = (total + 1.0) / preference.targets.max(1) as f64;
+    let bound = bound(preference.load_bound, mean, affinity.tokens);
     let fits = |candidate: &Candidate| {
-        (candidate.load + 1.0) * candidate.strain <= bound.min(f64::from(candidate.slots.max(1)))
+        (candidate.load + 1.0) * candidate.slowdown <= bound.min(f64::from(candidate.slots.max(1)))
     };
-    let order = Order::of(candidates, affinity);
+    let ranking = Ranking::of(candidates, affinity);
     let fitting = usable.iter().filter(|at| fits(&candidates[**at]));
-    let placed = fitting.filter_map(|at| Some((order.place(&candidates[*at])?, at)));
-    let first = placed.max_by_key(|(place, _)| *place);
+    let scored = fitting.filter_map(|at| Some((ranking.score(&candidates[*at])?, at)));
+    let first = scored.max_by_key(|(score, _)| *score);
     first.map(|(_, at)| at).or_else(|| least_loaded(candidates, usable)).copied()
 }
 
 /// Order of an affinity over candidates, the highest place first.
 #[derive(Clone, Copy, Debug)]
-struct Order {
+struct Ranking {
     affinity: Affinity,
     /// Whether places follow from homes; else from identities, while most have no home yet: the few
     /// that have one must not get the work of all.
     by_home: bool,
 }
 
-impl Order {
+impl Ranking {
     fn of(candidates: &[Candidate], affinity: Affinity) -> Self {
         let homed = candidates.iter().filter(|candidate| candidate.home.is_some()).count();
-        Order { affinity, by_home: 2 * homed >= candidates.len() }
+        Ranking { affinity, by_home: 2 * homed >= candidates.len() }
     }
 
     /// Place of a candidate, if it has one.
-    fn place(self, candidate: &Candidate) -> Option<u64> {
+    fn score(self, candidate: &Candidate) -> Option<u64> {
         let seed = self.affinity.hash;
         if self.by_home {
             return Some(xxh3_64_with_seed(&candidate.home?.to_le_bytes(), seed));
@@ -114,55 +119,56 @@
 
 /// The candidate besides the chosen one that most likely keeps what a request shares with others: the
 /// first in the order of its affinity.
-pub fn likely_keeper(candidates: &[Candidate], chosen: usize, affinity: Affinity) -> Option<usize> {
-    let order = Order::of(candidates, affinity);
-    let others = (0..candidates.len()).filter(|at| *at != chosen && !candidates[*at].doubtful);
-    let placed = others.filter_map(|at| Some((order.place(&candidates[at])?, at)));
-    placed.max_by_key(|(place, _)| *place).map(|(_, at)| at)
+pub fn likely_holder(candidates: &[Candidate], chosen: usize, affinity: Affinity) -> Option<usize> {
+    let ranking = Ranking::of(candidates, affinity);
+    let others = (0..candidates.len()).filter(|at| *at != chosen && !candidates[*at].last_resort);
+    let scored = others.filter_map(|at| Some((ranking.score(&candidates[at])?, at)));
+    scored.max_by_key(|(score, _)| *score).map(|(_, at)| at)
 }
 
 /// Which of the targets that may not be chosen comes before all candidates in the order of an affinity, if
 /// one does: it has served that affinity so far.
 pub fn earlier_home(
     candidates: &[Candidate],
-    away: &[Candidate],
+    ineligible: &[Candidate],
     affinity: Affinity,
 ) -> Option<usize> {
-    let order = Order::of(candidates, affinity);
-    let placed = away.iter().enumerate().filter_map(|(at, one)| Some((order.place(one)?, at)));
-    let (place, at) = placed.max()?;
-    let first = candidates.iter().filter_map(|candidate| order.place(candidate)).max();
-    (Some(place) > first).then_some(at)
+    let ranking = Ranking::of(candidates, affinity);
+    let scored =
+        ineligible.iter().enumerate().filter_map(|(at, one)| Some((ranking.score(one)?, at)));
+    let (score, at) = scored.max()?;
+    let first = candidates.iter().filter_map(|candidate| ranking.score(candidate)).max();
+    (Some(score) > first).then_some(at)
 }
 
 /// Whether a candidate is the first in the order of an affinity, among all.
 pub fn is_first_home(candidates: &[Candidate], chosen: usize, affinity: Affinity) -> bool {
-    let order = Order::of(candidates, affinity);
-    let first = candidates.iter().filter_map(|candidate| order.place(candidate)).max();
-    first.is_some() && order.place(&candidates[chosen]) == first
+    let ranking = Ranking::of(candidates, affinity);
+    let first = candidates.iter().filter_map(|candidate| ranking.score(candidate)).max();
+    first.is_some() && ranking.score(&candidates[chosen]) == first
 }
 
 /// Whether a target with this home is the first in the order of an affinity among targets with such homes, so
 /// that everybody expects it to keep what the affinity shares.
-pub fn expected_keeper(
+pub fn is_expected_holder(
     home: Option<u32>,
     homes: impl Iterator<Item = Option<u32>>,
     affinity: Affinity,
 ) -> bool {
-    let place = |home: u32| xxh3_64_with_seed(&home.to_le_bytes(), affinity.hash);
-    let Some(own) = home.map(place) else {
+    let score = |home: u32| xxh3_64_with_seed(&home.to_le_bytes(), affinity.hash);
+    let Some(own) = home.map(score) else {
         return false;
     };
-    homes.flatten().map(place).all(|other| other <= own)
+    homes.flatten().map(score).all(|other| other <= own)
 }
 
 /// Load that a target may have with one more request, which shares so many tokens with others.
 ///
 /// Where a target is nearly full, cheap requests leave it first: elsewhere they cost little.
 fn bound(load_bound: f64, mean: f64, tokens: u64) -> f64 {
-    let dear = (tokens as f64 / DEAR_TOKENS).min(1.0);
-    let between = |(cheapest, dearest): (f64, f64)| cheapest + dear * (dearest - cheapest);
-    (load_bound * between(BOUND_PARTS)).max(1.0) * mean + between(BOUND_SLACKS)
+    let weight = (tokens as f64 / FULL_WEIGHT_TOKENS).min(1.0);
+    let between = |(lowest, highest): (f64, f64)| lowest + weight * (highest - lowest);
+    (load_bound * between(BOUND_FRACTIONS)).max(1.0) * mean + between(BOUND_SLACK_REQUESTS)
 }
 
 fn least_loaded<'a>(candidates: &[Candidate], usable: &'a [usize]) -> Option<&'a usize> {
@@ -173,7 +179,7 @@
     let near: Vec<usize> = usable
         .iter()
         .copied()
-        .filter(|at| candidates[*at].near && spare(&candidates[*at]))
+        .filter(|at| candidates[*at].near && has_free_slot(&candidates[*at]))
         .collect();
     if let Some(at) = better_of_two(candidates, &near, rng) {
         return Some(at);
@@ -182,7 +188,7 @@
 }
 
 /// Whether the target has a free slot, as far as is known.
-fn spare(candidate: &Candidate) -> bool {
+fn has_free_slot(candidate: &Candidate) -> bool {
     candidate.load + 1.0 <= f64::from(candidate.slots) / 2.0
 }
 
@@ -192,9 +198,9 @@
     }
     let one = among[rng.random_range(0..among.len())];
     let other = among[rng.random_range(0..among.len())];
-    let part = |at: usize| {
-        let Candidate { load, slots, strain, .. } = candidates[at];
-        (load + 1.0) * strain / f64::from(slots.max(1))
+    let utilization = |at: usize| {
+        let Candidate { load, slots, slowdown, .. } = candidates[at];
+        (load + 1.0) * slowdown / f64::from(slots.max(1))
     };
-    Some(if part(other) < part(one) { other } else { one })
+    Some(if utilization(other) < utilization(one) { other } else { one })
 }
--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Part of the allowance that is used, so that windows that slide differently still hold it.
-pub const CAUTION: f64 = 0.8;
+pub const USED_FRACTION: f64 = 0.8;
 /// Slices that a window is counted in.
 const SLICES: u32 = 20;
 
@@ -18,14 +18,14 @@
     /// Further arrivals in a window beyond the ratio, for all gateways together.
     pub slack: f64,
     /// Part of the allowance that is used.
-    pub used: f64,
+    pub used_fraction: f64,
 }
 
 #[derive(Clone, Copy, Debug)]
 struct Slice {
     number: u64,
     requests: u32,
-    further: u32,
+    retries: u32,
 }
 
 /// Counts of one service at one gateway.
@@ -42,28 +42,29 @@
     }
 
     /// Counts a request for the service.
-    pub fn request(&mut self, now: Duration) {
+    pub fn count_request(&mut self, now: Duration) {
         self.slice(now).requests += 1;
     }
 
     /// Takes one further arrival, if there is one, while so many gateways are alive.
-    pub fn spend(&mut self, now: Duration, gateways: u32) -> bool {
-        let left = self.left(now, gateways);
-        if left < 1.0 {
+    pub fn try_spend(&mut self, now: Duration, gateways: u32) -> bool {
+        let remaining = self.remaining(now, gateways);
+        if remaining < 1.0 {
             return false;
         }
-        self.slice(now).further += 1;
+        self.slice(now).retries += 1;
         true
     }
 
     /// Further arrivals that are left now.
-    pub fn left(&mut self, now: Duration, gateways: u32) -> f64 {
+    pub fn remaining(&mut self, now: Duration, gateways: u32) -> f64 {
         self.slice(now);
         let requests: u32 = self.slices.iter().map(|slice| slice.requests).sum();
-        let further: u32 = self.slices.iter().map(|slice| slice.further).sum();
+        let retries: u32 = self.slices.iter().map(|slice| slice.retries).sum();
         // Without news of the others none of the slack is safe to take.
         let slack = if gateways == 0 { 0.0 } else { self.rule.slack / f64::from(gateways) };
-        self.rule.used * (self.rule.ratio * f64::from(requests) + slack) - f64::from(further)
+        self.rule.used_fraction * (self.rule.ratio * f64::from(requests) + slack)
+            - f64::from(retries)
     }
 
     /// The slice of `now`; those that have left the window are dropped.
@@ -75,7 +76,7 @@
             self.slices.pop_front();
         }
         if self.slices.back().is_none_or(|slice| slice.number < number) {
-            self.slices.push_back(Slice { number, requests: 0, further: 0 });
+            self.slices.push_back(Slice { number, requests: 0, retries: 0 });
         }
         let last = self.slices.len() - 1;
         &mut self.slices[last]
--- a/src/gateway/choice.rs
+++ b/src/gateway/choice.rs
@@ -8,14 +8,14 @@
 use http::HeaderMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::balance::{Affinity, Candidate, Wish, choose, expected_keeper};
+use super::balance::{Affinity, Candidate, Preference, choose, is_expected_holder};
 use super::exchange::Plan;
 use super::mechanism::Mechanism;
 use super::reason::Refusal;
 use super::source::Search;
 use super::target::Target;
 use super::targets::Targets;
-use super::versions::{Group, Versions};
+use super::versions::{VersionGroup, Versions};
 use super::{ColdLimit, Gateway};
 use crate::configuration::Route;
 use crate::group::loads::{LoadKey, Loads, TargetLoad, loads_count_for};
@@ -24,10 +24,10 @@
 use crate::sync::read;
 
 /// How long ago a target that the members do not hear must have answered to be trusted.
-const ANSWERED_LATELY: Duration = Duration::from_secs(3);
+const RECENT_ANSWER_WINDOW: Duration = Duration::from_secs(3);
 
 /// Time over which callers come back that were refused because targets rest.
-const BACK_FROM_REST_OVER: Duration = Duration::from_millis(300);
+const BACKOFF_RETURN_SPREAD: Duration = Duration::from_millis(300);
 
 /// A target chosen for an attempt, and what the choice was made of.
 pub(super) struct Choice {
@@ -38,13 +38,13 @@
     /// Whether it is slow after a start, or may be.
     pub(super) cold: bool,
     /// Candidates that are left alone if another will do.
-    pub(super) doubtful: usize,
+    pub(super) last_resort: usize,
     /// Revision of the directory.
     pub(super) list_revision: Revision,
     /// Where the target may fetch what it lacks of the prompt.
     pub(super) fetch_from: Option<SocketAddr>,
     /// Whether the others take it to keep the prompt, without being told.
-    pub(super) expected: bool,
+    pub(super) expected_holder: bool,
     /// What the outcome is counted under while a roll-out is under way.
     pub(super) counted_under: Option<Subject>,
 }
@@ -68,13 +68,13 @@
     pub(super) fn choose(&self, plan: &Plan) -> Option<Choice> {
         let now = self.now();
         let known = read(&self.targets);
-        let versions = Versions::of(now, &known, plan);
+        let versions = Versions::new(now, &known, plan);
         let cold = self.cold_limit(&plan.service);
         let (group, targets) = self.usable(now, &known, &versions, plan, cold)?;
         let candidates = self.weigh(now, &targets);
-        let in_group = known.of(&plan.service).iter().filter(|one| versions.holds(group, one));
-        let wish = self.wish(now, plan, in_group);
-        let at = choose(&candidates, wish, &mut rand::rng())?;
+        let in_group = known.of(&plan.service).iter().filter(|one| versions.contains(group, one));
+        let preference = self.preference(now, plan, in_group);
+        let at = choose(&candidates, preference, &mut rand::rng())?;
         let of_service = known.of(&plan.service);
         let affinity = plan.affinity.filter(|_| self.fetches(&plan.service));
         let fetch_from = affinity.and_then(|affinity| {
@@ -85,17 +85,17 @@
             Some(self.source(&search)?.announcement.addr)
         });
         let all_homes = of_service.iter().map(|target| target.home());
-        let expected = affinity
-            .is_none_or(|affinity| expected_keeper(targets[at].home(), all_homes, affinity));
+        let expected_holder = affinity
+            .is_none_or(|affinity| is_expected_holder(targets[at].home(), all_homes, affinity));
         Some(Choice {
             fetch_from,
-            expected,
+            expected_holder,
             counted_under: self.subject(&known, plan, targets[at]),
             target: targets[at].clone(),
             load: candidates[at].load,
             candidates: candidates.len(),
             cold: cold.is_some_and(|limit| limit.cold(now, targets[at])),
-            doubtful: candidates.iter().filter(|candidate| candidate.doubtful).count(),
+            last_resort: candidates.iter().filter(|candidate| candidate.last_resort).count(),
             list_revision: known.revision(),
         })
     }
@@ -108,19 +108,19 @@
         versions: &Versions<'_>,
         plan: &Plan,
         cold: Option<ColdLimit>,
-    ) -> Option<(Group, Vec<&'a Arc<Target>>)> {
-        let (body, room) = (plan.outgoing.body_bytes(), self.bodies_at_target());
+    ) -> Option<(VersionGroup, Vec<&'a Arc<Target>>)> {
+        let (body, max_bytes) = (plan.outgoing.body_bytes(), self.max_bodies_per_target());
         let usable = |target: &&Arc<Target>| {
-            target.standing(now).takes_work()
+            target.eligibility(now).takes_work()
                 && self.region_allows(plan, target)
                 && !plan.tried.contains(&target.key)
-                && target.has_room(body, room)
+                && target.has_room(body, max_bytes)
                 && cold.is_none_or(|limit| limit.may_ask(now, target))
         };
         let usable: Vec<&Arc<Target>> = known.of(&plan.service).iter().filter(usable).collect();
         let groups = versions.groups(plan.lot, !plan.tried.is_empty());
-        if groups == [Group::Any] {
-            return (!usable.is_empty()).then_some((Group::Any, usable));
+        if groups == [VersionGroup::Any] {
+            return (!usable.is_empty()).then_some((VersionGroup::Any, usable));
         }
         let mut groups = groups.iter().map(|group| (*group, in_group(versions, *group, &usable)));
         groups.find(|(_, targets)| !targets.is_empty())
@@ -132,35 +132,35 @@
         let gateways = self.gateways();
         let homes = self.uses(Mechanism::Homes);
         let near = self.uses(Mechanism::Near);
-        let strains = self.uses(Mechanism::TargetStrain);
+        let slowdowns = self.uses(Mechanism::TargetStrain);
         let candidate = |target: &&Arc<Target>| Candidate {
             key: target.key,
             home: target.home().filter(|_| homes),
             load: target.load(now, usual, gateways),
             slots: target.announcement.slots,
-            strain: if strains { target.strain(now) } else { 1.0 },
+            slowdown: if slowdowns { target.slowdown(now) } else { 1.0 },
             near: near && target.announcement.data_hall == self.settings.data_hall,
-            doubtful: self.doubtful(now, target),
+            last_resort: self.is_last_resort(now, target),
         };
         targets.iter().map(candidate).collect()
     }
 
     /// What the choice depends on besides the candidates, which are of these targets.
-    fn wish<'a>(
+    fn preference<'a>(
         &self,
         now: Duration,
         plan: &Plan,
         targets: impl Iterator<Item = &'a Arc<Target>>,
-    ) -> Wish {
+    ) -> Preference {
         // The others bear the work of those that are left alone: by a mean over all, all of them would be full.
-        let left_alone = |target: &Arc<Target>| {
-            let rests = target.standing(now).rest_left(now).is_some();
-            rests || target.silent() || self.doubtful(now, target)
+        let avoided = |target: &Arc<Target>| {
+            let backing_off = target.eligibility(now).rest_left(now).is_some();
+            backing_off || target.unresponsive() || self.is_last_resort(now, target)
         };
-        Wish {
-            affinity: plan.affinity.map(|affinity| self.weighed(affinity)),
+        Preference {
+            affinity: plan.affinity.map(|affinity| self.bound_affinity(affinity)),
             load_bound: self.load_bound(),
-            targets: targets.filter(|target| !left_alone(target)).count(),
+            targets: targets.filter(|target| !avoided(target)).count(),
         }
     }
 
@@ -175,17 +175,17 @@
     pub(super) fn why_no_choice(&self, plan: &Plan) -> Refusal {
         let now = self.now();
         let known = read(&self.targets);
-        let there = self.suitable(&known, plan);
-        let untried = there.iter().filter(|target| !plan.tried.contains(&target.key));
-        let open = untried.clone().filter(|target| target.standing(now).takes_work());
-        let (body, room) = (plan.outgoing.body_bytes(), self.bodies_at_target());
-        if open.clone().any(|target| target.has_room(body, room)) {
+        let suitable = self.suitable(&known, plan);
+        let untried = suitable.iter().filter(|target| !plan.tried.contains(&target.key));
+        let open = untried.clone().filter(|target| target.eligibility(now).takes_work());
+        let (body, max_bytes) = (plan.outgoing.body_bytes(), self.max_bodies_per_target());
+        if open.clone().any(|target| target.has_room(body, max_bytes)) {
             return Refusal::Cold;
         }
         if open.count() > 0 {
             return Refusal::NoRoom;
         }
-        if there.iter().any(|target| target.standing(now).rest_left(now).is_some()) {
+        if suitable.iter().any(|target| target.eligibility(now).rest_left(now).is_some()) {
             return Refusal::Resting;
         }
         if untried.count() > 0 && plan.tried.is_empty() {
@@ -196,25 +196,25 @@
 
     /// Time until a target that rests can be asked, and some more, so that those who were refused do not come back
     /// all at once; `None` where none rests.
-    pub(super) fn rest_left(&self, plan: &Plan) -> Option<Duration> {
+    pub(super) fn backoff_left(&self, plan: &Plan) -> Option<Duration> {
         let now = self.now();
         let known = read(&self.targets);
-        let there = self.suitable(&known, plan);
-        let lefts = there.iter().filter_map(|target| target.standing(now).rest_left(now));
-        let first = lefts.min()?;
-        Some(first + BACK_FROM_REST_OVER.mul_f64(rand::random()))
+        let suitable = self.suitable(&known, plan);
+        let remaining = suitable.iter().filter_map(|target| target.eligibility(now).rest_left(now));
+        let first = remaining.min()?;
+        Some(first + BACKOFF_RETURN_SPREAD.mul_f64(rand::random()))
     }
 
     /// Targets that may take the request by their version and region, and that do not leave.
     fn suitable<'a>(&self, known: &'a Targets, plan: &Plan) -> Vec<&'a Arc<Target>> {
-        let versions = Versions::of(self.now(), known, plan);
+        let versions = Versions::new(self.now(), known, plan);
         let groups = versions.groups(plan.lot, !plan.tried.is_empty());
-        let suits = |target: &&Arc<Target>| {
-            !target.leaving()
+        let is_suitable = |target: &&Arc<Target>| {
+            !target.draining()
                 && self.region_allows(plan, target)
-                && groups.iter().any(|group| versions.holds(*group, target))
+                && groups.iter().any(|group| versions.contains(*group, target))
         };
-        known.of(&plan.service).iter().filter(suits).collect()
+        known.of(&plan.service).iter().filter(is_suitable).collect()
     }
 
     /// Whether the regions of the request's route and team allow a target; one whose region is not known
@@ -229,19 +229,19 @@
     }
 
     /// Counts a request that goes to a target now, if it is cold.
-    pub(super) fn note_asked(&self, target: &Target) {
+    pub(super) fn note_cold_request(&self, target: &Target) {
         if let Some(limit) = self.cold_limit(&target.announcement.service) {
             let now = self.now();
-            let mut warmth = target.warmth();
-            if warmth.cold(now, limit.cold_start) {
+            let mut cold_state = target.cold_state();
+            if cold_state.cold(now, limit.cold_start) {
                 self.metrics.asked_cold(&target.announcement.service);
-                warmth.note_asked(now, limit.gap);
+                cold_state.note_sent(now, limit.gap);
             }
         }
     }
 
     /// The affinity as it counts for the bound of loads.
-    fn weighed(&self, affinity: Affinity) -> Affinity {
+    fn bound_affinity(&self, affinity: Affinity) -> Affinity {
         match self.uses(Mechanism::CheapFirst) {
             true => affinity,
             false => Affinity { tokens: u64::MAX, ..affinity },
@@ -249,7 +249,7 @@
     }
 
     /// Most that bodies of requests from this gateway have together at a target, in bytes.
-    fn bodies_at_target(&self) -> usize {
+    fn max_bodies_per_target(&self) -> usize {
         self.settings.bodies_at_target(self.gateways())
     }
 
@@ -258,56 +258,58 @@
     }
 
     /// What this gateway has in flight, noted as told to a member.
-    pub(super) fn tell_loads(&self) -> Loads {
+    pub(super) fn report_loads(&self) -> Loads {
         let targets = read(&self.targets);
-        let told = targets.all().map(|target| TargetLoad {
+        let loads = targets.all().map(|target| TargetLoad {
             target: LoadKey::of(target.key),
-            requests: target.tell_in_flight(),
+            requests: target.report_in_flight(),
         });
-        told.filter(|load| load.requests > 0).collect()
+        loads.filter(|load| load.requests > 0).collect()
     }
 
     /// Takes what all gateways have in flight, this one as it last told.
-    pub(super) fn take_loads(&self, loads: &Loads) {
+    pub(super) fn receive_loads(&self, loads: &Loads) {
         if !self.uses(Mechanism::MemberLoads) {
             return;
         }
         let now = self.now();
         let loads: HashMap<LoadKey, u32> =
             loads.all().iter().map(|load| (load.target, load.requests)).collect();
-        let counts_for = loads_count_for(self.gateways(), loads.len());
+        let ttl = loads_count_for(self.gateways(), loads.len());
         let targets = read(&self.targets);
         for target in targets.all() {
-            target.note_total(
+            target.note_total_in_flight(
                 now,
                 loads.get(&LoadKey::of(target.key)).copied().unwrap_or(0),
-                counts_for,
+                ttl,
             );
         }
     }
 
     /// Whether a target should be left alone if another will do.
-    fn doubtful(&self, now: Duration, target: &Target) -> bool {
+    fn is_last_resort(&self, now: Duration, target: &Target) -> bool {
         let health = target.health();
-        let answered_lately = health.last_answer().is_some_and(|at| now < at + ANSWERED_LATELY);
-        let on_trial_and_busy = health.on_trial(now) && target.in_flight() > 0;
-        let paused = self.uses(Mechanism::Pauses) && (health.paused(now) || on_trial_and_busy);
-        let comes_back = target.standing(now).hesitates(target.in_flight());
-        paused || comes_back || (target.silent() && !answered_lately)
+        let answered_recently =
+            health.last_answer().is_some_and(|at| now < at + RECENT_ANSWER_WINDOW);
+        let on_probation_and_busy = health.on_probation(now) && target.in_flight() > 0;
+        let ejected =
+            self.uses(Mechanism::Pauses) && (health.ejected(now) || on_probation_and_busy);
+        let over_return_limit = target.eligibility(now).hesitates(target.in_flight());
+        ejected || over_return_limit || (target.unresponsive() && !answered_recently)
     }
 }
 
 /// Those of the targets that are in a group.
 fn in_group<'a>(
     versions: &Versions<'_>,
-    group: Group,
+    group: VersionGroup,
     targets: &[&'a Arc<Target>],
 ) -> Vec<&'a Arc<Target>> {
-    targets.iter().copied().filter(|target| versions.holds(group, target)).collect()
+    targets.iter().copied().filter(|target| versions.contains(group, target)).collect()
 }
 
 /// Mean load that other gateways bring to the targets that told of it lately.
 fn usual_others(targets: &[&Arc<Target>], now: Duration) -> f64 {
-    let told: Vec<f64> = targets.iter().filter_map(|target| target.others(now)).collect();
-    told.iter().sum::<f64>() / told.len().max(1) as f64
+    let loads: Vec<f64> = targets.iter().filter_map(|target| target.others_load(now)).collect();
+    loads.iter().sum::<f64>() / loads.len().max(1) as f64
 }
--- a/src/gateway/cold.rs
+++ b/src/gateway/cold.rs
@@ -11,9 +11,9 @@
 /// Part of what a cold target may get in any second that all gateways together use on average when each
 /// always has a request for it. Their draws differ: with 65 gateways, 24.5 requests allowed in any second and 400 that
 /// want the target, the fullest second of 400 spells has 20; with 0.5 it has 23 (`gateway: cold`).
-const USED: f64 = 0.4;
+const USED_FRACTION: f64 = 0.4;
 /// Gap where no rate is stated or nothing is known of the other gateways.
-const NEVER: Duration = Duration::from_secs(24 * 3_600);
+const MAX_GAP: Duration = Duration::from_secs(24 * 3_600);
 
 /// What a cold target may get from all gateways together.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -28,17 +28,19 @@
 
 impl ColdRule {
     /// Most requests in any second.
-    pub fn in_any_second(&self) -> f64 {
+    pub fn max_per_second(&self) -> f64 {
         self.per_s * self.over + self.slack
     }
 
     /// Time between two requests of one of so many gateways to one cold target.
     pub fn gap(&self, gateways: u32) -> Duration {
-        let used = self.in_any_second() * USED;
-        if gateways == 0 || used <= 0.0 {
-            return NEVER;
+        let target_rate = self.max_per_second() * USED_FRACTION;
+        if gateways == 0 || target_rate <= 0.0 {
+            return MAX_GAP;
         }
-        Duration::try_from_secs_f64(f64::from(gateways) / used).unwrap_or(NEVER).min(NEVER)
+        Duration::try_from_secs_f64(f64::from(gateways) / target_rate)
+            .unwrap_or(MAX_GAP)
+            .min(MAX_GAP)
     }
 }
 
@@ -46,37 +48,38 @@
 ///
 /// Times are since the start of the gateway.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Warmth {
+pub struct ColdState {
     /// Until when it is cold by its own word.
-    told_until: Duration,
+    reported_cold_until: Duration,
     /// When its data hall was taken back into use, or it was heard again: it may have turned cold shortly before.
     returned_at: Option<Duration>,
     /// Whether nobody was met at its address: whoever is met there next has just started.
-    away: bool,
+    absent: bool,
     /// When it may be asked next, while a spell lasts.
     next_at: Option<Duration>,
 }
 
-impl Warmth {
+impl ColdState {
     /// The target said that it stays cold for so long, or for none.
-    pub fn told(&mut self, now: Duration, cold_left: Duration) {
-        self.told_until = if cold_left.is_zero() { Duration::ZERO } else { now + cold_left };
+    pub fn note_cold_left(&mut self, now: Duration, cold_left: Duration) {
+        self.reported_cold_until =
+            if cold_left.is_zero() { Duration::ZERO } else { now + cold_left };
     }
 
     /// It, or its data hall, takes work again since `at`.
-    pub fn returned(&mut self, at: Duration) {
+    pub fn note_returned(&mut self, at: Duration) {
         self.returned_at = Some(at);
     }
 
     /// Nobody listens at its address.
-    pub fn left(&mut self) {
-        self.away = true;
+    pub fn note_absent(&mut self) {
+        self.absent = true;
     }
 
     /// Somebody was met at its address: a start begins now at the latest, if nobody was there before.
-    pub fn met(&mut self, now: Duration) {
-        if std::mem::take(&mut self.away) {
-            self.returned(now);
+    pub fn note_present(&mut self, now: Duration) {
+        if std::mem::take(&mut self.absent) {
+            self.note_returned(now);
         }
     }
 
@@ -88,11 +91,11 @@
     /// Whether it is cold, or may be, where a start takes `cold_start`.
     pub fn cold(&self, now: Duration, cold_start: Duration) -> bool {
         let returned = self.returned_at.is_some_and(|at| now < at + cold_start);
-        self.away || returned || now < self.told_until
+        self.absent || returned || now < self.reported_cold_until
     }
 
     /// Whether it may be asked now; `chance` from 0 to 1 draws the time of the first request of a spell.
-    pub fn may_ask(
+    pub fn may_send(
         &mut self,
         now: Duration,
         cold_start: Duration,
@@ -107,7 +110,7 @@
     }
 
     /// A request goes to it now.
-    pub fn note_asked(&mut self, now: Duration, gap: Duration) {
+    pub fn note_sent(&mut self, now: Duration, gap: Duration) {
         if let Some(next_at) = &mut self.next_at {
             *next_at = now + gap;
         }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -14,13 +14,13 @@
 use super::attempt::{self, Answer, AttemptError, Supervisor};
 use super::balance::Affinity;
 use super::choice::Choice;
+use super::client_buffers::ClientBuffer;
 use super::connection::{ConnectError, Found};
 use super::health::AttemptOutcome;
-use super::held::Holder;
 use super::outgoing::Outgoing;
-use super::patience::{self, SilenceWatch};
 use super::reason::{Outlook, Refusal};
 use super::relay;
+use super::stall::{self, StallGuard};
 use super::target::Target;
 use super::trace::{self, Departure, text};
 use super::{Gateway, Stage};
@@ -68,7 +68,7 @@
     /// What the outcome of the attempt under way is counted under, and when it began, while a roll-out is under way.
     pub(super) counted_under: Option<(Subject, Instant)>,
     /// Connection of the client.
-    pub(super) holder: Arc<Holder>,
+    pub(super) holder: Arc<ClientBuffer>,
     /// The first failure after which a target may have run the request.
     may_have_run: Option<Refusal>,
     /// Its fingerprint, once that was needed.
@@ -78,7 +78,7 @@
 /// Serves one request.
 pub(super) async fn serve(
     gateway: &Arc<Gateway>,
-    holder: &Arc<Holder>,
+    holder: &Arc<ClientBuffer>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     let arrived = Instant::now();
@@ -103,7 +103,7 @@
 /// Finds the route and the caller, and reads the body.
 async fn prepare(
     gateway: &Arc<Gateway>,
-    holder: &Arc<Holder>,
+    holder: &Arc<ClientBuffer>,
     head: &Parts,
     body: Incoming,
     arrived: Instant,
@@ -174,24 +174,28 @@
 /// Reads a client's body, which is held until it is sent nowhere any more.
 async fn read_body(
     gateway: &Gateway,
-    holder: &Arc<Holder>,
+    holder: &Arc<ClientBuffer>,
     body: Incoming,
     most: usize,
     deadline: Instant,
 ) -> Result<Bytes, Refusal> {
-    let _waiting = holder.wait_to_send();
+    let _waiting = holder.start_waiting();
     let gathering = gather(holder, body, most);
     tokio::select! {
         read = gateway.run_clock.within(BODY_TIMEOUT, deadline, gathering) => {
             read.unwrap_or(Err(Refusal::BodyTooSlow))
         }
         // Others need the room.
-        () = holder.cut() => Err(Refusal::BodyTooSlow),
+        () = holder.wait_for_cut() => Err(Refusal::BodyTooSlow),
     }
 }
 
-async fn gather(holder: &Arc<Holder>, mut body: Incoming, most: usize) -> Result<Bytes, Refusal> {
-    let mut gathered = holder.gather();
+async fn gather(
+    holder: &Arc<ClientBuffer>,
+    mut body: Incoming,
+    most: usize,
+) -> Result<Bytes, Refusal> {
+    let mut gathered = holder.new_body();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| Refusal::BadRequest)?;
         let piece = frame.into_data().unwrap_or_default();
@@ -231,7 +235,7 @@
 }
 
 pub(super) fn give_up(gateway: &Gateway, mut plan: Plan, refusal: Refusal) -> Response<AnswerBody> {
-    let rest_left = (refusal == Refusal::Resting).then(|| gateway.rest_left(&plan)).flatten();
+    let rest_left = (refusal == Refusal::Resting).then(|| gateway.backoff_left(&plan)).flatten();
     trace::given_up(gateway, &plan, refusal, rest_left);
     plan.departure.finish();
     refuse(refusal, Outlook { up_for: gateway.now(), rest_left })
@@ -246,11 +250,11 @@
         if Instant::now() >= plan.outgoing.deadline {
             return Err(plan.may_have_run.unwrap_or(Refusal::TooLate));
         }
-        if gateway.blocks_as_poison(plan) {
+        if gateway.is_blocked_as_poison(plan) {
             let ran = plan.may_have_run.is_some();
             return Err(if ran { Refusal::EndedTargets } else { Refusal::EndsTargets });
         }
-        if plan.arrivals > 0 && !gateway.may_send_again(plan) {
+        if plan.arrivals > 0 && !gateway.try_spend_retry(plan) {
             return Err(plan.may_have_run.unwrap_or(Refusal::NotRun));
         }
         let Some(choice) = gateway.choose(plan) else {
@@ -326,28 +330,28 @@
     gateway: &'a Gateway,
     plan: &'a Plan,
     target: &'a Target,
-    watch: &'a SilenceWatch,
+    watch: &'a StallGuard,
 }
 
 impl Supervisor for Supervised<'_> {
     fn may_send(&self) -> bool {
-        let takes_work = self.target.standing(self.gateway.now()).takes_work();
-        takes_work && self.gateway.version_serves(self.target)
+        let takes_work = self.target.eligibility(self.gateway.now()).takes_work();
+        takes_work && self.gateway.version_may_receive(self.target)
     }
 
-    fn may_turn(&self) -> bool {
-        self.plan.route.kind.idempotent() && self.gateway.could_send_after(self.plan)
+    fn may_try_another(&self) -> bool {
+        self.plan.route.kind.idempotent() && self.gateway.could_retry_after_current(self.plan)
     }
 
     fn run_clock(&self) -> &RunClock {
         &self.gateway.run_clock
     }
 
-    fn waits_on(&self) {
-        self.watch.blame_if_silent();
+    fn on_stall(&self) {
+        self.watch.blame_if_stalled();
     }
 
-    fn hear(&self, status: StatusCode, headers: &HeaderMap) {
+    fn on_answer_head(&self, status: StatusCode, headers: &HeaderMap) {
         self.gateway.hear(self.target, status, headers);
     }
 }
@@ -359,18 +363,18 @@
 ) -> Result<Answer, Failed> {
     let target = &choice.target;
     plan.tried.push(target.key);
-    gateway.note_asked(target);
+    gateway.note_cold_request(target);
     let limits = gateway.connection_limits(&plan.service);
     let began = Instant::now();
     plan.counted_under = choice.counted_under.map(|subject| (subject, began));
-    let longest = patience::for_answer(&plan.route);
-    let watch = SilenceWatch::begin(gateway, target, longest);
+    let longest = stall::answer_timeout(&plan.route);
+    let watch = StallGuard::start(gateway, target, longest);
     let supervised = Supervised { gateway, plan, target, watch: &watch };
     let (from, names) = (choice.fetch_from, gateway.names());
     let sent =
         attempt::send(target, from, &plan.outgoing, names, limits, longest, &supervised).await;
     let blamed = watch.blamed();
-    watch.end();
+    watch.finish();
     gateway.note_met(target, found(&sent));
     if !matches!(sent, Err(AttemptError::NotSent(_))) {
         plan.arrivals += 1;
@@ -382,10 +386,10 @@
         Ok(answer) => {
             gateway.note_outcome(target, answered(answer.status));
             if answer.status.is_server_error() {
-                gateway.note_version_failed(plan);
+                gateway.note_version_failure(plan);
             }
             if answer.status.is_success() {
-                gateway.note_read(plan, choice);
+                gateway.note_prompt_read(plan, choice);
             }
             trace::attempt(gateway, plan, choice, began, Ok(answer.status));
             Ok(answer)
@@ -393,7 +397,7 @@
         Err(error) => {
             let (refusal, outcome) = blame(error);
             if outcome == Some(AttemptOutcome::Failed) && error != AttemptError::Lost {
-                gateway.note_version_failed(plan);
+                gateway.note_version_failure(plan);
             }
             if let Some(outcome) = outcome.filter(|_| !blamed) {
                 gateway.note_outcome(target, outcome);
--- a/src/gateway/failback.rs
+++ b/src/gateway/failback.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::bootstrap;
-use super::order::{Looks, MemberOrder};
+use super::member_order::{FailbackBackoff, MemberOrder};
 use crate::group::message::Subscription;
 
 /// Longest time for one member to answer a look.
@@ -26,7 +26,7 @@
 /// Looks at members now and then.
 pub(super) struct Failback {
     source: Option<IpAddr>,
-    looks: Looks,
+    looks: FailbackBackoff,
     look_at: Instant,
     /// The look that is under way; finds a member or none.
     looking: JoinSet<Option<SocketAddr>>,
@@ -36,7 +36,7 @@
     /// Connects from `source`, where one is set.
     pub(super) fn new(source: Option<IpAddr>) -> Self {
         let look_at = Instant::now();
-        Failback { source, looks: Looks::default(), look_at, looking: JoinSet::new() }
+        Failback { source, looks: FailbackBackoff::default(), look_at, looking: JoinSet::new() }
     }
 
     /// A member is followed from now on.
@@ -54,7 +54,7 @@
                 return Look::Due;
             }
             if let Some(Ok(found)) = self.looking.join_next().await {
-                self.looks.note_made();
+                self.looks.note_check();
                 self.pause();
                 if let Some(member) = found {
                     return Look::Found(member);
@@ -74,7 +74,7 @@
     }
 
     fn pause(&mut self) {
-        self.look_at = Instant::now() + self.looks.pause(rand::random());
+        self.look_at = Instant::now() + self.looks.delay(rand::random());
     }
 }
 
--- a/src/gateway/feed.rs
+++ b/src/gateway/feed.rs
@@ -11,8 +11,8 @@
 use super::disconnect::Disconnect;
 use super::failback::{Failback, Look};
 use super::mechanism::Mechanism;
+use super::member_order::MemberOrder;
 use super::news::{Fetched, News};
-use super::order::MemberOrder;
 use crate::clock::{Instant, Suspensions};
 use crate::group::loads::own_loads_interval;
 use crate::group::message::{FromMember, Subscription, ToMember, Update};
@@ -61,11 +61,11 @@
         follower.note_left(member, &left);
         follower.learn(follower.order.from_current());
         match left {
-            Disconnect::Earlier(earlier) => follower.order.turn_to(earlier),
+            Disconnect::Earlier(earlier) => follower.order.select(earlier),
             // The same member tells all that is new, on a connection that holds nothing old.
             Disconnect::Suspended(_) => {}
             _ => {
-                follower.order.turn_to_next();
+                follower.order.select_next();
                 tokio::time::sleep(PAUSE).await;
             }
         }
@@ -172,7 +172,7 @@
         let named = named.map_err(|_| LinkError::Timeout)?;
         self.gateway.heard_member.send_replace(true);
         self.learn(named);
-        self.order.turn_to_first();
+        self.order.select_first();
         Ok(())
     }
 
@@ -182,7 +182,7 @@
             knows: Level::NEWEST,
             version: self.news.version(),
             directory: self.news.directory(),
-            evacuations: read(&self.gateway.targets).halls_revision(),
+            evacuations: read(&self.gateway.targets).evacuations_revision(),
             rollouts: read(&self.gateway.targets).rollouts_revision(),
             data_hall: self.gateway.settings.data_hall.clone(),
             looks: false,
@@ -322,9 +322,9 @@
 
     /// Tells the member what this gateway has in flight, if that has changed or is not nothing.
     async fn tell_loads(&mut self, sender: &mut FrameSender) -> Result<(), LinkError> {
-        let (loads, outcomes) = (self.gateway.tell_loads(), self.gateway.tell_outcomes());
-        let keepers = lock(&self.gateway.keepers).tell();
-        let tallies = self.gateway.tell_tallies();
+        let (loads, outcomes) = (self.gateway.report_loads(), self.gateway.take_outcomes());
+        let keepers = lock(&self.gateway.keepers).take_pending();
+        let tallies = self.gateway.take_tallies();
         let quiet = outcomes.is_empty() && keepers.is_empty() && tallies.is_empty();
         if loads.is_empty() && quiet && self.told_none {
             return Ok(());
@@ -339,7 +339,7 @@
     /// and wait for nothing.
     async fn tell_poison(&mut self, sender: &mut FrameSender) -> Result<(), LinkError> {
         loop {
-            let (word, upto) = self.gateway.poison_news_since(self.poison_told);
+            let (word, upto) = self.gateway.poison_reports_since(self.poison_told);
             if word.is_empty() {
                 return Ok(());
             }
@@ -353,7 +353,7 @@
     /// Remembers where members are, and keeps those of the settings.
     fn learn(&mut self, mut members: Vec<SocketAddr>) {
         members.extend(lock(&self.gateway.seeds).iter());
-        self.order.learn(members);
+        self.order.set_members(members);
     }
 
     fn note_found(&mut self, member: SocketAddr) {
--- a/src/gateway/fleet_size.rs
+++ b/src/gateway/fleet_size.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// Time in which members that start have heard of each other's gateways: they tell each other twice a second.
-const SETTLES_IN: Duration = Duration::from_millis(1_200);
+const CONFIRMATION_DELAY: Duration = Duration::from_millis(1_200);
 
 /// Numbers of gateways as they were told, as far back as a budget looks.
 ///
@@ -14,38 +14,39 @@
 pub struct FleetSize {
     window: Duration,
     /// When a number was told first.
-    first_at: Option<Duration>,
+    first_report_at: Option<Duration>,
     /// Told numbers with their times, each smaller than the one before.
-    told: VecDeque<(Duration, u32)>,
+    reported: VecDeque<(Duration, u32)>,
 }
 
 impl FleetSize {
     /// Nothing has been told yet.
     pub fn new(window: Duration) -> Self {
-        FleetSize { window, first_at: None, told: VecDeque::new() }
+        FleetSize { window, first_report_at: None, reported: VecDeque::new() }
     }
 
     /// A member tells how many gateways are alive.
     pub fn note(&mut self, now: Duration, gateways: u32) {
-        self.first_at.get_or_insert(now);
-        while self.told.back().is_some_and(|(_, told)| *told <= gateways) {
-            self.told.pop_back();
+        self.first_report_at.get_or_insert(now);
+        while self.reported.back().is_some_and(|(_, reported)| *reported <= gateways) {
+            self.reported.pop_back();
         }
-        self.told.push_back((now, gateways));
+        self.reported.push_back((now, gateways));
     }
 
     /// The same, but 0 while numbers have been told for a short time only: members that have just started
     /// count few.
-    pub fn settled(&mut self, now: Duration) -> u32 {
-        let told_for_long = self.first_at.is_some_and(|first| now >= first + SETTLES_IN);
-        if told_for_long { self.largest(now) } else { 0 }
+    pub fn confirmed(&mut self, now: Duration) -> u32 {
+        let long_enough =
+            self.first_report_at.is_some_and(|first| now >= first + CONFIRMATION_DELAY);
+        if long_enough { self.largest(now) } else { 0 }
     }
 
     /// The most that was told within the window; the newest if that is older; 0 before.
     pub fn largest(&mut self, now: Duration) -> u32 {
-        while self.told.len() > 1 && self.told[0].0 + self.window < now {
-            self.told.pop_front();
+        while self.reported.len() > 1 && self.reported[0].0 + self.window < now {
+            self.reported.pop_front();
         }
-        self.told.front().map_or(0, |(_, told)| *told)
+        self.reported.front().map_or(0, |(_, reported)| *reported)
     }
 }
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -81,7 +81,7 @@
         // Closed at rest, or after the answer under way: a client whose request was not read sends it
         // elsewhere at once, while a refusal has it come back later.
         _ = stage.wait_for(|stage| *stage == Stage::Closed) => {}
-        () = holder.cut() => {
+        () = holder.wait_for_cut() => {
             trace::client_cut(&gateway, holder.unread(), ClientCut::NoRoom);
             if holder.unread() > 0 {
                 return;
--- a/src/gateway/order.rs
+++ b/src/gateway/member_order.rs
@@ -11,10 +11,10 @@
 
 /// Pause before the first look whether a member that comes earlier can be followed again. With up
 /// to as much again by chance, the gateways of a member that was away come back to it one by one.
-const FIRST_LOOK: Duration = Duration::from_secs(2);
+const MIN_FAILBACK_DELAY: Duration = Duration::from_secs(2);
 /// Longest pause between two looks, each twice the one before: a member that is gone for good is asked
 /// for seldom.
-const LAST_LOOK: Duration = Duration::from_secs(30);
+const MAX_FAILBACK_DELAY: Duration = Duration::from_secs(30);
 
 /// Members in the order of one gateway, and the one that it turns to now.
 ///
@@ -44,29 +44,29 @@
     /// All members, the current one first and the others in the order in which they are turned to.
     pub fn from_current(&self) -> Vec<SocketAddr> {
         let mut members = self.ranked.clone();
-        members.rotate_left(self.place());
+        members.rotate_left(self.position());
         members
     }
 
     /// Members that come before the current one.
     pub fn earlier(&self) -> &[SocketAddr] {
-        &self.ranked[..self.place()]
+        &self.ranked[..self.position()]
     }
 
     /// Turns to the first member of the order.
-    pub fn turn_to_first(&mut self) {
+    pub fn select_first(&mut self) {
         if let Some(first) = self.ranked.first() {
             self.current = *first;
         }
     }
 
     /// Turns to the member after the current one.
-    pub fn turn_to_next(&mut self) {
-        self.current = self.ranked[(self.place() + 1) % self.ranked.len()];
+    pub fn select_next(&mut self) {
+        self.current = self.ranked[(self.position() + 1) % self.ranked.len()];
     }
 
     /// Turns to a member, if it is one.
-    pub fn turn_to(&mut self, member: SocketAddr) {
+    pub fn select(&mut self, member: SocketAddr) {
         if self.ranked.contains(&member) {
             self.current = member;
         }
@@ -74,7 +74,7 @@
 
     /// Takes the members that there are now. The current one stays the current one, unless it is none any
     /// more; without any, the known ones stay.
-    pub fn learn(&mut self, members: Vec<SocketAddr>) {
+    pub fn set_members(&mut self, members: Vec<SocketAddr>) {
         let ranked = rank(self.seed, members);
         let Some(first) = ranked.first() else {
             return;
@@ -85,7 +85,7 @@
         self.ranked = ranked;
     }
 
-    fn place(&self) -> usize {
+    fn position(&self) -> usize {
         self.ranked.iter().position(|member| *member == self.current).unwrap_or(0)
     }
 }
@@ -99,27 +99,27 @@
 
 /// When to look whether an earlier member can be followed again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Looks {
+pub struct FailbackBackoff {
     /// Looks since the gateway last stayed with the first member of its order.
-    made: u32,
+    checks: u32,
 }
 
-impl Looks {
+impl FailbackBackoff {
     /// Pause before the next look; `chance` is from 0 to 1.
-    pub fn pause(self, chance: f64) -> Duration {
-        let doubled = 1_u32.checked_shl(self.made).unwrap_or(u32::MAX);
-        let pause = FIRST_LOOK.saturating_mul(doubled).min(LAST_LOOK);
-        pause + pause.mul_f64(chance)
+    pub fn delay(self, chance: f64) -> Duration {
+        let doubled = 1_u32.checked_shl(self.checks).unwrap_or(u32::MAX);
+        let delay = MIN_FAILBACK_DELAY.saturating_mul(doubled).min(MAX_FAILBACK_DELAY);
+        delay + delay.mul_f64(chance)
     }
 
     /// A look was made. One that found a member counts too: where that is lost again soon, the gateway
     /// does not go to and fro.
-    pub fn note_made(&mut self) {
-        self.made = self.made.saturating_add(1);
+    pub fn note_check(&mut self) {
+        self.checks = self.checks.saturating_add(1);
     }
 
     /// The first member has been followed for a pause.
     pub fn reset(&mut self) {
-        self.made = 0;
+        self.checks = 0;
     }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -8,8 +8,11 @@
 pub mod balance;
 mod bootstrap;
 pub mod budget;
+pub mod buffer_ledger;
 mod choice;
+mod client_buffers;
 pub mod cold;
+pub mod config_delay;
 mod connection;
 mod disconnect;
 pub mod events;
@@ -20,32 +23,29 @@
 pub mod first_news;
 pub mod fleet_size;
 pub mod health;
-mod held;
-pub mod keepers;
-pub mod lateness;
-pub mod ledger;
 mod listener;
 pub mod mechanism;
+pub mod member_order;
 mod metrics;
 mod neighbours;
 mod news;
 mod opening;
-pub mod order;
 mod outflow;
 pub mod outgoing;
-pub mod patience;
 mod poison;
+pub mod prefix_holders;
 mod probe;
 pub mod reason;
 mod relay;
-pub mod remembered;
+pub mod remembered_reports;
 mod retries;
 pub mod reuse;
 mod running;
 pub mod settings;
 pub mod shelf;
+pub mod slowdown;
 mod source;
-pub mod strain;
+pub mod stall;
 mod target;
 mod targets;
 mod trace;
@@ -63,15 +63,15 @@
 use tokio::sync::{Notify, watch};
 
 use self::budget::ServiceBudget;
+use self::client_buffers::ClientBuffers;
 use self::cold::ColdRule;
 use self::connection::ConnectionLimits;
-use self::evidence::spread;
+use self::evidence::return_spread;
 use self::fleet_size::FleetSize;
 use self::health::{AttemptOutcome, Tally};
-use self::held::Holdings;
-use self::keepers::Keepers;
 use self::mechanism::Mechanism;
 use self::metrics::GatewayMetrics;
+use self::prefix_holders::PrefixHolders;
 pub use self::running::RunningGateway;
 use self::settings::{GatewaySettings, OnStale};
 use self::shelf::Shelf;
@@ -103,7 +103,7 @@
     /// Whether a member has told anything since the start.
     heard_member: watch::Sender<bool>,
     /// Which targets keep which prompts.
-    keepers: Mutex<Keepers>,
+    keepers: Mutex<PrefixHolders>,
     /// Gateways alive, as the members tell; 0 while not told.
     gateways: AtomicU32,
     /// Gateways that share the budgets.
@@ -118,7 +118,7 @@
     /// What was seen of roll-outs under way, not told to a member yet.
     tallies: Mutex<Tallies>,
     /// What is held for clients.
-    holdings: Arc<Holdings>,
+    holdings: Arc<ClientBuffers>,
     stage: watch::Sender<Stage>,
     open: AtomicU32,
     /// Connections of clients.
@@ -163,12 +163,12 @@
 impl ColdLimit {
     /// Whether a target is cold, or may be.
     fn cold(self, now: Duration, target: &Target) -> bool {
-        target.warmth().cold(now, self.cold_start)
+        target.cold_state().cold(now, self.cold_start)
     }
 
     /// Whether a target may be asked now.
     fn may_ask(self, now: Duration, target: &Target) -> bool {
-        target.warmth().may_ask(now, self.cold_start, self.gap, rand::random)
+        target.cold_state().may_send(now, self.cold_start, self.gap, rand::random)
     }
 }
 
@@ -255,7 +255,7 @@
             over: self.settings.cold_over,
             slack: self.settings.cold_slack,
         };
-        let gateways = lock(&self.fleet_size).settled(self.now());
+        let gateways = lock(&self.fleet_size).confirmed(self.now());
         Some(ColdLimit { cold_start: service.cold_start, gap: rule.gap(gateways) })
     }
 
@@ -297,18 +297,18 @@
     fn hear(&self, target: &Target, status: StatusCode, headers: &HeaderMap) {
         let word = self.dialect.word(status, headers);
         if let Some(load) = word.load.filter(|_| self.uses(Mechanism::TargetLoads)) {
-            target.note_load(self.now(), load);
+            target.note_reported_load(self.now(), load);
         }
         if word.leaving {
-            let told = target.leaving();
-            trace::says_leaving(self, target, target.says_leaving(), told);
+            let told = target.draining();
+            trace::says_leaving(self, target, target.note_draining(), told);
         }
         match word.rest {
             Some(rest) => {
-                target.rests(self.now(), rest, spread(self.gateways()));
+                target.note_backoff(self.now(), rest, return_spread(self.gateways()));
                 trace::asks_for_rest(self, target, rest);
             }
-            None if !word.turned_away => target.answered(self.now()),
+            None if !word.turned_away => target.note_answered(self.now()),
             None => {}
         }
         self.note_unread(target, headers);
@@ -335,10 +335,10 @@
     fn tallies_of_others(&self, now: Duration, target: &Target) -> Vec<Tally> {
         let targets = read(&self.targets);
         let others = targets.of(&target.announcement.service).iter();
-        let others = others.filter(|other| other.key != target.key && !other.leaving());
+        let others = others.filter(|other| other.key != target.key && !other.draining());
         let tallies = others.filter_map(|other| {
             let health = other.health();
-            (!health.paused(now)).then(|| health.tally(now))
+            (!health.ejected(now)).then(|| health.tally(now))
         });
         tallies.collect()
     }
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -7,7 +7,7 @@
 use slog::{info, warn};
 use tokio::task::JoinSet;
 
-use super::lateness::Lateness;
+use super::config_delay::ConfigDelay;
 use super::{Gateway, neighbours};
 use crate::document::{Document, Packed};
 use crate::group::listing::PackedDelta;
@@ -30,14 +30,14 @@
     gateway: Arc<Gateway>,
     /// The configuration, as the next difference builds on it.
     document: Option<Document>,
-    lateness: Lateness,
+    lateness: ConfigDelay,
     /// Parcels that are being fetched.
     fetches: JoinSet<Fetched>,
 }
 
 impl News {
     pub(super) fn new(gateway: Arc<Gateway>) -> Self {
-        News { gateway, document: None, lateness: Lateness::default(), fetches: JoinSet::new() }
+        News { gateway, document: None, lateness: ConfigDelay::default(), fetches: JoinSet::new() }
     }
 
     /// Version of the last configuration that came, be it readable or not; 0 for none.
@@ -52,7 +52,7 @@
 
     /// Whether nothing is on its way that a member has told of.
     pub(super) fn complete(&self) -> bool {
-        self.fetches.is_empty() && self.lateness.told() <= self.version()
+        self.fetches.is_empty() && self.lateness.newest_version() <= self.version()
     }
 
     /// Takes what an update of a member brings, or begins to fetch it.
@@ -162,7 +162,7 @@
 
     /// Whether word of orders about data halls may be new. Members of the first build always tell that there are none.
     fn lacks_halls(&self, halls: &HallNews) -> bool {
-        halls.revision > 0 || read(&self.gateway.targets).halls_revision().is_none()
+        halls.revision > 0 || read(&self.gateway.targets).evacuations_revision().is_none()
     }
 
     /// Takes orders about data halls, and tells the member up to which one they are obeyed.
@@ -176,18 +176,18 @@
         let evacuated = halls.halls.iter().filter(|hall| hall.state == Evacuation::InForce);
         let evacuated: Vec<&str> = evacuated.map(|hall| hall.data_hall.as_str()).collect();
         let evacuated = evacuated.join(",");
-        if write(&self.gateway.targets).obey(self.gateway.now(), halls) {
+        if write(&self.gateway.targets).apply_evacuations(self.gateway.now(), halls) {
             info!(self.gateway.log, "orders about data halls"; "event" => "evacuations",
                 "revision" => revision, "evacuated" => evacuated, "from" => %from);
         }
-        let obeys = read(&self.gateway.targets).halls_revision().unwrap_or(0);
+        let obeys = read(&self.gateway.targets).evacuations_revision().unwrap_or(0);
         sender.send(&ToMember::Obeys(obeys)).await
     }
 
     /// Whether anything was ever heard of orders about data halls and of roll-outs.
     fn knows_orders(&self) -> bool {
         let targets = read(&self.gateway.targets);
-        targets.halls_revision().is_some() && targets.rollouts_revision().is_some()
+        targets.evacuations_revision().is_some() && targets.rollouts_revision().is_some()
     }
 
     /// Takes word of roll-outs.
@@ -202,7 +202,7 @@
             )
         });
         let (revision, told) = (news.revision, told.collect::<Vec<_>>().join(","));
-        if write(&self.gateway.targets).follow_rollouts(news) {
+        if write(&self.gateway.targets).apply_rollouts(news) {
             info!(self.gateway.log, "roll-outs"; "event" => "rollouts", "revision" => revision,
                 "rollouts" => told, "from" => %from);
         }
@@ -211,19 +211,19 @@
     /// Takes what an update tells besides parcels.
     fn take_signs(&mut self, update: &Update) {
         let held = self.version();
-        self.lateness.hear(self.gateway.now(), update.fresh, update.version, held);
-        self.gateway.metrics.version_told.set(self.lateness.told() as i64);
+        self.lateness.note_update(self.gateway.now(), update.fresh, update.version, held);
+        self.gateway.metrics.version_told.set(self.lateness.newest_version() as i64);
         if let Some(loads) = &update.loads {
-            self.gateway.take_loads(loads);
+            self.gateway.receive_loads(loads);
         }
         if !update.mixes.is_empty() {
             let mut targets = write(&self.gateway.targets);
-            targets.take_mixes(self.gateway.now(), update.mixes.clone());
+            targets.set_route_mixes(self.gateway.now(), update.mixes.clone());
         }
-        lock(&self.gateway.keepers).hear(self.gateway.now(), &update.keepers);
-        self.gateway.take_poison_news(&update.poison);
+        lock(&self.gateway.keepers).record(self.gateway.now(), &update.keepers);
+        self.gateway.receive_poison_reports(&update.poison);
         if let Some(evidence) = &update.evidence {
-            self.gateway.take_evidence(evidence);
+            self.gateway.apply_evidence(evidence);
         }
         lock(&self.gateway.fleet_size).note(self.gateway.now(), update.gateways);
         let before = self.gateway.gateways.swap(update.gateways, Ordering::Relaxed);
@@ -245,7 +245,7 @@
                 let table = Arc::new(RouteTable::new(configuration));
                 self.gateway.table.send_replace(Some(table));
                 self.gateway.metrics.version.set(document.version as i64);
-                let waited = self.lateness.at_most(self.gateway.now());
+                let waited = self.lateness.max_delay(self.gateway.now());
                 if let Some(waited) = waited {
                     self.gateway.metrics.in_force.observe(waited.as_secs_f64());
                 }
--- a/src/gateway/outflow.rs
+++ b/src/gateway/outflow.rs
@@ -13,8 +13,8 @@
 use tokio::sync::mpsc;
 
 use super::answer::BrokenOff;
+use super::client_buffers::ClientBuffer;
 use super::exchange::Plan;
-use super::held::Holder;
 use super::reason::Refusal;
 use super::trace::{self, ClientCut};
 use super::{Gateway, OpenRequest};
@@ -49,7 +49,7 @@
 /// The way of an answer to its client.
 pub(super) struct Outflow {
     gateway: Arc<Gateway>,
-    holder: Arc<Holder>,
+    holder: Arc<ClientBuffer>,
     deadline: Instant,
 }
 
@@ -126,7 +126,7 @@
         let mut read_at = began;
         loop {
             if self.fits(&piece) {
-                match self.holder.unread_piece(piece) {
+                match self.holder.hold_unread(piece) {
                     Ok(held) => {
                         source.note_waited(clock.ran().saturating_sub(began));
                         return sender.send(Handed::Piece(held)).is_ok();
@@ -141,7 +141,7 @@
             }
             tokio::select! {
                 biased;
-                () = self.holder.reads() => read_at = clock.ran(),
+                () = self.holder.wait_for_read() => read_at = clock.ran(),
                 () = sender.closed() => return false,
                 () = tokio::time::sleep(LOOK_FOR_ROOM) => {}
             }
--- a/src/gateway/outgoing.rs
+++ b/src/gateway/outgoing.rs
@@ -80,7 +80,7 @@
             body,
             id,
             deadline,
-            reuse: if route.kind.idempotent() { Reuse::Any } else { Reuse::UsedLately },
+            reuse: if route.kind.idempotent() { Reuse::Any } else { Reuse::RecentlyUsed },
         }
     }
 
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -12,8 +12,8 @@
 impl Gateway {
     /// Whether a request is to be sent to no target, because targets ended under it. One that is let through as a
     /// trial counts as tried from now on.
-    pub(super) fn blocks_as_poison(&self, plan: &Plan) -> bool {
-        if !self.may_know_as_poison(plan) {
+    pub(super) fn is_blocked_as_poison(&self, plan: &Plan) -> bool {
+        if !self.may_be_known_poison(plan) {
             return false;
         }
         let (now, fingerprint) = (self.now(), plan.fingerprint());
@@ -31,13 +31,13 @@
     }
 
     /// Whether anything like the request is remembered: most are told apart by a look that does not read the body.
-    fn may_know_as_poison(&self, plan: &Plan) -> bool {
+    fn may_be_known_poison(&self, plan: &Plan) -> bool {
         let board = lock(&self.poison);
         !board.is_empty() && board.may_know(plan.identity().outline())
     }
 
     /// A target ended under a request.
-    pub(super) fn note_end(&self, suspect: Suspect, target: u64) {
+    pub(super) fn note_target_ended(&self, suspect: Suspect, target: u64) {
         let by = Reporter::of(&self.settings.host);
         lock(&self.poison).note_end(self.now(), suspect, target, by);
         self.poison_news.notify_one();
@@ -45,8 +45,8 @@
     }
 
     /// A request was answered whole and well: targets do not end under it.
-    pub(super) fn note_ended_well(&self, plan: &Plan) {
-        if !self.may_know_as_poison(plan) {
+    pub(super) fn note_not_poison(&self, plan: &Plan) {
+        if !self.may_be_known_poison(plan) {
             return;
         }
         let cleared = lock(&self.poison).note_ended_well(self.now(), plan.fingerprint());
@@ -58,19 +58,19 @@
     }
 
     /// Takes what other gateways saw.
-    pub(super) fn take_poison_news(&self, word: &[Report]) {
-        if word.is_empty() {
+    pub(super) fn receive_poison_reports(&self, reports: &[Report]) {
+        if reports.is_empty() {
             return;
         }
         let now = self.now();
         let mut board = lock(&self.poison);
-        word.iter().for_each(|report| board.take(now, Origin::Elsewhere, report.clone()));
+        reports.iter().for_each(|report| board.take(now, Origin::Elsewhere, report.clone()));
         drop(board);
         self.log_poison();
     }
 
     /// What was seen here since a change, and up to which change that is.
-    pub(super) fn poison_news_since(&self, known: u64) -> (Vec<Report>, u64) {
+    pub(super) fn poison_reports_since(&self, known: u64) -> (Vec<Report>, u64) {
         lock(&self.poison).news_from_here(self.now(), known)
     }
 
--- a/src/gateway/probe.rs
+++ b/src/gateway/probe.rs
@@ -20,8 +20,8 @@
     /// and is cold whatever was known before: word of that start may come later than the first requests.
     pub(super) fn note_met(&self, target: &Target, found: Found) {
         match found {
-            Found::Ended => target.warmth().left(),
-            Found::Lives => target.warmth().met(self.now()),
+            Found::Ended => target.cold_state().note_absent(),
+            Found::Lives => target.cold_state().note_present(self.now()),
             Found::Unknown => {}
         }
     }
@@ -34,7 +34,7 @@
         let route = plan.route.name.clone();
         let counted_under = plan.counted_under.map(|(subject, _)| subject);
         // Where it leaves as planned, its end is no request's doing.
-        let leaves = target.leaving();
+        let leaves = target.draining();
         let began = Instant::now();
         tokio::spawn(async move {
             let found = look_at(&target, gateway.connection_limits(&service)).await;
@@ -47,7 +47,7 @@
                 lock(&gateway.tallies).note_failed(subject);
             }
             if found == Found::Ended && !leaves {
-                gateway.note_end(suspect, target.key);
+                gateway.note_target_ended(suspect, target.key);
             }
             if let Some(stands_for) = lock(&gateway.inquest_lines).keep(gateway.now()) {
                 info!(gateway.log, "looked at a target"; "event" => "inquest",
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -19,8 +19,8 @@
 use super::mechanism::Mechanism;
 use super::outflow::{Outflow, Source};
 use super::outgoing::strip_hop_by_hop;
-use super::patience::{self, SilenceWatch};
 use super::reason::Refusal;
+use super::stall::{self, StallGuard};
 use super::trace::{self, text};
 
 use crate::clock::Instant;
@@ -44,7 +44,7 @@
 /// Passes an answer on, or finds that the request had better be sent again.
 pub(super) async fn pass_on(gateway: &Arc<Gateway>, mut plan: Plan, answer: Answer) -> PassedOn {
     let again = plan.route.kind.idempotent() && answer.status.is_server_error();
-    if again && gateway.could_send_again(&plan) {
+    if again && gateway.could_retry(&plan) {
         plan.note_ran(Refusal::AnswerLost);
         return PassedOn::Retry(Box::new(plan));
     }
@@ -59,7 +59,7 @@
 /// Reads the whole answer before the client gets a byte, so that a broken one never looks complete.
 async fn whole(gateway: &Arc<Gateway>, mut plan: Plan, answer: Answer) -> PassedOn {
     let Answer { target, status, headers, mut body, connection, in_flight } = answer;
-    let mut gathered = plan.holder.gather();
+    let mut gathered = plan.holder.new_body();
     loop {
         let frame = gateway.run_clock.before(plan.outgoing.deadline, body.frame()).await;
         let refusal = match frame {
@@ -86,10 +86,10 @@
         trace::broke_off(gateway, &plan, &target, refusal, "");
         match refusal {
             Refusal::AnswerLost => gateway.probe(&plan, &target),
-            _ => gateway.note_version_failed(&plan),
+            _ => gateway.note_version_failure(&plan),
         }
         plan.note_ran(refusal);
-        if plan.route.kind.idempotent() && gateway.could_send_again(&plan) {
+        if plan.route.kind.idempotent() && gateway.could_retry(&plan) {
             return PassedOn::Retry(Box::new(plan));
         }
         return PassedOn::Answer(give_up(gateway, plan, refusal));
@@ -101,8 +101,8 @@
     }
     trace::answered(gateway, &plan, &target, status);
     if status.is_success() {
-        gateway.note_version_answered(&plan);
-        gateway.note_ended_well(&plan);
+        gateway.note_version_answer(&plan);
+        gateway.note_not_poison(&plan);
     }
     trace::ended(gateway, &mut plan);
     let mut response = Response::new(AnswerBody::Whole(Some(gathered.into_answer())));
@@ -207,7 +207,7 @@
         Ok(first) => first,
         Err(refusal) => return PassedOn::Answer(give_up(gateway, relay.plan, refusal)),
     };
-    gateway.note_version_answered(&relay.plan);
+    gateway.note_version_answer(&relay.plan);
     trace::answered(gateway, &relay.plan, &relay.answer.target, status);
     let Some(first) = first else {
         relay.keep_connection();
@@ -280,23 +280,23 @@
     async fn next_frame(&mut self) -> Result<Option<Piece>, Stopped> {
         let route = &self.plan.route;
         let longest = match self.begun {
-            true => patience::for_next_event(route),
-            false => patience::for_answer(route),
+            true => stall::next_event_timeout(route),
+            false => stall::answer_timeout(route),
         };
-        let watch = SilenceWatch::begin(&self.gateway, &self.answer.target, longest);
+        let watch = StallGuard::start(&self.gateway, &self.answer.target, longest);
         let (deadline, clock) = (self.plan.outgoing.deadline, &self.gateway.run_clock);
         let mut frame = pin!(self.answer.body.frame());
         let mut waited = clock.within(longest, deadline, &mut frame).await;
         let may_turn = || {
             self.gateway.uses(Mechanism::Silence)
                 && route.kind.idempotent()
-                && self.gateway.could_send_again(&self.plan)
+                && self.gateway.could_retry(&self.plan)
         };
         if waited.is_none() && !may_turn() {
-            watch.blame_if_silent();
+            watch.blame_if_stalled();
             waited = clock.before(deadline, frame).await;
         }
-        watch.end();
+        watch.finish();
         waited.ok_or(Stopped::Late)
     }
 
@@ -315,7 +315,7 @@
         gateway.note_outcome(&self.answer.target, AttemptOutcome::Failed);
         match refusal {
             Refusal::AnswerLost => gateway.probe(&self.plan, &self.answer.target),
-            _ => gateway.note_version_failed(&self.plan),
+            _ => gateway.note_version_failure(&self.plan),
         }
         self.plan.note_ran(refusal);
         if !self.plan.route.kind.idempotent() {
@@ -342,7 +342,7 @@
 
     /// Keeps the connection of a stream that has ended.
     fn keep_connection(mut self) {
-        self.gateway.note_ended_well(&self.plan);
+        self.gateway.note_not_poison(&self.plan);
         trace::ended(&self.gateway, &mut self.plan);
         self.answer.connection.keep(&self.answer.headers);
     }
--- a/src/gateway/remembered.rs
+++ b/src/gateway/remembered_reports.rs
@@ -7,28 +7,28 @@
 use crate::availability::OwnWord;
 
 /// How long a word is remembered: a target that said that it leaves has ended by then.
-const KEPT_FOR: Duration = Duration::from_secs(600);
+const REPORT_TTL: Duration = Duration::from_secs(600);
 /// Words remembered; the oldest gives way.
-const MOST: usize = 4_096;
+const MAX_REPORTS: usize = 4_096;
 
 /// Words of starts of targets, by their short form.
 #[derive(Debug, Default)]
-pub struct RememberedWords(HashMap<u64, (Duration, OwnWord)>);
+pub struct RememberedReports(HashMap<u64, (Duration, OwnWord)>);
 
-impl RememberedWords {
+impl RememberedReports {
     /// Remembers what a start of a target has said of itself.
-    pub fn keep(&mut self, now: Duration, start: u64, said: OwnWord) {
-        if self.0.len() >= MOST
+    pub fn keep(&mut self, now: Duration, incarnation: u64, report: OwnWord) {
+        if self.0.len() >= MAX_REPORTS
             && let Some(oldest) = self.0.iter().min_by_key(|(_, (at, _))| *at).map(|(key, _)| *key)
         {
             self.0.remove(&oldest);
         }
-        self.0.insert(start, (now, said));
+        self.0.insert(incarnation, (now, report));
     }
 
     /// What a start of a target that is listed again has said of itself.
-    pub fn take(&mut self, now: Duration, start: u64) -> Option<OwnWord> {
-        let kept = self.0.remove(&start);
-        kept.filter(|(at, _)| now < *at + KEPT_FOR).map(|(_, said)| said)
+    pub fn take(&mut self, now: Duration, incarnation: u64) -> Option<OwnWord> {
+        let entry = self.0.remove(&incarnation);
+        entry.filter(|(at, _)| now < *at + REPORT_TTL).map(|(_, report)| report)
     }
 }
--- a/src/gateway/retries.rs
+++ b/src/gateway/retries.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Gateway;
-use super::budget::{BudgetRule, CAUTION, ServiceBudget};
+use super::budget::{BudgetRule, ServiceBudget, USED_FRACTION};
 use super::exchange::Plan;
 use super::mechanism::Mechanism;
 use crate::clock::Instant;
@@ -14,7 +14,7 @@
     pub(super) fn count_request(&self, service: &str) {
         let now = self.now();
         self.metrics.requested(service);
-        self.with_budget(service, |budget| budget.request(now));
+        self.with_budget(service, |budget| budget.count_request(now));
     }
 
     fn with_budget<T>(&self, service: &str, with: impl FnOnce(&mut ServiceBudget) -> T) -> T {
@@ -24,7 +24,11 @@
                 ratio: self.settings.retry_ratio,
                 window: Duration::from_secs_f64(self.settings.retry_window_s),
                 slack: self.settings.retry_slack,
-                used: if self.uses(Mechanism::BudgetCaution) { CAUTION } else { 1.0 },
+                used_fraction: if self.uses(Mechanism::BudgetCaution) {
+                    USED_FRACTION
+                } else {
+                    1.0
+                },
             };
             budgets.insert(service.to_owned(), ServiceBudget::new(rule));
         }
@@ -32,30 +36,30 @@
     }
 
     /// Whether the request could be sent to one more target after the attempt under way.
-    pub(super) fn could_send_after(&self, plan: &Plan) -> bool {
+    pub(super) fn could_retry_after_current(&self, plan: &Plan) -> bool {
         let (now, gateways) = (self.now(), self.sharing_gateways());
         self.uses(Mechanism::Silence)
             && plan.sends + 1 < plan.route.max_attempts
-            && self.with_budget(&plan.service, |budget| budget.left(now, gateways) >= 1.0)
-            && self.choose(plan).is_some_and(|choice| choice.doubtful < choice.candidates)
+            && self.with_budget(&plan.service, |budget| budget.remaining(now, gateways) >= 1.0)
+            && self.choose(plan).is_some_and(|choice| choice.last_resort < choice.candidates)
     }
 
     /// Whether the request could be sent to one more target.
-    pub(super) fn could_send_again(&self, plan: &Plan) -> bool {
+    pub(super) fn could_retry(&self, plan: &Plan) -> bool {
         let (now, gateways) = (self.now(), self.sharing_gateways());
         plan.sends < plan.route.max_attempts
             && Instant::now() < plan.outgoing.deadline
-            && self.with_budget(&plan.service, |budget| budget.left(now, gateways) >= 1.0)
+            && self.with_budget(&plan.service, |budget| budget.remaining(now, gateways) >= 1.0)
             && self.choose(plan).is_some()
     }
 
     /// Takes one further arrival out of the budget, if the request may have it.
-    pub(super) fn may_send_again(&self, plan: &Plan) -> bool {
+    pub(super) fn try_spend_retry(&self, plan: &Plan) -> bool {
         if plan.sends >= plan.route.max_attempts {
             return false;
         }
         let (now, gateways) = (self.now(), self.sharing_gateways());
-        let allowed = self.with_budget(&plan.service, |budget| budget.spend(now, gateways));
+        let allowed = self.with_budget(&plan.service, |budget| budget.try_spend(now, gateways));
         self.metrics.retried(&plan.service, allowed);
         allowed
     }
@@ -63,6 +67,6 @@
     /// Further arrivals at a service that the budget has left.
     pub(super) fn budget_left(&self, service: &str) -> i64 {
         let (now, gateways) = (self.now(), self.sharing_gateways());
-        self.with_budget(service, |budget| budget.left(now, gateways)).floor() as i64
+        self.with_budget(service, |budget| budget.remaining(now, gateways)).floor() as i64
     }
 }
--- a/src/gateway/reuse.rs
+++ b/src/gateway/reuse.rs
@@ -5,7 +5,7 @@
 /// Idle time beyond which a request that may run only once gets a new connection: one that a target
 /// without power has forgotten would leave its outcome unknown. Targets keep connections for
 /// seconds, so that a much shorter time would have connections made anew without need.
-const SURE_FOR: Duration = Duration::from_millis(1_600);
+const MAX_IDLE_IF_NOT_REPEATABLE: Duration = Duration::from_millis(1_600);
 
 /// Whether an attempt may leave the outcome unknown without harm.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -13,12 +13,12 @@
     /// Any kept connection will do.
     Any,
     /// Only one used lately.
-    UsedLately,
+    RecentlyUsed,
 }
 
 impl Reuse {
     /// Whether a connection that was idle for so long may be used.
     pub fn allows(self, idle_for: Duration) -> bool {
-        self == Reuse::Any || idle_for <= SURE_FOR
+        self == Reuse::Any || idle_for <= MAX_IDLE_IF_NOT_REPEATABLE
     }
 }
--- a/src/gateway/running.rs
+++ b/src/gateway/running.rs
@@ -8,8 +8,8 @@
 use tokio::net::TcpListener;
 use tokio::sync::{Notify, watch};
 
+use super::client_buffers::ClientBuffers;
 use super::fleet_size::FleetSize;
-use super::held::Holdings;
 use super::mechanism::Mechanism;
 use super::metrics::GatewayMetrics;
 use super::opening::Reserved;
@@ -92,7 +92,7 @@
         let reporter = Reporter::of(&settings.host);
         let gateway = Arc::new(Gateway {
             seeds: Mutex::new(settings.member_peers()),
-            holdings: Holdings::new(settings.held_bytes()),
+            holdings: ClientBuffers::new(settings.held_bytes()),
             settings,
             dialect,
             table: watch::Sender::new(None),
--- a/src/gateway/strain.rs
+++ b/src/gateway/slowdown.rs
@@ -3,27 +3,27 @@
 use std::time::Duration;
 
 /// What is usual, in percent.
-const USUAL: f64 = 100.0;
+const USUAL_PERCENT: f64 = 100.0;
 /// Most that is believed, as a multiple: a target that tells more is as good as out of use already.
-const MOST: f64 = 10.0;
+const MAX_MULTIPLE: f64 = 10.0;
 /// Time after which half of what a target told is thought to be over.
 const HALF_LIFE: Duration = Duration::from_millis(250);
 
 /// What a target told last.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Strain {
-    told: Option<(Duration, f64)>,
+pub struct Slowdown {
+    latest: Option<(Duration, f64)>,
 }
 
-impl Strain {
+impl Slowdown {
     /// The target told how long work takes there, in percent of what is usual.
     pub fn note(&mut self, now: Duration, percent: u32) {
-        self.told = Some((now, (f64::from(percent) / USUAL).clamp(1.0, MOST)));
+        self.latest = Some((now, (f64::from(percent) / USUAL_PERCENT).clamp(1.0, MAX_MULTIPLE)));
     }
 
     /// How long work takes there, as a multiple of what is usual: the older the word, the nearer to 1.
     pub fn multiple(&self, now: Duration) -> f64 {
-        let Some((at, multiple)) = self.told else {
+        let Some((at, multiple)) = self.latest else {
             return 1.0;
         };
         let half_lives = now.saturating_sub(at).as_secs_f64() / HALF_LIFE.as_secs_f64();
--- a/src/gateway/source.rs
+++ b/src/gateway/source.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::Gateway;
-use super::balance::{Affinity, Candidate, earlier_home, is_first_home, likely_keeper};
+use super::balance::{Affinity, Candidate, earlier_home, is_first_home, likely_holder};
 use super::mechanism::Mechanism;
 use super::target::Target;
 use super::targets::Targets;
@@ -67,23 +67,24 @@
         if told.contains(&LoadKey::of(chosen.key)) {
             return Told::Chosen;
         }
-        let sound = |target: &&Arc<Target>| !target.silent() && !target.health().paused(search.now);
+        let sound =
+            |target: &&Arc<Target>| !target.unresponsive() && !target.health().ejected(search.now);
         let keepers = told.iter().filter_map(|told| {
             let mut sound = search.of_service.iter().filter(sound);
             sound.find(|target| LoadKey::of(target.key) == *told)
         });
         let keepers: Vec<&Arc<Target>> = keepers.collect();
-        let near = keepers.iter().find(|keeper| keeper.hall == chosen.hall);
+        let near = keepers.iter().find(|keeper| keeper.hall_key == chosen.hall_key);
         near.or(keepers.first()).map_or(Told::Nothing, |keeper| Told::Other(keeper))
     }
 
     /// The prompt's home, if that keeps it and is sent nothing: it stands in an evacuated hall, rests, or turns requests away.
     fn home_away<'a>(&self, search: &Search<'a>) -> Option<&'a Arc<Target>> {
         let homes = self.uses(Mechanism::Homes);
-        let keeps = |target: &&Arc<Target>| match target.standing(search.now) {
+        let keeps = |target: &&Arc<Target>| match target.eligibility(search.now) {
             Standing::Evacuated | Standing::Resting { .. } => true,
             Standing::Leaving => false,
-            Standing::Open | Standing::Returning { .. } => target.health().turns_away(search.now),
+            Standing::Open | Standing::Returning { .. } => target.health().rejects_work(search.now),
         };
         let others = search.of_service.iter().filter(|target| target.key != search.chosen().key);
         let keepers: Vec<&Arc<Target>> = others.filter(keeps).collect();
@@ -95,12 +96,12 @@
             home: target.home().filter(|_| homes),
             load: 0.0,
             slots: target.announcement.slots,
-            strain: 1.0,
+            slowdown: 1.0,
             near: false,
-            doubtful: false,
+            last_resort: false,
         });
         let away: Vec<Candidate> = away.collect();
-        let sound = search.candidates.iter().filter(|candidate| !candidate.doubtful);
+        let sound = search.candidates.iter().filter(|candidate| !candidate.last_resort);
         let sound: Vec<Candidate> = sound.copied().collect();
         earlier_home(&sound, &away, search.affinity).map(|at| keepers[at])
     }
@@ -115,18 +116,18 @@
     /// there, or has just returned.
     fn likely(&self, returned_lately: bool) -> Option<&'a Arc<Target>> {
         let (candidates, chosen, affinity) = (self.candidates, self.chosen, self.affinity);
-        let other = || likely_keeper(candidates, chosen, affinity).map(|at| self.targets[at]);
+        let other = || likely_holder(candidates, chosen, affinity).map(|at| self.targets[at]);
         if returned_lately || !is_first_home(candidates, chosen, affinity) {
             return other();
         }
-        let former = self.known.moved_in_lately(self.chosen())?;
+        let former = self.known.former_home_owner(self.chosen())?;
         former.or_else(other)
     }
 
     /// Whether the chosen target's hall was taken back into use a short time ago: others have served its affinities
     /// meanwhile.
     fn returned_lately(&self) -> bool {
-        let returned_at = self.chosen().warmth().returned_at();
+        let returned_at = self.chosen().cold_state().returned_at();
         returned_at.is_some_and(|at| self.now < at + RETURNED_FOR)
     }
 }
--- a/src/gateway/patience.rs
+++ b/src/gateway/stall.rs
@@ -12,49 +12,49 @@
 use crate::configuration::Route;
 
 /// Multiple of its goal after which an answer is thought not to come.
-const GOALS: u32 = 3;
+const ANSWER_GOAL_MULTIPLE: u32 = 3;
 /// Multiple of the goal for pauses after which a stream is thought to have stopped.
-const PAUSES: u32 = 3;
+const GAP_GOAL_MULTIPLE: u32 = 3;
 /// Shortest patience, whatever the goals.
-const SHORTEST: Duration = Duration::from_millis(400);
+const MIN_TIMEOUT: Duration = Duration::from_millis(400);
 /// Patience for pauses where the route states no goal for them.
-const PAUSE_BY_DEFAULT: Duration = Duration::from_secs(2);
+const DEFAULT_EVENT_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// How long to wait for an answer, or for the first event of one, before asking another target.
-pub fn for_answer(route: &Route) -> Duration {
-    (route.goal * GOALS).max(SHORTEST)
+pub fn answer_timeout(route: &Route) -> Duration {
+    (route.goal * ANSWER_GOAL_MULTIPLE).max(MIN_TIMEOUT)
 }
 
 /// How long to wait for the next event of a stream before asking another target to go on.
-pub fn for_next_event(route: &Route) -> Duration {
-    route.gap_goal.map_or(PAUSE_BY_DEFAULT, |gap| (gap * PAUSES).max(SHORTEST))
+pub fn next_event_timeout(route: &Route) -> Duration {
+    route.gap_goal.map_or(DEFAULT_EVENT_TIMEOUT, |gap| (gap * GAP_GOAL_MULTIPLE).max(MIN_TIMEOUT))
 }
 
 /// Blames a target for its silence when the wait for it ends by itself, for example because the
 /// client leaves.
-pub(super) struct SilenceWatch {
+pub(super) struct StallGuard {
     gateway: Arc<Gateway>,
     target: Arc<Target>,
-    longest: Duration,
+    timeout: Duration,
     /// Run time of this process when the wait began.
     since: Option<Duration>,
     blamed: AtomicBool,
 }
 
-impl SilenceWatch {
+impl StallGuard {
     /// Begins to wait for the target.
-    pub(super) fn begin(gateway: &Arc<Gateway>, target: &Arc<Target>, longest: Duration) -> Self {
+    pub(super) fn start(gateway: &Arc<Gateway>, target: &Arc<Target>, timeout: Duration) -> Self {
         let (gateway, target) = (gateway.clone(), target.clone());
         let (since, blamed) = (Some(gateway.run_clock.ran()), AtomicBool::new(false));
-        SilenceWatch { gateway, target, longest, since, blamed }
+        StallGuard { gateway, target, timeout, since, blamed }
     }
 
     /// Blames the target now if it has been silent for so long, though it is waited for on: who asks it next should
     /// know.
-    pub(super) fn blame_if_silent(&self) {
+    pub(super) fn blame_if_stalled(&self) {
         let ran = self.gateway.run_clock.ran();
-        let silent_for = self.since.map(|since| ran.saturating_sub(since));
-        if silent_for.is_some_and(|silent_for| silent_for >= self.longest) {
+        let stalled_for = self.since.map(|since| ran.saturating_sub(since));
+        if stalled_for.is_some_and(|stalled_for| stalled_for >= self.timeout) {
             self.blame();
         }
     }
@@ -63,7 +63,7 @@
         if !self.blamed.swap(true, Ordering::Relaxed) {
             info!(self.gateway.log, "target silent"; "event" => "target_silent",
                 "target" => &self.target.announcement.id,
-                "silent_ms" => self.longest.as_millis() as u64);
+                "silent_ms" => self.timeout.as_millis() as u64);
             self.gateway.note_outcome(&self.target, AttemptOutcome::Failed);
         }
     }
@@ -74,13 +74,13 @@
     }
 
     /// The target said something, or is blamed otherwise.
-    pub(super) fn end(mut self) {
+    pub(super) fn finish(mut self) {
         self.since = None;
     }
 }
 
-impl Drop for SilenceWatch {
+impl Drop for StallGuard {
     fn drop(&mut self) {
-        self.blame_if_silent();
+        self.blame_if_stalled();
     }
 }
--- a/src/gateway/target.rs
+++ b/src/gateway/target.rs
@@ -4,10 +4,10 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-use super::cold::Warmth;
+use super::cold::ColdState;
 use super::connection::Idle;
 use super::health::Health;
-use super::strain::Strain;
+use super::slowdown::Slowdown;
 use crate::availability::{Availability, OwnWord, Standing};
 use crate::dialect::TargetLoad;
 use crate::directory::{Announcement, TargetState, key};
@@ -17,21 +17,21 @@
 use crate::sync::lock;
 
 /// Age from which a target's own word about its load is not used any more.
-const LOAD_HOLDS_FOR: Duration = Duration::from_secs(3);
+const REPORTED_LOAD_TTL: Duration = Duration::from_secs(3);
 /// Stands for no home.
 const NO_HOME: u32 = u32::MAX;
 /// How long the members' word goes before the target's own, which is about one moment only.
-const MEMBERS_FIRST_FOR: Duration = Duration::from_secs(1);
+const MEMBER_LOAD_PREFERRED_FOR: Duration = Duration::from_secs(1);
 /// Weight of the newest word about the load.
-const NEWEST: f64 = 0.5;
+const NEWEST_LOAD_WEIGHT: f64 = 0.5;
 
 /// Load that other gateways bring to a target.
 #[derive(Clone, Copy, Debug)]
 struct OthersLoad {
     /// When it was told.
-    at: Duration,
+    received_at: Duration,
     /// Until when this counts.
-    until: Duration,
+    expires_at: Duration,
     requests: f64,
 }
 
@@ -42,51 +42,51 @@
     /// Hash of its identity.
     pub(super) key: u64,
     /// Hash of the data hall that it stands in.
-    pub(super) hall: u64,
+    pub(super) hall_key: u64,
     /// Whether it may be sent anything.
     availability: Mutex<Availability>,
     /// Its home, or [`NO_HOME`].
     home: AtomicU32,
-    silent: AtomicBool,
+    unresponsive: AtomicBool,
     in_flight: AtomicU32,
     /// Bytes of bodies of the requests in flight from this gateway.
-    bodies: AtomicUsize,
+    body_bytes: AtomicUsize,
     /// Connections open or being made.
     pub(super) connections: AtomicU32,
     pub(super) idle: Mutex<Vec<Idle>>,
     health: Mutex<Health>,
-    warmth: Mutex<Warmth>,
+    cold_state: Mutex<ColdState>,
     /// Attempts of this gateway that failed and that were answered, not told to a member yet.
-    untold: Mutex<(u32, u32)>,
+    pending_outcomes: Mutex<(u32, u32)>,
     /// Requests in flight from this gateway as last told to a member.
-    told: AtomicU32,
+    reported_in_flight: AtomicU32,
     /// What others have in flight, from the members.
-    others_by_members: Mutex<Option<OthersLoad>>,
+    others_from_members: Mutex<Option<OthersLoad>>,
     /// What others have in flight, from the target.
-    others_by_target: Mutex<Option<OthersLoad>>,
+    others_from_target: Mutex<Option<OthersLoad>>,
     /// How long work takes there, by its own word.
-    strain: Mutex<Strain>,
+    slowdown: Mutex<Slowdown>,
 }
 
 impl Target {
     pub(super) fn new(announcement: Announcement) -> Self {
         let target = Target {
             key: announcement.key(),
-            hall: key(&announcement.data_hall),
+            hall_key: key(&announcement.data_hall),
             availability: Mutex::default(),
             home: AtomicU32::new(NO_HOME),
-            silent: AtomicBool::new(false),
+            unresponsive: AtomicBool::new(false),
             in_flight: AtomicU32::new(0),
-            bodies: AtomicUsize::new(0),
+            body_bytes: AtomicUsize::new(0),
             connections: AtomicU32::new(0),
             idle: Mutex::default(),
             health: Mutex::default(),
-            warmth: Mutex::default(),
-            untold: Mutex::default(),
-            told: AtomicU32::new(0),
-            others_by_members: Mutex::default(),
-            others_by_target: Mutex::default(),
-            strain: Mutex::default(),
+            cold_state: Mutex::default(),
+            pending_outcomes: Mutex::default(),
+            reported_in_flight: AtomicU32::new(0),
+            others_from_members: Mutex::default(),
+            others_from_target: Mutex::default(),
+            slowdown: Mutex::default(),
             announcement,
         };
         target.set_state(target.announcement.state);
@@ -100,7 +100,7 @@
 
     pub(super) fn set_state(&self, state: TargetState) {
         lock(&self.availability).list(state == TargetState::Draining);
-        self.silent.store(state == TargetState::Silent, Ordering::Relaxed);
+        self.unresponsive.store(state == TargetState::Silent, Ordering::Relaxed);
         if state != TargetState::Ready {
             self.close_idle();
         }
@@ -125,7 +125,7 @@
     }
 
     /// Notes that an answer of its own says that it leaves; tells whether that is the first.
-    pub(super) fn says_leaving(&self) -> bool {
+    pub(super) fn note_draining(&self) -> bool {
         let first = lock(&self.availability).says_leaving();
         if first {
             self.close_idle();
@@ -134,17 +134,17 @@
     }
 
     /// Notes that it wants nothing for a while; its return begins a part of `spread` later.
-    pub(super) fn rests(&self, now: Duration, rest: RetryAfter, spread: Duration) {
-        lock(&self.availability).rests(now, rest, spread, rand::random());
+    pub(super) fn note_backoff(&self, now: Duration, retry_after: RetryAfter, spread: Duration) {
+        lock(&self.availability).rests(now, retry_after, spread, rand::random());
     }
 
     /// Notes that it has answered a request that it did not turn away.
-    pub(super) fn answered(&self, now: Duration) {
+    pub(super) fn note_answered(&self, now: Duration) {
         lock(&self.availability).answered(now);
     }
 
     /// What it may be sent now.
-    pub(super) fn standing(&self, now: Duration) -> Standing {
+    pub(super) fn eligibility(&self, now: Duration) -> Standing {
         lock(&self.availability).standing(now)
     }
 
@@ -154,28 +154,28 @@
     }
 
     /// Whether it takes no new work any more, as the members or its own answers say.
-    pub(super) fn leaving(&self) -> bool {
+    pub(super) fn draining(&self) -> bool {
         lock(&self.availability).leaving()
     }
 
     /// What it has said of itself in its answers, if anything.
-    pub(super) fn own_word(&self) -> Option<OwnWord> {
+    pub(super) fn own_report(&self) -> Option<OwnWord> {
         lock(&self.availability).own_word()
     }
 
     /// What may be the word of the next start under its identity.
-    pub(super) fn word_of_next_start(&self, now: Duration) -> Option<OwnWord> {
+    pub(super) fn next_incarnation_report(&self, now: Duration) -> Option<OwnWord> {
         lock(&self.availability).word_of_next_start(now)
     }
 
     /// Takes what the same start has said of itself under an earlier listing.
-    pub(super) fn recall(&self, said: OwnWord) {
-        lock(&self.availability).recall(said);
+    pub(super) fn restore_report(&self, report: OwnWord) {
+        lock(&self.availability).recall(report);
     }
 
     /// Whether it has not been heard for long by the members.
-    pub(super) fn silent(&self) -> bool {
-        self.silent.load(Ordering::Relaxed)
+    pub(super) fn unresponsive(&self) -> bool {
+        self.unresponsive.load(Ordering::Relaxed)
     }
 
     /// Requests in flight from this gateway.
@@ -189,20 +189,20 @@
     }
 
     /// What is known of its start.
-    pub(super) fn warmth(&self) -> MutexGuard<'_, Warmth> {
-        lock(&self.warmth)
+    pub(super) fn cold_state(&self) -> MutexGuard<'_, ColdState> {
+        lock(&self.cold_state)
     }
 
     /// Counts an outcome for the next word to a member.
     pub(super) fn count_outcome(&self, failed: bool) {
-        let mut untold = lock(&self.untold);
-        let count = if failed { &mut untold.0 } else { &mut untold.1 };
+        let mut pending_outcomes = lock(&self.pending_outcomes);
+        let count = if failed { &mut pending_outcomes.0 } else { &mut pending_outcomes.1 };
         *count = count.saturating_add(1);
     }
 
     /// Outcomes since the last word, if there were any; told from now on.
-    pub(super) fn tell_outcomes(&self) -> Option<Outcomes> {
-        let (failed, answered) = std::mem::take(&mut *lock(&self.untold));
+    pub(super) fn take_outcomes(&self) -> Option<Outcomes> {
+        let (failed, answered) = std::mem::take(&mut *lock(&self.pending_outcomes));
         let target = LoadKey::of(self.key);
         (failed + answered > 0).then_some(Outcomes { target, failed, answered })
     }
@@ -210,36 +210,39 @@
     /// Counts a request with a body of so many bytes until the guard is dropped.
     pub(super) fn begin(self: &Arc<Self>, body: usize) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
-        self.bodies.fetch_add(body, Ordering::Relaxed);
+        self.body_bytes.fetch_add(body, Ordering::Relaxed);
         InFlight { target: self.clone(), body }
     }
 
     /// Whether a body of so many bytes may go there, where those in flight from this gateway have `most` together:
     /// what a target holds counts against its memory. One alone may always go.
-    pub(super) fn has_room(&self, body: usize, most: usize) -> bool {
-        let bodies = self.bodies.load(Ordering::Relaxed);
-        bodies == 0 || bodies.saturating_add(body) <= most
+    pub(super) fn has_room(&self, body: usize, max: usize) -> bool {
+        let body_bytes = self.body_bytes.load(Ordering::Relaxed);
+        body_bytes == 0 || body_bytes.saturating_add(body) <= max
     }
 
     /// Notes the load that the target told of itself.
-    pub(super) fn note_load(&self, now: Duration, load: TargetLoad) {
-        let told = f64::from(load.running) + f64::from(load.waiting);
-        let newest = (told - f64::from(self.in_flight())).max(0.0);
-        let mut others = lock(&self.others_by_target);
+    pub(super) fn note_reported_load(&self, now: Duration, load: TargetLoad) {
+        let reported = f64::from(load.running) + f64::from(load.waiting);
+        let newest = (reported - f64::from(self.in_flight())).max(0.0);
+        let mut others = lock(&self.others_from_target);
         let requests = match *others {
-            Some(known) if now < known.until => known.requests + NEWEST * (newest - known.requests),
+            Some(known) if now < known.expires_at => {
+                known.requests + NEWEST_LOAD_WEIGHT * (newest - known.requests)
+            }
             _ => newest,
         };
-        *others = Some(OthersLoad { at: now, until: now + LOAD_HOLDS_FOR, requests });
+        *others =
+            Some(OthersLoad { received_at: now, expires_at: now + REPORTED_LOAD_TTL, requests });
         drop(others);
         if let Some(percent) = load.strain_percent {
-            lock(&self.strain).note(now, percent);
+            lock(&self.slowdown).note(now, percent);
         }
     }
 
     /// How long work takes there now, as a multiple of what is usual.
-    pub(super) fn strain(&self, now: Duration) -> f64 {
-        lock(&self.strain).multiple(now)
+    pub(super) fn slowdown(&self, now: Duration) -> f64 {
+        lock(&self.slowdown).multiple(now)
     }
 
     /// Requests that the target is thought to have. Where it has not told lately, the other gateways
@@ -247,38 +250,43 @@
     /// gets little work from anybody.
     pub(super) fn load(&self, now: Duration, usual_others: f64, gateways: u32) -> f64 {
         let own = f64::from(self.in_flight());
-        let as_this_one = own * f64::from(gateways.saturating_sub(1));
+        let same_as_own = own * f64::from(gateways.saturating_sub(1));
         let usual = if self.home().is_some() { usual_others } else { 0.0 };
-        own + self.others(now).unwrap_or(usual.max(as_this_one))
+        own + self.others_load(now).unwrap_or(usual.max(same_as_own))
     }
 
     /// Requests in flight from this gateway, noted as told to a member.
-    pub(super) fn tell_in_flight(&self) -> u32 {
+    pub(super) fn report_in_flight(&self) -> u32 {
         let in_flight = self.in_flight();
-        self.told.store(in_flight, Ordering::Relaxed);
+        self.reported_in_flight.store(in_flight, Ordering::Relaxed);
         in_flight
     }
 
     /// Notes what all gateways have in flight, as the members tell.
-    pub(super) fn note_total(&self, now: Duration, total: u32, counts_for: Duration) {
-        let others = total.saturating_sub(self.told.load(Ordering::Relaxed));
-        *lock(&self.others_by_members) =
-            Some(OthersLoad { at: now, until: now + counts_for, requests: f64::from(others) });
+    pub(super) fn note_total_in_flight(&self, now: Duration, total: u32, ttl: Duration) {
+        let others = total.saturating_sub(self.reported_in_flight.load(Ordering::Relaxed));
+        *lock(&self.others_from_members) = Some(OthersLoad {
+            received_at: now,
+            expires_at: now + ttl,
+            requests: f64::from(others),
+        });
     }
 
     /// Requests that other gateways are thought to have at the target: by the members if they told
     /// just now, else by whoever told last; `None` when neither did lately.
-    pub(super) fn others(&self, now: Duration) -> Option<f64> {
-        let counts = |told: &OthersLoad| now < told.until;
-        let by_members = lock(&self.others_by_members).filter(counts);
-        let by_target = lock(&self.others_by_target).filter(counts);
-        let newest = match (by_members, by_target) {
-            (Some(members), Some(target)) if now >= members.at + MEMBERS_FIRST_FOR => {
-                if target.at > members.at { Some(target) } else { Some(members) }
+    pub(super) fn others_load(&self, now: Duration) -> Option<f64> {
+        let live = |load: &OthersLoad| now < load.expires_at;
+        let from_members = lock(&self.others_from_members).filter(live);
+        let from_target = lock(&self.others_from_target).filter(live);
+        let newest = match (from_members, from_target) {
+            (Some(members), Some(target))
+                if now >= members.received_at + MEMBER_LOAD_PREFERRED_FOR =>
+            {
+                if target.received_at > members.received_at { Some(target) } else { Some(members) }
             }
             (members, target) => members.or(target),
         };
-        newest.map(|told| told.requests)
+        newest.map(|load| load.requests)
     }
 }
 
@@ -291,6 +299,6 @@
 impl Drop for InFlight {
     fn drop(&mut self) {
         self.target.in_flight.fetch_sub(1, Ordering::Relaxed);
-        self.target.bodies.fetch_sub(self.body, Ordering::Relaxed);
+        self.target.body_bytes.fetch_sub(self.body, Ordering::Relaxed);
     }
 }
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use super::remembered::RememberedWords;
+use super::remembered_reports::RememberedReports;
 use super::target::Target;
 use crate::clock::Instant;
 use crate::directory::{DirectoryDelta, Listed, Moved, TargetState};
@@ -15,12 +15,12 @@
 use crate::store::Revision;
 
 /// How long a service's mix of routes is gone by; without one the new version gets the same part of each route.
-const MIX_COUNTS_FOR: Duration = Duration::from_secs(5);
+const ROUTE_MIX_TTL: Duration = Duration::from_secs(5);
 /// How long after it got a home a target is thought to lack what its predecessor kept.
-const MOVED_IN_FOR: Duration = Duration::from_secs(20);
+const NEW_HOME_WINDOW: Duration = Duration::from_secs(20);
 
 /// A home that changed hands.
-struct Former {
+struct FormerOwner {
     /// Who had it before; nobody if it is a new one.
     target: Option<Arc<Target>>,
     since: Instant,
@@ -31,7 +31,7 @@
 pub(super) struct Targets {
     revision: Revision,
     /// Orders about data halls; `None` before any word of them.
-    halls: Option<HallNews>,
+    evacuations: Option<HallNews>,
     /// Roll-outs of services; `None` before any word of them.
     rollouts: Option<RolloutNews>,
     /// What part of a service's requests each route has, for roll-outs under way, and when that was told.
@@ -41,12 +41,12 @@
     returned: HashMap<String, (Revision, Duration)>,
     /// Who has each home of each service, and who had it before.
     homes: HashMap<(String, u32), Arc<Target>>,
-    former: HashMap<(String, u32), Former>,
+    former_owners: HashMap<(String, u32), FormerOwner>,
     by_id: HashMap<String, Arc<Target>>,
     by_key: HashMap<u64, Arc<Target>>,
     by_service: HashMap<String, Vec<Arc<Target>>>,
     /// What those that are listed no more have said of themselves.
-    remembered: RememberedWords,
+    remembered: RememberedReports,
 }
 
 impl Targets {
@@ -61,52 +61,57 @@
     }
 
     /// Revision of the orders about data halls that are obeyed; `None` before any word of them.
-    pub(super) fn halls_revision(&self) -> Option<Revision> {
-        self.halls.as_ref().map(|halls| halls.revision)
+    pub(super) fn evacuations_revision(&self) -> Option<Revision> {
+        self.evacuations.as_ref().map(|halls| halls.revision)
     }
 
     /// Revision of the roll-outs that are gone by; `None` before any word of them.
     pub(super) fn rollouts_revision(&self) -> Option<Revision> {
-        self.rollouts.as_ref().map(|news| news.revision)
+        self.rollouts.as_ref().map(|update| update.revision)
     }
 
     /// The last roll-out of a service, if it ever had one.
     pub(super) fn rollout(&self, service: &str) -> Option<&RolloutTold> {
-        let mut rollouts = self.rollouts.iter().flat_map(|news| &news.rollouts);
-        rollouts.find(|told| told.service == service)
+        let mut rollouts = self.rollouts.iter().flat_map(|update| &update.rollouts);
+        rollouts.find(|rollout| rollout.service == service)
     }
 
     /// Takes word of what part of a service's requests each route has.
-    pub(super) fn take_mixes(&mut self, now: Duration, mixes: Vec<RolloutMix>) {
+    pub(super) fn set_route_mixes(&mut self, now: Duration, mixes: Vec<RolloutMix>) {
         self.mixes = (now, mixes);
     }
 
     /// A roll-out's stage on one route.
-    pub(super) fn stage_on_route(&self, now: Duration, told: &RolloutTold, route: &str) -> Stage {
-        let (told_at, mixes) = &self.mixes;
-        let mix = mixes.iter().find(|mix| mix.rollout == told.at);
-        match mix.filter(|_| now < *told_at + MIX_COUNTS_FOR) {
-            Some(mix) => mix.mix.stage(RouteKey::of(route), told.stage),
-            None => told.stage,
+    pub(super) fn stage_on_route(
+        &self,
+        now: Duration,
+        rollout: &RolloutTold,
+        route: &str,
+    ) -> Stage {
+        let (received_at, mixes) = &self.mixes;
+        let mix = mixes.iter().find(|mix| mix.rollout == rollout.at);
+        match mix.filter(|_| now < *received_at + ROUTE_MIX_TTL) {
+            Some(mix) => mix.mix.stage(RouteKey::of(route), rollout.stage),
+            None => rollout.stage,
         }
     }
 
     /// Takes word of roll-outs, unless it is older than what is known; tells whether it was taken.
-    pub(super) fn follow_rollouts(&mut self, news: RolloutNews) -> bool {
-        let newer = self.rollouts_revision().is_none_or(|known| known < news.revision);
+    pub(super) fn apply_rollouts(&mut self, update: RolloutNews) -> bool {
+        let newer = self.rollouts_revision().is_none_or(|known| known < update.revision);
         if newer {
-            self.rollouts = Some(news);
+            self.rollouts = Some(update);
         }
         newer
     }
 
     /// Takes orders about data halls, unless they are older than those that are obeyed; tells whether they
     /// were taken.
-    pub(super) fn obey(&mut self, now: Duration, news: HallNews) -> bool {
-        if self.halls_revision().is_some_and(|known| news.revision < known) {
+    pub(super) fn apply_evacuations(&mut self, now: Duration, update: HallNews) -> bool {
+        if self.evacuations_revision().is_some_and(|known| update.revision < known) {
             return false;
         }
-        for hall in &news.halls {
+        for hall in &update.halls {
             let known = self.returned.get(&hall.data_hall);
             let known = known.is_some_and(|(since, _)| *since == hall.since);
             if let Evacuation::Withdrawn { for_ms } = hall.state
@@ -116,22 +121,22 @@
                 self.returned.insert(hall.data_hall.clone(), (hall.since, at));
             }
         }
-        self.halls = Some(news);
-        self.by_id.values().for_each(|target| self.tell_of_hall(target));
+        self.evacuations = Some(update);
+        self.by_id.values().for_each(|target| self.apply_hall_state(target));
         true
     }
 
     /// Has a target follow the orders about its data hall.
-    fn tell_of_hall(&self, target: &Target) {
+    fn apply_hall_state(&self, target: &Target) {
         let data_hall = &target.announcement.data_hall;
         target.set_evacuated(self.hall_evacuated(data_hall));
         if let Some((_, at)) = self.returned.get(data_hall) {
-            target.warmth().returned(*at);
+            target.cold_state().note_returned(*at);
         }
     }
 
     fn hall_evacuated(&self, data_hall: &str) -> bool {
-        let mut halls = self.halls.iter().flat_map(|news| &news.halls);
+        let mut halls = self.evacuations.iter().flat_map(|update| &update.halls);
         let hall = halls.find(|hall| hall.data_hall == data_hall);
         hall.is_some_and(|hall| hall.state == Evacuation::InForce)
     }
@@ -148,11 +153,12 @@
 
     /// Whether a target has had its home for a short time only, and who had it before if that one
     /// is still there.
-    pub(super) fn moved_in_lately(&self, target: &Target) -> Option<Option<&Arc<Target>>> {
-        let former = self.former.get(&(target.announcement.service.clone(), target.home()?))?;
-        let lately = former.since.elapsed() < MOVED_IN_FOR;
-        let there = |target: &&Arc<Target>| self.by_key.contains_key(&target.key);
-        lately.then(|| former.target.as_ref().filter(there))
+    pub(super) fn former_home_owner(&self, target: &Target) -> Option<Option<&Arc<Target>>> {
+        let former_owner =
+            self.former_owners.get(&(target.announcement.service.clone(), target.home()?))?;
+        let recent = former_owner.since.elapsed() < NEW_HOME_WINDOW;
+        let still_listed = |target: &&Arc<Target>| self.by_key.contains_key(&target.key);
+        recent.then(|| former_owner.target.as_ref().filter(still_listed))
     }
 
     /// Takes news, unless they are older than what is known; tells whether they were taken.
@@ -162,7 +168,7 @@
         }
         self.revision = delta.revision;
         // What was there when the gateway started has not just come.
-        let first = self.homes.is_empty();
+        let initial = self.homes.is_empty();
         if delta.whole {
             let kept: HashSet<&str> =
                 delta.changed.iter().map(|changed| changed.announcement.id.as_str()).collect();
@@ -175,35 +181,35 @@
         for listed in delta.changed {
             let cold_left = listed.announcement.cold_left;
             let target = self.change(now, listed);
-            target.warmth().told(now, cold_left);
-            self.note_home(&target, first);
+            target.cold_state().note_cold_left(now, cold_left);
+            self.note_home(&target, initial);
         }
         for Moved { target, state, cold_left, home, .. } in delta.moved {
             if let Some(target) = self.by_key.get(&target).cloned() {
-                target.warmth().told(now, cold_left);
-                if target.silent() && state == TargetState::Ready {
+                target.cold_state().note_cold_left(now, cold_left);
+                if target.unresponsive() && state == TargetState::Ready {
                     // It may have turned cold unheard, and the word that ends its silence may be an old one.
-                    target.warmth().returned(now);
+                    target.cold_state().note_returned(now);
                 }
                 target.set_state(state);
                 target.set_home(home);
-                self.note_home(&target, first);
+                self.note_home(&target, initial);
             }
         }
-        self.former.retain(|_, former| former.since.elapsed() < MOVED_IN_FOR);
+        self.former_owners.retain(|_, former_owner| former_owner.since.elapsed() < NEW_HOME_WINDOW);
         true
     }
 
     /// Notes who has a home now, and who had it before.
-    fn note_home(&mut self, target: &Arc<Target>, first: bool) {
+    fn note_home(&mut self, target: &Arc<Target>, initial: bool) {
         let Some(home) = target.home() else {
             return;
         };
-        let place = (target.announcement.service.clone(), home);
-        let before = self.homes.insert(place.clone(), target.clone());
-        let same = before.as_ref().is_some_and(|before| before.key == target.key);
-        if !same && !first {
-            self.former.insert(place, Former { target: before, since: Instant::now() });
+        let key = (target.announcement.service.clone(), home);
+        let before = self.homes.insert(key.clone(), target.clone());
+        let unchanged = before.as_ref().is_some_and(|before| before.key == target.key);
+        if !unchanged && !initial {
+            self.former_owners.insert(key, FormerOwner { target: before, since: Instant::now() });
         }
     }
 
@@ -211,8 +217,8 @@
         let Some(target) = self.by_id.remove(id) else {
             return;
         };
-        if let Some(said) = target.own_word() {
-            self.remembered.keep(now, target.key, said);
+        if let Some(report) = target.own_report() {
+            self.remembered.keep(now, target.key, report);
         }
         self.by_key.remove(&target.key);
         // Requests that hold the target must not keep its connections.
@@ -226,7 +232,7 @@
 
     fn insert(&mut self, target: Arc<Target>) {
         let announcement = &target.announcement;
-        self.tell_of_hall(&target);
+        self.apply_hall_state(&target);
         if !self.by_service.contains_key(&announcement.service) {
             self.by_service.insert(announcement.service.clone(), Vec::new());
         }
@@ -253,11 +259,11 @@
             return known.clone();
         }
         let known = self.by_id.get(&announcement.id);
-        let already_said = known.and_then(|known| known.word_of_next_start(now));
+        let inherited_report = known.and_then(|known| known.next_incarnation_report(now));
         self.remove(now, &announcement.id);
         let target = Arc::new(Target::new(announcement));
-        let said = self.remembered.take(now, target.key);
-        said.into_iter().chain(already_said).for_each(|said| target.recall(said));
+        let report = self.remembered.take(now, target.key);
+        report.into_iter().chain(inherited_report).for_each(|report| target.restore_report(report));
         target.set_home(home);
         self.insert(target.clone());
         target
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -87,7 +87,7 @@
         "affinity" => plan.affinity.map_or_else(String::new, |affinity| format!("{:016x}", affinity.hash)),
         "shared_tokens" => plan.affinity.map_or(0, |affinity| affinity.tokens),
         "fetch_from" => ?choice.fetch_from, "load" => format!("{:.1}", choice.load), "in_flight" => target.in_flight(),
-        "candidates" => choice.candidates, "cold" => choice.cold, "doubtful" => choice.doubtful,
+        "candidates" => choice.candidates, "cold" => choice.cold, "doubtful" => choice.last_resort,
         "list" => choice.list_revision, "version" => plan.version,
         "budget_left" => gateway.budget_left(&plan.service), "took_ms" => millis_since(began),
         "left_ms" => millis_left(plan), "stands_for" => kept.unwrap_or(1));
--- a/tests/fleet/followers.rs
+++ b/tests/fleet/followers.rs
@@ -15,7 +15,7 @@
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
 
-use latchmount::gateway::order::MemberOrder;
+use latchmount::gateway::member_order::MemberOrder;
 
 use crate::doors::configuration;
 use crate::harness::{Fleet, Process, eventually, field};
--- a/tests/gateway/balance.rs
+++ b/tests/gateway/balance.rs
@@ -1,6 +1,6 @@
 //! Which target a request goes to.
 
-use latchmount::gateway::balance::{Affinity, Candidate, Wish, choose, earlier_home};
+use latchmount::gateway::balance::{Affinity, Candidate, Preference, choose, earlier_home};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -16,9 +16,9 @@
         home: Some(home),
         load,
         slots: 64,
-        strain: 1.0,
+        slowdown: 1.0,
         near: false,
-        doubtful: false,
+        last_resort: false,
     }
 }
 
@@ -27,10 +27,11 @@
     let mut rng = StdRng::seed_from_u64(1);
     let all: Vec<Candidate> = (0..18).map(|key| candidate(key, 1.0)).collect();
     for affinity in 0..500 {
-        let wish = Wish { affinity: Some(shared(affinity, 0)), load_bound: 2.0, targets: 18 };
-        let first = choose(&all, wish, &mut rng).expect("candidates");
+        let preference =
+            Preference { affinity: Some(shared(affinity, 0)), load_bound: 2.0, targets: 18 };
+        let first = choose(&all, preference, &mut rng).expect("candidates");
         let without: Vec<Candidate> = all.iter().copied().filter(|c| c.home != Some(5)).collect();
-        let then = choose(&without, wish, &mut rng).expect("candidates");
+        let then = choose(&without, preference, &mut rng).expect("candidates");
         if all[first].home != Some(5) {
             assert_eq!(without[then].home, all[first].home);
         }
@@ -46,9 +47,12 @@
         let loads = |home| candidate(home, f64::from(rng.random_range(0..40u32)));
         let all: Vec<Candidate> = (0..count).map(loads).collect();
         let tokens = rng.random_range(0..20_000);
-        let wish =
-            Wish { affinity: Some(shared(7, tokens)), load_bound: 2.0, targets: count as usize };
-        let at = choose(&all, wish, &mut StdRng::seed_from_u64(2)).expect("candidates");
+        let preference = Preference {
+            affinity: Some(shared(7, tokens)),
+            load_bound: 2.0,
+            targets: count as usize,
+        };
+        let at = choose(&all, preference, &mut StdRng::seed_from_u64(2)).expect("candidates");
         let mean = all.iter().map(|c| c.load).sum::<f64>() / count as f64;
         assert!(all[at].load <= 2.0 * mean + 3.0, "seed {seed}: {all:?} chose {at}");
     }
@@ -57,27 +61,28 @@
 #[test]
 fn cheap_requests_leave_a_full_home_before_dear_ones() {
     let mut rng = StdRng::seed_from_u64(4);
-    let wish = |tokens| Wish { affinity: Some(shared(7, tokens)), load_bound: 2.0, targets: 10 };
+    let preference =
+        |tokens| Preference { affinity: Some(shared(7, tokens)), load_bound: 2.0, targets: 10 };
     let mut all: Vec<Candidate> = (0..10).map(|home| candidate(home, 4.0)).collect();
-    let home = choose(&all, wish(0), &mut rng).expect("candidates");
+    let home = choose(&all, preference(0), &mut rng).expect("candidates");
     all[home].load = 7.0;
-    assert_eq!(choose(&all, wish(10_000), &mut rng), Some(home));
-    assert_ne!(choose(&all, wish(100), &mut rng), Some(home));
+    assert_eq!(choose(&all, preference(10_000), &mut rng), Some(home));
+    assert_ne!(choose(&all, preference(100), &mut rng), Some(home));
     all[home].load = 12.0;
-    assert_ne!(choose(&all, wish(10_000), &mut rng), Some(home));
+    assert_ne!(choose(&all, preference(10_000), &mut rng), Some(home));
 }
 
 #[test]
 fn doubtful_targets_are_chosen_only_when_there_is_no_other() {
     let mut rng = StdRng::seed_from_u64(3);
     for affinity in [None, Some(shared(4, 100))] {
-        let wish = Wish { affinity, load_bound: 2.0, targets: 18 };
+        let preference = Preference { affinity, load_bound: 2.0, targets: 18 };
         let mut all = vec![candidate(1, 0.0), candidate(2, 9.0)];
-        all[0].doubtful = true;
-        assert_eq!(choose(&all, wish, &mut rng), Some(1));
-        all[1].doubtful = true;
-        assert!(choose(&all, wish, &mut rng).is_some());
-        assert_eq!(choose(&[], wish, &mut rng), None);
+        all[0].last_resort = true;
+        assert_eq!(choose(&all, preference, &mut rng), Some(1));
+        all[1].last_resort = true;
+        assert!(choose(&all, preference, &mut rng).is_some());
+        assert_eq!(choose(&[], preference, &mut rng), None);
     }
 }
 
@@ -91,8 +96,9 @@
     all[7].home = Some(0);
     let mut chosen = vec![0; all.len()];
     for affinity in 0..4_000 {
-        let wish = Wish { affinity: Some(shared(affinity, 9_000)), load_bound: 2.0, targets: 40 };
-        chosen[choose(&all, wish, &mut rng).expect("candidates")] += 1;
+        let preference =
+            Preference { affinity: Some(shared(affinity, 9_000)), load_bound: 2.0, targets: 40 };
+        chosen[choose(&all, preference, &mut rng).expect("candidates")] += 1;
     }
     assert!(chosen.iter().all(|times| (20..400).contains(times)), "{chosen:?}");
 }
@@ -105,8 +111,8 @@
     let (there, away) = all.split_at(20);
     for affinity in 0..500 {
         let affinity = shared(affinity, 0);
-        let wish = Wish { affinity: Some(affinity), load_bound: 2.0, targets: 30 };
-        let chosen = choose(&all, wish, &mut rng).expect("candidates");
+        let preference = Preference { affinity: Some(affinity), load_bound: 2.0, targets: 30 };
+        let chosen = choose(&all, preference, &mut rng).expect("candidates");
         let expected = chosen.checked_sub(there.len());
         assert_eq!(earlier_home(there, away, affinity), expected);
     }
--- a/tests/gateway/budget.rs
+++ b/tests/gateway/budget.rs
@@ -1,6 +1,6 @@
 //! Budgets of retries, over all gateways together.
 
-use latchmount::gateway::budget::{BudgetRule, CAUTION, ServiceBudget};
+use latchmount::gateway::budget::{BudgetRule, ServiceBudget, USED_FRACTION};
 use latchmount::gateway::fleet_size::FleetSize;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -31,8 +31,12 @@
 fn budgets_of_all_gateways_hold_the_rule_in_every_window() {
     let seed = seeds::seed();
     let mut rng = StdRng::seed_from_u64(seed);
-    let rule =
-        BudgetRule { ratio: 0.2, window: Duration::from_secs(10), slack: 56.0, used: CAUTION };
+    let rule = BudgetRule {
+        ratio: 0.2,
+        window: Duration::from_secs(10),
+        slack: 56.0,
+        used_fraction: USED_FRACTION,
+    };
     for round in 0..8 {
         let gateways = rng.random_range(1..12u32);
         let mut budgets = vec![ServiceBudget::new(rule); gateways as usize];
@@ -42,10 +46,10 @@
             now += rng.random_range(0.0..0.02);
             let at = rng.random_range(0..budgets.len());
             let time = Duration::from_secs_f64(now);
-            budgets[at].request(time);
+            budgets[at].count_request(time);
             events.push((now, false));
             for _ in 0..rng.random_range(0..4) {
-                if budgets[at].spend(time, gateways) {
+                if budgets[at].try_spend(time, gateways) {
                     events.push((now, true));
                 }
             }
@@ -69,9 +73,13 @@
 
 #[test]
 fn a_gateway_that_knows_of_no_other_takes_no_slack() {
-    let rule =
-        BudgetRule { ratio: 0.2, window: Duration::from_secs(10), slack: 56.0, used: CAUTION };
+    let rule = BudgetRule {
+        ratio: 0.2,
+        window: Duration::from_secs(10),
+        slack: 56.0,
+        used_fraction: USED_FRACTION,
+    };
     let mut budget = ServiceBudget::new(rule);
-    assert!(!budget.spend(Duration::ZERO, 0));
-    assert!(budget.spend(Duration::ZERO, 8));
+    assert!(!budget.try_spend(Duration::ZERO, 0));
+    assert!(budget.try_spend(Duration::ZERO, 8));
 }
--- a/tests/gateway/cold.rs
+++ b/tests/gateway/cold.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use latchmount::directory::{Announcement, Directory, Heartbeat, TargetState};
-use latchmount::gateway::cold::{ColdRule, Warmth};
+use latchmount::gateway::cold::{ColdRule, ColdState};
 use latchmount::gateway::fleet_size::FleetSize;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -73,15 +73,15 @@
 
 fn by_part(rng: &mut StdRng, hears: &[f64], wants: &[(f64, usize)]) -> Vec<f64> {
     let (cold_start, gap) = (Duration::from_secs_f64(COLD_FOR), RULE.gap(hears.len() as u32));
-    let mut warmth = vec![Warmth::default(); hears.len()];
+    let mut warmth = vec![ColdState::default(); hears.len()];
     for (warmth, at) in warmth.iter_mut().zip(hears) {
-        warmth.told(Duration::from_secs_f64(*at), cold_start);
+        warmth.note_cold_left(Duration::from_secs_f64(*at), cold_start);
     }
     let mut sent = Vec::new();
     for (at, gateway) in wants.iter().filter(|(at, gateway)| *at >= hears[*gateway]) {
         let now = Duration::from_secs_f64(*at);
-        if warmth[*gateway].may_ask(now, cold_start, gap, || rng.random()) {
-            warmth[*gateway].note_asked(now, gap);
+        if warmth[*gateway].may_send(now, cold_start, gap, || rng.random()) {
+            warmth[*gateway].note_sent(now, gap);
             sent.push(*at);
         }
     }
@@ -90,7 +90,7 @@
 
 fn by_few(rng: &mut StdRng, hears: &[f64], wants: &[(f64, usize)]) -> Vec<f64> {
     let few = 4.0;
-    let gap = few / (RULE.in_any_second() * 0.4);
+    let gap = few / (RULE.max_per_second() * 0.4);
     let chosen: Vec<bool> =
         hears.iter().map(|_| rng.random_bool((few / hears.len() as f64).min(1.0))).collect();
     let mut next: Vec<f64> = hears.iter().map(|at| at + rng.random::<f64>() * gap).collect();
@@ -105,7 +105,7 @@
 }
 
 fn by_permits(rng: &mut StdRng, hears: &[f64], wants: &[(f64, usize)]) -> Vec<f64> {
-    let (interval, each) = (0.1, RULE.in_any_second() * 0.8 * 0.1);
+    let (interval, each) = (0.1, RULE.max_per_second() * 0.8 * 0.1);
     let mut sent = Vec::new();
     for step in 0..(COLD_FOR / interval) as usize {
         // Dealt by members that hear of what is used only later, and used when word has come.
@@ -150,7 +150,7 @@
     let way = Way::Part;
     let got = play(way, gateways, a_second);
     println!("{gateways} gateways, {a_second} a second: {way:?} {got:?}");
-    assert!(got.fullest_second as f64 <= RULE.in_any_second(), "{got:?}");
+    assert!(got.fullest_second as f64 <= RULE.max_per_second(), "{got:?}");
 }
 
 #[test]
@@ -169,33 +169,33 @@
 fn a_target_is_cold_by_its_own_word_and_for_a_start_after_its_hall_returned() {
     let secs = Duration::from_secs_f64;
     let (cold_start, gap) = (secs(3.0), secs(2.0));
-    let mut warmth = Warmth::default();
+    let mut warmth = ColdState::default();
     assert!(!warmth.cold(secs(1.0), cold_start));
-    warmth.told(secs(1.0), secs(2.5));
+    warmth.note_cold_left(secs(1.0), secs(2.5));
     assert!(warmth.cold(secs(3.4), cold_start) && !warmth.cold(secs(3.5), cold_start));
-    warmth.told(secs(2.0), Duration::ZERO);
+    warmth.note_cold_left(secs(2.0), Duration::ZERO);
     assert!(!warmth.cold(secs(2.0), cold_start), "its later word goes before the earlier one");
-    warmth.returned(secs(10.0));
-    warmth.told(secs(10.5), Duration::ZERO);
+    warmth.note_returned(secs(10.0));
+    warmth.note_cold_left(secs(10.5), Duration::ZERO);
     assert!(warmth.cold(secs(12.9), cold_start), "a word from before proves nothing");
     assert!(!warmth.cold(secs(13.0), cold_start));
     // The first request of a spell comes at a drawn time, the next a gap later.
-    assert!(!warmth.may_ask(secs(10.0), cold_start, gap, || 0.5));
-    assert!(warmth.may_ask(secs(11.0), cold_start, gap, || 0.9));
-    warmth.note_asked(secs(11.0), gap);
-    assert!(!warmth.may_ask(secs(12.9), cold_start, gap, || 0.0));
-    assert!(warmth.may_ask(secs(13.0), cold_start, gap, || 0.0), "it is warm");
+    assert!(!warmth.may_send(secs(10.0), cold_start, gap, || 0.5));
+    assert!(warmth.may_send(secs(11.0), cold_start, gap, || 0.9));
+    warmth.note_sent(secs(11.0), gap);
+    assert!(!warmth.may_send(secs(12.9), cold_start, gap, || 0.0));
+    assert!(warmth.may_send(secs(13.0), cold_start, gap, || 0.0), "it is warm");
 }
 
 #[test]
 fn nothing_is_asked_of_a_cold_target_before_the_others_are_known() {
     let secs = Duration::from_secs_f64;
     let mut size = FleetSize::new(secs(10.0));
-    assert_eq!(size.settled(secs(0.0)), 0);
+    assert_eq!(size.confirmed(secs(0.0)), 0);
     size.note(secs(1.0), 3);
-    assert_eq!(size.settled(secs(2.1)), 0, "members that have just started count few");
+    assert_eq!(size.confirmed(secs(2.1)), 0, "members that have just started count few");
     size.note(secs(2.0), 65);
-    assert_eq!(size.settled(secs(2.3)), 65);
+    assert_eq!(size.confirmed(secs(2.3)), 65);
     assert!(RULE.gap(0) > secs(3_600.0));
     assert!(ColdRule { per_s: 0.0, over: 1.0, slack: 0.0 }.gap(8) > secs(3_600.0));
 }
--- a/tests/gateway/evidence.rs
+++ b/tests/gateway/evidence.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use latchmount::gateway::evidence::{Verdict, judge, spread, tally};
+use latchmount::gateway::evidence::{Verdict, judge, return_spread, tally};
 use latchmount::gateway::health::{AttemptOutcome, Health, Tally};
 use latchmount::group::evidence::{Evidence, EvidenceBoard, Outcomes};
 use latchmount::group::loads::LoadKey;
@@ -94,7 +94,7 @@
 
     fn choose(&mut self, now: Duration, gateway: usize) -> usize {
         let sound: Vec<usize> =
-            (0..self.targets).filter(|at| !self.health[gateway][*at].paused(now)).collect();
+            (0..self.targets).filter(|at| !self.health[gateway][*at].ejected(now)).collect();
         sound[self.rng.random_range(0..sound.len())]
     }
 
@@ -148,15 +148,20 @@
                 .map(|other| tally(now, of(other)))
                 .collect();
             let health = &mut self.health[gateway][target];
-            match judge(now, &health.since_left(now, evidence), &others, self.keep_prompts) {
-                Verdict::Leave => {
+            match judge(
+                now,
+                &health.evidence_since_ejection(now, evidence),
+                &others,
+                self.keep_prompts,
+            ) {
+                Verdict::Eject => {
                     let chance = self.rng.random();
-                    health.leave_together(now, evidence, spread(GATEWAYS as u32), chance);
+                    health.eject_on_evidence(now, evidence, return_spread(GATEWAYS as u32), chance);
                 }
-                Verdict::Return => {
-                    health.return_together(now);
+                Verdict::Restore => {
+                    health.restore_on_evidence(now);
                 }
-                Verdict::Stay => {}
+                Verdict::Keep => {}
             }
         }
     }
@@ -190,7 +195,7 @@
     let word = board.everywhere(now, Duration::ZERO);
     assert!(word[0].failed <= 3.0 && word[0].reporters == 1, "{word:?}");
     let others = [tally(now, None); 3];
-    assert_eq!(judge(now, &word[0], &others, false), Verdict::Stay);
+    assert_eq!(judge(now, &word[0], &others, false), Verdict::Keep);
     // Beside answers that others had it counts for three failures.
     for gateway in 0..12 {
         let outcomes = [Outcomes { target: key(0), failed: 0, answered: 3 }];
@@ -207,7 +212,7 @@
     for one in &all {
         let others = all.iter().filter(|other| other.target != one.target);
         let others: Vec<Tally> = others.map(|other| tally(now, Some(other))).collect();
-        assert_ne!(judge(now, one, &others, false), Verdict::Leave);
+        assert_ne!(judge(now, one, &others, false), Verdict::Eject);
     }
 }
 
@@ -226,9 +231,9 @@
 
 /// At another target they are read again.
 #[rstest]
-#[case::a_few_lost_answers(4.0, 6.0, true, Verdict::Stay)]
-#[case::most_of_them(6.0, 4.0, true, Verdict::Leave)]
-#[case::where_nothing_is_kept(4.0, 6.0, false, Verdict::Leave)]
+#[case::a_few_lost_answers(4.0, 6.0, true, Verdict::Keep)]
+#[case::most_of_them(6.0, 4.0, true, Verdict::Eject)]
+#[case::where_nothing_is_kept(4.0, 6.0, false, Verdict::Eject)]
 fn a_target_that_keeps_prompts_is_left_only_when_it_fails_most_requests(
     #[case] failed: f32,
     #[case] answered: f32,
--- a/tests/gateway/health.rs
+++ b/tests/gateway/health.rs
@@ -18,7 +18,7 @@
     for attempt in 0..attempts {
         let now = Duration::from_millis(20) * attempt;
         let usable: Vec<usize> =
-            (0..chances.len()).filter(|at| !targets[*at].paused(now)).collect();
+            (0..chances.len()).filter(|at| !targets[*at].ejected(now)).collect();
         let Some(at) = usable.get(rng.random_range(0..usable.len().max(1))).copied() else {
             continue;
         };
@@ -56,13 +56,13 @@
         while !health.note(now, outcome, &others) {}
         health
     };
-    assert!(left_for(AttemptOutcome::TurnedAway).turns_away(now));
-    assert!(!left_for(AttemptOutcome::Failed).turns_away(now));
-    assert!(!left_for(AttemptOutcome::Unreachable).turns_away(now));
+    assert!(left_for(AttemptOutcome::TurnedAway).rejects_work(now));
+    assert!(!left_for(AttemptOutcome::Failed).rejects_work(now));
+    assert!(!left_for(AttemptOutcome::Unreachable).rejects_work(now));
     let mut together = left_for(AttemptOutcome::TurnedAway);
     let evidence = Evidence { target: LoadKey::of(7), failed: 9.0, answered: 0.0, reporters: 3 };
-    together.leave_together(now, &evidence, Duration::ZERO, 0.5);
-    assert!(!together.turns_away(now));
+    together.eject_on_evidence(now, &evidence, Duration::ZERO, 0.5);
+    assert!(!together.rejects_work(now));
 }
 
 #[test]
@@ -73,16 +73,16 @@
     for _ in 0..6 {
         assert!(health.note(now, AttemptOutcome::Unreachable, &[]));
         let began = now;
-        while health.paused(now) {
+        while health.ejected(now) {
             now += Duration::from_millis(10);
         }
         pauses.push(now - began);
-        assert!(health.on_trial(now));
+        assert!(health.on_probation(now));
     }
     assert!(pauses.is_sorted(), "{pauses:?}");
     assert!(pauses[5] <= Duration::from_secs(5));
     for _ in 0..20 {
         health.note(now, AttemptOutcome::Answered, &[]);
     }
-    assert!(!health.paused(now) && !health.on_trial(now));
+    assert!(!health.ejected(now) && !health.on_probation(now));
 }
--- a/tests/gateway/held.rs
+++ b/tests/gateway/held.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use latchmount::gateway::ledger::{HolderId, Ledger, Room};
+use latchmount::gateway::buffer_ledger::{BufferLedger, ClientId, Reservation};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -15,7 +15,7 @@
 const SLOW: Duration = Duration::from_secs(1);
 
 /// One entry a connection: bytes, and since when it is waited for.
-type Naive = BTreeMap<HolderId, (usize, Option<Duration>)>;
+type Naive = BTreeMap<ClientId, (usize, Option<Duration>)>;
 
 fn held(naive: &Naive) -> usize {
     naive.values().map(|(bytes, _)| bytes).sum()
@@ -26,9 +26,9 @@
 fn naive_take(
     naive: &mut Naive,
     now: Duration,
-    id: HolderId,
+    id: ClientId,
     bytes: usize,
-) -> Option<Vec<HolderId>> {
+) -> Option<Vec<ClientId>> {
     let mut left = naive.clone();
     let mut cut = Vec::new();
     while held(&left) + bytes > MOST {
@@ -52,11 +52,11 @@
     let seed = seeds::seed();
     let mut rng = StdRng::seed_from_u64(seed);
     for round in 0..200 {
-        let (mut ledger, mut naive) = (Ledger::new(MOST), Naive::new());
+        let (mut ledger, mut naive) = (BufferLedger::new(MOST), Naive::new());
         let mut now = Duration::ZERO;
         for _ in 0..200 {
             now += Duration::from_millis(rng.random_range(0..300));
-            let ids: Vec<HolderId> = naive.keys().copied().collect();
+            let ids: Vec<ClientId> = naive.keys().copied().collect();
             let Some(id) = ids.get(rng.random_range(0..ids.len().max(1))).copied() else {
                 naive.insert(ledger.open(), (0, None));
                 continue;
@@ -70,7 +70,7 @@
                     naive.remove(&id);
                 }
                 2 | 3 => {
-                    ledger.wait(now, id);
+                    ledger.start_waiting(now, id);
                     naive.get_mut(&id).expect("open").1.get_or_insert(now);
                 }
                 4 => {
@@ -79,15 +79,15 @@
                 }
                 5 => {
                     let bytes = rng.random_range(0..1_000);
-                    ledger.give_back(id, bytes);
+                    ledger.release(id, bytes);
                     let entry = naive.get_mut(&id).expect("open");
                     entry.0 = entry.0.saturating_sub(bytes);
                 }
                 _ => {
                     let bytes = rng.random_range(0..3_000);
-                    let taken = match ledger.take(now, id, bytes) {
-                        Room::Made(cut) => Some(cut),
-                        Room::None => None,
+                    let taken = match ledger.reserve(now, id, bytes) {
+                        Reservation::Granted(cut) => Some(cut),
+                        Reservation::Refused => None,
                     };
                     assert_eq!(taken, naive_take(&mut naive, now, id, bytes), "{seed} {round}");
                 }
@@ -102,8 +102,8 @@
 #[test]
 fn hundreds_of_slow_clients_cost_the_quick_ones_nothing() {
     const BODY: usize = 500;
-    let mut ledger = Ledger::new(MOST);
-    let mut slow: Vec<HolderId> = Vec::new();
+    let mut ledger = BufferLedger::new(MOST);
+    let mut slow: Vec<ClientId> = Vec::new();
     let (mut served, mut refused) = (0, 0);
     for step in 0..6_000_u64 {
         let now = Duration::from_millis(step * 10);
@@ -111,20 +111,20 @@
         // A link of 10 Mbit/s brings a fiftieth of 64 MB.
         if step % 20 == 0 {
             let id = ledger.open();
-            ledger.wait(now, id);
-            if let Room::Made(cut) = ledger.take(now, id, BODY) {
+            ledger.start_waiting(now, id);
+            if let Reservation::Granted(cut) = ledger.reserve(now, id, BODY) {
                 slow.retain(|other| !cut.contains(other));
                 slow.push(id);
             }
         }
         // A quick one comes each 10 ms and is done at once.
         let id = ledger.open();
-        match ledger.take(now, id, BODY) {
-            Room::Made(cut) => {
+        match ledger.reserve(now, id, BODY) {
+            Reservation::Granted(cut) => {
                 served += 1;
                 slow.retain(|other| !cut.contains(other));
             }
-            Room::None => refused += 1,
+            Reservation::Refused => refused += 1,
         }
         ledger.close(id);
     }
@@ -134,13 +134,13 @@
 
 #[test]
 fn nobody_is_cut_who_is_not_waited_for_and_nobody_where_that_is_not_enough() {
-    let mut ledger = Ledger::new(MOST);
+    let mut ledger = BufferLedger::new(MOST);
     let (quick, slow, new) = (ledger.open(), ledger.open(), ledger.open());
     let at = Duration::from_secs;
-    assert_eq!(ledger.take(at(0), quick, 8_000), Room::Made(vec![]));
-    ledger.wait(at(0), slow);
-    assert_eq!(ledger.take(at(0), slow, 1_500), Room::Made(vec![]));
-    assert_eq!(ledger.take(at(100), new, 3_000), Room::None);
-    assert_eq!(ledger.take(at(100), new, 2_000), Room::Made(vec![slow]));
-    assert_eq!(ledger.take(at(100), slow, 1), Room::None);
+    assert_eq!(ledger.reserve(at(0), quick, 8_000), Reservation::Granted(vec![]));
+    ledger.start_waiting(at(0), slow);
+    assert_eq!(ledger.reserve(at(0), slow, 1_500), Reservation::Granted(vec![]));
+    assert_eq!(ledger.reserve(at(100), new, 3_000), Reservation::Refused);
+    assert_eq!(ledger.reserve(at(100), new, 2_000), Reservation::Granted(vec![slow]));
+    assert_eq!(ledger.reserve(at(100), slow, 1), Reservation::Refused);
 }
--- a/tests/gateway/herd.rs
+++ b/tests/gateway/herd.rs
@@ -3,7 +3,7 @@
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-use latchmount::gateway::balance::{Affinity, Candidate, Wish, choose};
+use latchmount::gateway::balance::{Affinity, Candidate, Preference, choose};
 use latchmount::group::loads::{loads_interval, member_loads_interval, own_loads_interval};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -132,15 +132,15 @@
             home: (target >= self.targets / NEW_OF).then_some(target as u32),
             load: f64::from(self.known[gateway][target]),
             slots: 16,
-            strain: 1.0,
+            slowdown: 1.0,
             near: false,
-            doubtful: false,
+            last_resort: false,
         };
         let candidates: Vec<Candidate> = (0..self.targets).map(candidate).collect();
         let hash = xxhash_rust::xxh3::xxh3_64(&subject.to_le_bytes());
         let affinity = Some(Affinity { hash, tokens: KINDS[kind].tokens });
-        let wish = Wish { affinity, load_bound: LOAD_BOUND, targets: self.targets };
-        let target = choose(&candidates, wish, &mut self.rng).expect("candidates");
+        let preference = Preference { affinity, load_bound: LOAD_BOUND, targets: self.targets };
+        let target = choose(&candidates, preference, &mut self.rng).expect("candidates");
         (target, KINDS[kind].takes)
     }
 }
--- a/tests/gateway/keepers.rs
+++ b/tests/gateway/keepers.rs
@@ -3,8 +3,8 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-use latchmount::gateway::balance::{Affinity, expected_keeper};
-use latchmount::gateway::keepers::Keepers;
+use latchmount::gateway::balance::{Affinity, is_expected_holder};
+use latchmount::gateway::prefix_holders::PrefixHolders;
 use latchmount::group::keepers::{Keeper, KeeperBoard, MOST_IN_WORD, PromptKey, Teller, Told};
 use latchmount::group::loads::LoadKey;
 use rand::rngs::StdRng;
@@ -32,7 +32,7 @@
     Keeper { prompt: PromptKey::of(prompt << 40), target: LoadKey::of(target << 40) }
 }
 
-fn targets(keepers: &Keepers, now: Duration, prompt: u64) -> Vec<LoadKey> {
+fn targets(keepers: &PrefixHolders, now: Duration, prompt: u64) -> Vec<LoadKey> {
     keepers.of(now, PromptKey::of(prompt << 40)).collect()
 }
 
@@ -86,22 +86,22 @@
 
 #[test]
 fn what_is_known_is_told_again_only_after_a_while_and_forgotten_after_longer() {
-    let mut keepers = Keepers::default();
-    keepers.note_read(ms(0), keeper(1, 7));
-    assert_eq!(keepers.tell(), [keeper(1, 7)]);
-    keepers.note_read(ms(5_000), keeper(1, 7));
-    assert_eq!(keepers.tell(), [], "others know");
-    keepers.note_read(ms(11_000), keeper(1, 7));
-    assert_eq!(keepers.tell(), [keeper(1, 7)], "it is still kept");
+    let mut keepers = PrefixHolders::default();
+    keepers.note_prompt_read(ms(0), keeper(1, 7));
+    assert_eq!(keepers.take_pending(), [keeper(1, 7)]);
+    keepers.note_prompt_read(ms(5_000), keeper(1, 7));
+    assert_eq!(keepers.take_pending(), [], "others know");
+    keepers.note_prompt_read(ms(11_000), keeper(1, 7));
+    assert_eq!(keepers.take_pending(), [keeper(1, 7)], "it is still kept");
     assert_eq!(targets(&keepers, ms(30_000), 1), [keeper(1, 7).target]);
     assert_eq!(targets(&keepers, ms(31_000), 1), []);
 }
 
 #[test]
 fn the_newest_keepers_of_a_prompt_come_first_and_are_few() {
-    let mut keepers = Keepers::default();
+    let mut keepers = PrefixHolders::default();
     for target in [1, 2, 3, 4, 2] {
-        keepers.hear(ms(target), &[keeper(9, target)]);
+        keepers.record(ms(target), &[keeper(9, target)]);
     }
     let expected: Vec<LoadKey> = [2, 4, 3].map(|target| keeper(9, target).target).into();
     assert_eq!(targets(&keepers, ms(10), 9), expected);
@@ -112,14 +112,14 @@
 /// gateway's memory stay bounded.
 #[test]
 fn a_liar_is_bounded() {
-    let (mut board, mut keepers) = (KeeperBoard::default(), Keepers::default());
+    let (mut board, mut keepers) = (KeeperBoard::default(), PrefixHolders::default());
     let lies: Vec<Keeper> = (0..100_000).map(|prompt| keeper(prompt, 3)).collect();
     board.hear(ms(0), Teller::Gateway, &lies);
     let told = &mut Told::default();
     assert_eq!(board.next_for_gateway(ms(1), told).len(), MOST_IN_WORD);
     assert_eq!(board.next_for_gateway(ms(1), told).len(), 0);
-    lies.iter().for_each(|lie| keepers.note_read(ms(0), *lie));
-    assert_eq!(keepers.tell().len(), MOST_IN_WORD);
+    lies.iter().for_each(|lie| keepers.note_prompt_read(ms(0), *lie));
+    assert_eq!(keepers.take_pending().len(), MOST_IN_WORD);
     let known = (0..100_000).filter(|prompt| !targets(&keepers, ms(1), *prompt).is_empty());
     assert!(known.count() <= 8_192);
 }
@@ -130,7 +130,7 @@
     for hash in 0..200 {
         let affinity = Affinity { hash, tokens: 5_000 };
         let homes = || (0..20).map(Some).chain([None]);
-        let expected = homes().filter(|home| expected_keeper(*home, homes(), affinity)).count();
+        let expected = homes().filter(|home| is_expected_holder(*home, homes(), affinity)).count();
         assert_eq!(expected, 1, "{hash}");
     }
 }
@@ -144,7 +144,8 @@
 
 fn play(seed: u64, tells: bool) -> Play {
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut gateways: Vec<Keepers> = (0..GATEWAYS).map(|_| Keepers::default()).collect();
+    let mut gateways: Vec<PrefixHolders> =
+        (0..GATEWAYS).map(|_| PrefixHolders::default()).collect();
     let mut boards: Vec<KeeperBoard> = (0..MEMBERS).map(|_| KeeperBoard::default()).collect();
     let mut told_gateways = vec![Told::default(); GATEWAYS];
     let mut told_members = [Told::default(); MEMBERS];
@@ -169,11 +170,11 @@
             }
             kept.insert((prompt, target));
             if target != first && tells {
-                gateways[gateway].note_read(now, keeper(prompt, target));
+                gateways[gateway].note_prompt_read(now, keeper(prompt, target));
             }
         }
         for (gateway, keepers) in gateways.iter_mut().enumerate() {
-            boards[gateway % MEMBERS].hear(now, Teller::Gateway, &keepers.tell());
+            boards[gateway % MEMBERS].hear(now, Teller::Gateway, &keepers.take_pending());
         }
         for member in 0..MEMBERS {
             let word = boards[member].next_for_members(now, &mut told_members[member]);
@@ -183,7 +184,7 @@
         }
         for (gateway, keepers) in gateways.iter_mut().enumerate() {
             let board = &mut boards[gateway % MEMBERS];
-            keepers.hear(now, &board.next_for_gateway(now, &mut told_gateways[gateway]));
+            keepers.record(now, &board.next_for_gateway(now, &mut told_gateways[gateway]));
         }
     }
     played
--- a/tests/gateway/order.rs
+++ b/tests/gateway/order.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use latchmount::gateway::order::{Looks, MemberOrder};
+use latchmount::gateway::member_order::{FailbackBackoff, MemberOrder};
 use proptest::prelude::*;
 use rstest::rstest;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -41,7 +41,7 @@
             let after = (0..gateways).map(|gateway| {
                 let mut order = order(gateway, &all);
                 if order.current() == *lost {
-                    order.turn_to_next();
+                    order.select_next();
                 }
                 order.current()
             });
@@ -57,11 +57,11 @@
     let mut order = order(1, &all);
     let first = order.current();
     assert_eq!(order.earlier(), []);
-    order.turn_to_next();
-    order.turn_to_next();
+    order.select_next();
+    order.select_next();
     assert_eq!(order.earlier().len(), 2);
     assert_eq!(order.earlier()[0], first);
-    order.turn_to(first);
+    order.select(first);
     assert_eq!(order.from_current()[0], first);
 }
 
@@ -71,13 +71,13 @@
     for gateway in 0..50 {
         let mut order = order(gateway, &all[..3]);
         let current = order.current();
-        order.learn(all.clone());
+        order.set_members(all.clone());
         assert_eq!(order.current(), current);
         let others = all.iter().copied().filter(|member| *member != current);
-        order.learn(others.collect());
+        order.set_members(others.collect());
         assert_ne!(order.current(), current, "it is none any more");
         let current = order.current();
-        order.learn(Vec::new());
+        order.set_members(Vec::new());
         assert_eq!(order.current(), current, "no word of members is no member less");
     }
 }
@@ -85,17 +85,17 @@
 /// Every look waits longer than the one before, up to a bound, and begins anew once it is settled.
 #[test]
 fn looks_become_seldom_while_none_helps() {
-    let mut looks = Looks::default();
+    let mut looks = FailbackBackoff::default();
     let mut pauses = Vec::new();
     for _ in 0..40 {
-        pauses.push(looks.pause(0.0));
-        looks.note_made();
+        pauses.push(looks.delay(0.0));
+        looks.note_check();
     }
     assert!(pauses.is_sorted());
     assert_eq!(pauses[..3], [2, 4, 8].map(Duration::from_secs));
     assert_eq!(pauses.last(), Some(&Duration::from_secs(30)));
     looks.reset();
-    assert_eq!(looks.pause(1.0), Duration::from_secs(4));
+    assert_eq!(looks.delay(1.0), Duration::from_secs(4));
 }
 
 proptest! {
@@ -113,7 +113,7 @@
         naive.sort_by_key(|member| xxh3_64_with_seed(member.to_string().as_bytes(), seed));
         for _ in 0..turns {
             prop_assert_eq!(order.current(), naive[0]);
-            order.turn_to_next();
+            order.select_next();
             naive.rotate_left(1);
         }
         prop_assert_eq!(order.from_current(), naive);
--- a/tests/gateway/remembered.rs
+++ b/tests/gateway/remembered.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use latchmount::availability::{Availability, Standing};
-use latchmount::gateway::remembered::RememberedWords;
+use latchmount::gateway::remembered_reports::RememberedReports;
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -15,7 +15,7 @@
 
 #[test]
 fn a_start_that_is_listed_again_is_known_to_leave() {
-    let mut words = RememberedWords::default();
+    let mut words = RememberedReports::default();
     let said = leaving().own_word().expect("a word");
     words.keep(SECOND, 7, said);
     assert_eq!(words.take(SECOND, 8), None, "another start says nothing yet");
@@ -28,7 +28,7 @@
 
 #[test]
 fn words_are_bounded_and_the_oldest_gives_way() {
-    let mut words = RememberedWords::default();
+    let mut words = RememberedReports::default();
     let said = leaving().own_word().expect("a word");
     for start in 0..5_000_u32 {
         words.keep(SECOND + Duration::from_millis(start.into()), start.into(), said);
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -46,7 +46,7 @@
     #[case] allowed: bool,
 ) {
     let idle_for = Duration::from_millis(idle_ms);
-    assert_eq!(Reuse::UsedLately.allows(idle_for), allowed);
+    assert_eq!(Reuse::RecentlyUsed.allows(idle_for), allowed);
     assert!(Reuse::Any.allows(idle_for));
 }
 
--- a/tests/gateway/rests.rs
+++ b/tests/gateway/rests.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use latchmount::availability::{Availability, Standing};
-use latchmount::gateway::balance::{Candidate, Wish, choose};
-use latchmount::gateway::evidence::spread;
+use latchmount::gateway::balance::{Candidate, Preference, choose};
+use latchmount::gateway::evidence::return_spread;
 use latchmount::gateway::health::{AttemptOutcome, Health, Tally};
 use latchmount::retry_after::RetryAfter;
 use rand::rngs::StdRng;
@@ -173,23 +173,24 @@
             home: None,
             load: self.in_flight[*target] as f64,
             slots: SLOTS as u32,
-            strain: 1.0,
+            slowdown: 1.0,
             near: false,
-            doubtful: match self.way {
+            last_resort: match self.way {
                 Way::Deaf | Way::AtOnce => false,
                 Way::OneFirst | Way::Spread => {
                     standing(target).hesitates(self.own[gateway][*target])
                 }
                 Way::LeftAlone => {
                     let health = &self.health[gateway][*target];
-                    let on_trial = health.on_trial(at) && self.own[gateway][*target] > 0;
-                    health.paused(at) || on_trial
+                    let on_trial = health.on_probation(at) && self.own[gateway][*target] > 0;
+                    health.ejected(at) || on_trial
                 }
             },
         };
         let candidates: Vec<Candidate> = usable.iter().map(candidate).collect();
-        let wish = Wish { affinity: None, load_bound: 2.0, targets: self.in_flight.len() };
-        choose(&candidates, wish, &mut self.rng).map(|chosen| usable[chosen])
+        let preference =
+            Preference { affinity: None, load_bound: 2.0, targets: self.in_flight.len() };
+        choose(&candidates, preference, &mut self.rng).map(|chosen| usable[chosen])
     }
 
     /// Whether a target takes a request.
@@ -212,7 +213,7 @@
         }
         let over = match self.way {
             Way::Deaf | Way::LeftAlone => return false,
-            Way::Spread => spread(self.gateways as u32),
+            Way::Spread => return_spread(self.gateways as u32),
             _ => Duration::ZERO,
         };
         let chance = self.rng.random();
@@ -224,7 +225,7 @@
     fn note(&mut self, now: f64, gateway: usize, target: usize, outcome: AttemptOutcome) {
         let now = Duration::from_secs_f64(now);
         let health = &mut self.health[gateway];
-        let others = (0..health.len()).filter(|at| *at != target && !health[*at].paused(now));
+        let others = (0..health.len()).filter(|at| *at != target && !health[*at].ejected(now));
         let others: Vec<Tally> = others.map(|at| health[at].tally(now)).collect();
         health[target].note(now, outcome, &others);
     }
--- a/tests/gateway/strain.rs
+++ b/tests/gateway/strain.rs
@@ -4,8 +4,8 @@
 
 use std::time::Duration;
 
-use latchmount::gateway::balance::{Candidate, Wish, choose};
-use latchmount::gateway::strain::Strain;
+use latchmount::gateway::balance::{Candidate, Preference, choose};
+use latchmount::gateway::slowdown::Slowdown;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rstest::rstest;
@@ -44,7 +44,7 @@
 fn play(scene: Scene, way: Way, seed: u64) -> (f64, f64) {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut strain: Vec<f64> = vec![1.0; scene.targets];
-    let mut known = vec![vec![(Strain::default(), 1.0); scene.targets]; scene.gateways];
+    let mut known = vec![vec![(Slowdown::default(), 1.0); scene.targets]; scene.gateways];
     let mut asked = vec![0_u32; scene.targets];
     let (mut sum, mut count) = (0.0, 0.0);
     let a_step = scene.each * scene.targets as f64 * STEP.as_secs_f64();
@@ -66,11 +66,19 @@
                     Way::Fades => fades.multiple(now),
                 };
                 let (key, home) = (at as u64, None);
-                Candidate { key, home, load: 1.0, slots: 16, strain, near: false, doubtful: false }
+                Candidate {
+                    key,
+                    home,
+                    load: 1.0,
+                    slots: 16,
+                    slowdown: strain,
+                    near: false,
+                    last_resort: false,
+                }
             };
             let candidates: Vec<Candidate> = (0..scene.targets).map(candidate).collect();
-            let wish = Wish { affinity: None, load_bound: 2.0, targets: scene.targets };
-            let at = choose(&candidates, wish, &mut rng).expect("candidates");
+            let preference = Preference { affinity: None, load_bound: 2.0, targets: scene.targets };
+            let at = choose(&candidates, preference, &mut rng).expect("candidates");
             let told = strain[at];
             known[gateway][at].0.note(now, (told * 100.0) as u32);
             known[gateway][at].1 = told;
@@ -106,7 +114,7 @@
 
 #[test]
 fn a_word_fades_and_what_is_no_strain_counts_as_usual() {
-    let mut strain = Strain::default();
+    let mut strain = Slowdown::default();
     assert_eq!(strain.multiple(Duration::ZERO), 1.0);
     strain.note(Duration::from_secs(1), 300);
     assert_eq!(strain.multiple(Duration::from_secs(1)), 3.0);
--- a/tests/gateway/versions.rs
+++ b/tests/gateway/versions.rs
@@ -1,6 +1,6 @@
 //! Which version of a service requests go to while one takes the place of another.
 
-use latchmount::gateway::versions::{Group, groups, on_trial};
+use latchmount::gateway::versions::{VersionGroup, groups, trial_size};
 use latchmount::rollout::{RolloutOrder, RolloutStep, RolloutVerdict, Rollouts, Stage};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -9,17 +9,17 @@
 use crate::seeds;
 
 #[rstest]
-#[case(None, false, &[Group::Any])]
-#[case(Some(Stage::Part(50)), false, &[Group::Trial, Group::Old])]
-#[case(Some(Stage::Part(50)), true, &[Group::Old])]
-#[case(Some(Stage::Part(5)), false, &[Group::Old])]
-#[case(Some(Stage::RolledBack), false, &[Group::Old])]
-#[case(Some(Stage::Shifted), true, &[Group::New, Group::Old])]
-#[case(Some(Stage::Completed), false, &[Group::New])]
+#[case(None, false, &[VersionGroup::Any])]
+#[case(Some(Stage::Part(50)), false, &[VersionGroup::Trial, VersionGroup::Old])]
+#[case(Some(Stage::Part(50)), true, &[VersionGroup::Old])]
+#[case(Some(Stage::Part(5)), false, &[VersionGroup::Old])]
+#[case(Some(Stage::RolledBack), false, &[VersionGroup::Old])]
+#[case(Some(Stage::Shifted), true, &[VersionGroup::New, VersionGroup::Old])]
+#[case(Some(Stage::Completed), false, &[VersionGroup::New])]
 fn each_stage_has_its_groups(
     #[case] stage: Option<Stage>,
     #[case] again: bool,
-    #[case] expected: &[Group],
+    #[case] expected: &[VersionGroup],
 ) {
     assert_eq!(groups(stage, 0.04, again), expected);
 }
@@ -37,7 +37,7 @@
 ) {
     assert_eq!((stage.may_send(false), stage.may_send(true)), (old, new));
     for group in [false, true].into_iter().flat_map(|again| groups(Some(stage), 0.04, again)) {
-        let of_new = matches!(group, Group::Trial | Group::New);
+        let of_new = matches!(group, VersionGroup::Trial | VersionGroup::New);
         // The old version is the last resort of a stage that has it at all.
         assert!(stage.may_send(of_new), "{group:?}");
     }
@@ -55,7 +55,7 @@
     for _ in 0..requests {
         // Which gateway has the request makes no difference to its lot; most have fewer than ten.
         let _gateway = rng.random_range(0..gateways);
-        new += usize::from(groups(Some(stage), rng.random(), false)[0] == Group::Trial);
+        new += usize::from(groups(Some(stage), rng.random(), false)[0] == VersionGroup::Trial);
     }
     assert!(new as f64 <= 0.1 * f64::from(requests) + 50.0, "seed {seed}: {new}");
     assert!(new > 100, "seed {seed}: {new}");
@@ -63,12 +63,12 @@
 
 #[test]
 fn targets_on_trial_are_as_loaded_as_those_of_the_old_version() {
-    assert_eq!(on_trial(0.05, 60, 60), 4);
-    assert_eq!(on_trial(0.05, 4, 4), 2);
-    assert_eq!(on_trial(0.05, 4, 1), 1);
-    assert_eq!(on_trial(0.35, 60, 60), 33);
-    assert_eq!(on_trial(1.0, 60, 60), 60);
-    assert_eq!(on_trial(0.05, 60, 0), 0);
+    assert_eq!(trial_size(0.05, 60, 60), 4);
+    assert_eq!(trial_size(0.05, 4, 4), 2);
+    assert_eq!(trial_size(0.05, 4, 1), 1);
+    assert_eq!(trial_size(0.35, 60, 60), 33);
+    assert_eq!(trial_size(1.0, 60, 60), 60);
+    assert_eq!(trial_size(0.05, 60, 0), 0);
 }
 
 fn order(version: &str, soon: bool) -> RolloutOrder {
--- a/tests/rollout/stage.rs
+++ b/tests/rollout/stage.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use latchmount::gateway::versions::on_trial;
+use latchmount::gateway::versions::trial_size;
 use latchmount::rollout::Stage;
 use latchmount::rollout::division::Mix;
 use latchmount::rollout::steps::Progress;
@@ -259,7 +259,7 @@
             Shows::Later(part) => now >= self.lasts.mul_f64(part),
             Shows::OnRoute(only) => route == only,
             Shows::UnderLoad => {
-                let asked = on_trial(share, self.targets, self.targets) as f64;
+                let asked = trial_size(share, self.targets, self.targets) as f64;
                 share / asked >= 0.5 * (1.0 - share) / self.targets as f64
             }
         }
