--- a/src/gateway/target.rs
+++ b/src/gateway/target.rs
@@ -1,4 +1,5 @@
-//! One target as a gateway knows it, with what the gateway has itself seen of it.
+//! One target (back end) as the gateway knows it: what it announced, and what the gateway has
+//! observed itself.
 
 use std::sync::atomic::{AtomicBool, AtomicU32, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -16,55 +17,56 @@
 use crate::retry_after::RetryAfter;
 use crate::sync::lock;
 
-/// Age from which a target's own word about its load is not used any more.
+/// Age from which a load that the target reported itself is ignored.
 const REPORTED_LOAD_TTL: Duration = Duration::from_secs(3);
-/// Stands for no home.
+/// Value of `Target::home` while the target has no home.
 const NO_HOME: u32 = u32::MAX;
-/// How long the members' word goes before the target's own, which is about one moment only.
+/// How long a load from the members takes precedence over one from the target itself: the target's
+/// figure is a snapshot of a single moment.
 const MEMBER_LOAD_PREFERRED_FOR: Duration = Duration::from_secs(1);
-/// Weight of the newest word about the load.
+/// Weight of the newest reported load in the moving average.
 const NEWEST_LOAD_WEIGHT: f64 = 0.5;
 
-/// Load that other gateways bring to a target.
+/// Requests that all other gateways together have in flight at a target.
 #[derive(Clone, Copy, Debug)]
 struct OthersLoad {
-    /// When it was told.
+    /// When it was received.
     received_at: Duration,
-    /// Until when this counts.
+    /// When it stops being used.
     expires_at: Duration,
     requests: f64,
 }
 
-/// One target.
+/// A target, shared by all requests of the gateway.
 pub(super) struct Target {
-    /// What it announced.
+    /// What the target announced to the members.
     pub(super) announcement: Announcement,
     /// Hash of its identity.
     pub(super) key: u64,
-    /// Hash of the data hall that it stands in.
+    /// Hash of its data hall's name.
     pub(super) hall_key: u64,
-    /// Whether it may be sent anything.
+    /// Whether it may be sent requests.
     availability: Mutex<Availability>,
-    /// Its home, or [`NO_HOME`].
+    /// Its home (hash slot), or [`NO_HOME`].
     home: AtomicU32,
     unresponsive: AtomicBool,
     in_flight: AtomicU32,
-    /// Bytes of bodies of the requests in flight from this gateway.
+    /// Total body size of this gateway's requests in flight there, in bytes.
     body_bytes: AtomicUsize,
-    /// Connections open or being made.
+    /// Connections that are open or being made.
     pub(super) connections: AtomicU32,
     pub(super) idle: Mutex<Vec<Idle>>,
     health: Mutex<Health>,
     cold_state: Mutex<ColdState>,
-    /// Attempts of this gateway that failed and that were answered, not told to a member yet.
+    /// Failed and answered attempts of this gateway that are not yet reported to a member.
     pending_outcomes: Mutex<(u32, u32)>,
-    /// Requests in flight from this gateway as last told to a member.
+    /// Requests in flight from this gateway as last reported to a member.
     reported_in_flight: AtomicU32,
-    /// What others have in flight, from the members.
+    /// Load from other gateways, as the members report it.
     others_from_members: Mutex<Option<OthersLoad>>,
-    /// What others have in flight, from the target.
+    /// Load from other gateways, computed from what the target reports.
     others_from_target: Mutex<Option<OthersLoad>>,
-    /// How long work takes there, by its own word.
+    /// How much slower than usual the target works, as it reports itself.
     slowdown: Mutex<Slowdown>,
 }
 
@@ -93,7 +95,7 @@
         target
     }
 
-    /// Closes idle connections; each of them holds on to its target.
+    /// Closes idle connections. Each of them holds a reference to its target.
     fn close_idle(&self) {
         lock(&self.idle).clear();
     }
@@ -106,7 +108,7 @@
         }
     }
 
-    /// Number that affinities are hashed to, if it has one.
+    /// Hash slot to which affinities are mapped, if the target has one.
     pub(super) fn home(&self) -> Option<u32> {
         let home = self.home.load(Ordering::Relaxed);
         (home != NO_HOME).then_some(home)
@@ -116,7 +118,7 @@
         self.home.store(home.unwrap_or(NO_HOME), Ordering::Relaxed);
     }
 
-    /// Notes whether its data hall is evacuated.
+    /// Records whether its data hall is evacuated.
     pub(super) fn set_evacuated(&self, evacuated: bool) {
         lock(&self.availability).evacuate(evacuated);
         if evacuated {
@@ -124,7 +126,8 @@
         }
     }
 
-    /// Notes that an answer of its own says that it leaves; tells whether that is the first.
+    /// Records that the target said in an answer that it is shutting down. Returns whether this is
+    /// the first such answer.
     pub(super) fn note_draining(&self) -> bool {
         let first = lock(&self.availability).says_leaving();
         if first {
@@ -133,47 +136,50 @@
         first
     }
 
-    /// Notes that it wants nothing for a while; its return begins a part of `spread` later.
+    /// Records that the target asked for a pause with `Retry-After`. This gateway resumes sending
+    /// at a random time within `spread` after the pause.
     pub(super) fn note_backoff(&self, now: Duration, retry_after: RetryAfter, spread: Duration) {
         lock(&self.availability).rests(now, retry_after, spread, rand::random());
     }
 
-    /// Notes that it has answered a request that it did not turn away.
+    /// Records that the target answered a request without rejecting it.
     pub(super) fn note_answered(&self, now: Duration) {
         lock(&self.availability).answered(now);
     }
 
-    /// What it may be sent now.
+    /// Which requests the target may be sent now.
     pub(super) fn eligibility(&self, now: Duration) -> Standing {
         lock(&self.availability).standing(now)
     }
 
-    /// Whether it serves, be it that it rests now.
+    /// Whether the target is neither draining nor in an evacuated data hall. It may be backing off.
     pub(super) fn in_service(&self) -> bool {
         lock(&self.availability).in_service()
     }
 
-    /// Whether it takes no new work any more, as the members or its own answers say.
+    /// Whether the target takes no new requests because it shuts down, according to the members or
+    /// to its own answers.
     pub(super) fn draining(&self) -> bool {
         lock(&self.availability).leaving()
     }
 
-    /// What it has said of itself in its answers, if anything.
+    /// What the target reported about itself in its answers, if anything.
     pub(super) fn own_report(&self) -> Option<OwnWord> {
         lock(&self.availability).own_word()
     }
 
-    /// What may be the word of the next start under its identity.
+    /// The part of the target's own report that may come from the next process under the same
+    /// identity.
     pub(super) fn next_incarnation_report(&self, now: Duration) -> Option<OwnWord> {
         lock(&self.availability).word_of_next_start(now)
     }
 
-    /// Takes what the same start has said of itself under an earlier listing.
+    /// Applies what the same process of the target reported about itself under an earlier listing.
     pub(super) fn restore_report(&self, report: OwnWord) {
         lock(&self.availability).recall(report);
     }
 
-    /// Whether it has not been heard for long by the members.
+    /// Whether the members have had no heartbeat from it within the timeout.
     pub(super) fn unresponsive(&self) -> bool {
         self.unresponsive.load(Ordering::Relaxed)
     }
@@ -183,45 +189,45 @@
         self.in_flight.load(Ordering::Relaxed)
     }
 
-    /// Health as this gateway has seen it.
+    /// Failure history as observed by this gateway.
     pub(super) fn health(&self) -> MutexGuard<'_, Health> {
         lock(&self.health)
     }
 
-    /// What is known of its start.
+    /// What is known of the target's last start.
     pub(super) fn cold_state(&self) -> MutexGuard<'_, ColdState> {
         lock(&self.cold_state)
     }
 
-    /// Counts an outcome for the next word to a member.
+    /// Counts the outcome of an attempt for the next report to a member.
     pub(super) fn count_outcome(&self, failed: bool) {
         let mut pending_outcomes = lock(&self.pending_outcomes);
         let count = if failed { &mut pending_outcomes.0 } else { &mut pending_outcomes.1 };
         *count = count.saturating_add(1);
     }
 
-    /// Outcomes since the last word, if there were any; told from now on.
+    /// Takes the outcomes that are not yet reported to a member, if there are any.
     pub(super) fn take_outcomes(&self) -> Option<Outcomes> {
         let (failed, answered) = std::mem::take(&mut *lock(&self.pending_outcomes));
         let target = LoadKey::of(self.key);
         (failed + answered > 0).then_some(Outcomes { target, failed, answered })
     }
 
-    /// Counts a request with a body of so many bytes until the guard is dropped.
+    /// Counts a request with a body of `body` bytes as in flight until the guard is dropped.
     pub(super) fn begin(self: &Arc<Self>, body: usize) -> InFlight {
         self.in_flight.fetch_add(1, Ordering::Relaxed);
         self.body_bytes.fetch_add(body, Ordering::Relaxed);
         InFlight { target: self.clone(), body }
     }
 
-    /// Whether a body of so many bytes may go there, where those in flight from this gateway have `most` together:
-    /// what a target holds counts against its memory. One alone may always go.
+    /// Whether a body of `body` bytes fits: the bodies in flight from this gateway may have `max`
+    /// bytes in total, since they occupy the target's memory. A single body always fits.
     pub(super) fn has_room(&self, body: usize, max: usize) -> bool {
         let body_bytes = self.body_bytes.load(Ordering::Relaxed);
         body_bytes == 0 || body_bytes.saturating_add(body) <= max
     }
 
-    /// Notes the load that the target told of itself.
+    /// Records the load that the target reported in an answer.
     pub(super) fn note_reported_load(&self, now: Duration, load: TargetLoad) {
         let reported = f64::from(load.running) + f64::from(load.waiting);
         let newest = (reported - f64::from(self.in_flight())).max(0.0);
@@ -240,14 +246,16 @@
         }
     }
 
-    /// How long work takes there now, as a multiple of what is usual.
+    /// Processing time at the target, as a multiple of the usual time.
     pub(super) fn slowdown(&self, now: Duration) -> f64 {
         lock(&self.slowdown).multiple(now)
     }
 
-    /// Requests that the target is thought to have. Where it has not told lately, the other gateways
-    /// are taken to have as many as usual there, or as many as this one each; a target without a home
-    /// gets little work from anybody.
+    /// Estimated number of requests in flight at the target, from all gateways.
+    ///
+    /// Without a recent figure for the other gateways, the larger of two estimates is used:
+    /// `usual_others`, or this gateway's own requests for each of them. `usual_others` does not
+    /// apply to a target without a home, which gets little work from any gateway.
     pub(super) fn load(&self, now: Duration, usual_others: f64, gateways: u32) -> f64 {
         let own = f64::from(self.in_flight());
         let same_as_own = own * f64::from(gateways.saturating_sub(1));
@@ -255,14 +263,15 @@
         own + self.others_load(now).unwrap_or(usual.max(same_as_own))
     }
 
-    /// Requests in flight from this gateway, noted as told to a member.
+    /// Returns the requests in flight from this gateway and remembers the number as reported to a
+    /// member.
     pub(super) fn report_in_flight(&self) -> u32 {
         let in_flight = self.in_flight();
         self.reported_in_flight.store(in_flight, Ordering::Relaxed);
         in_flight
     }
 
-    /// Notes what all gateways have in flight, as the members tell.
+    /// Records the requests in flight from all gateways, as the members report them.
     pub(super) fn note_total_in_flight(&self, now: Duration, total: u32, ttl: Duration) {
         let others = total.saturating_sub(self.reported_in_flight.load(Ordering::Relaxed));
         *lock(&self.others_from_members) = Some(OthersLoad {
@@ -272,8 +281,10 @@
         });
     }
 
-    /// Requests that other gateways are thought to have at the target: by the members if they told
-    /// just now, else by whoever told last; `None` when neither did lately.
+    /// Estimated requests in flight from other gateways, or `None` without a recent figure.
+    ///
+    /// A figure from the members is preferred while it is younger than
+    /// [`MEMBER_LOAD_PREFERRED_FOR`], after that whichever of the two is newer.
     pub(super) fn others_load(&self, now: Duration) -> Option<f64> {
         let live = |load: &OthersLoad| now < load.expires_at;
         let from_members = lock(&self.others_from_members).filter(live);
@@ -290,7 +301,7 @@
     }
 }
 
-/// A request in flight at a target.
+/// Counts a request as in flight at a target until dropped.
 pub(super) struct InFlight {
     target: Arc<Target>,
     body: usize,
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -1,4 +1,5 @@
-//! All targets that a gateway knows: by service, by home, and as the orders about their data halls want them.
+//! All targets that the gateway knows, indexed by identity, service and home, with the evacuations
+//! and roll-outs that apply to them.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
@@ -14,58 +15,60 @@
 use crate::rollout::{RolloutNews, RolloutTold, Stage};
 use crate::store::Revision;
 
-/// How long a service's mix of routes is gone by; without one the new version gets the same part of each route.
+/// How long the shares of the routes in a service's requests are used for a roll-out. Without
+/// current shares the new version gets the same fraction of each route.
 const ROUTE_MIX_TTL: Duration = Duration::from_secs(5);
-/// How long after it got a home a target is thought to lack what its predecessor kept.
+/// For how long a target that was given a home is assumed to lack the prompts that the home's
+/// previous owner has cached.
 const NEW_HOME_WINDOW: Duration = Duration::from_secs(20);
 
-/// A home that changed hands.
+/// The previous owner of a home that was given to another target.
 struct FormerOwner {
-    /// Who had it before; nobody if it is a new one.
+    /// `None` if the home is new.
     target: Option<Arc<Target>>,
     since: Instant,
 }
 
-/// All targets that a gateway knows.
+/// All targets that the gateway knows.
 #[derive(Default)]
 pub(super) struct Targets {
     revision: Revision,
-    /// Orders about data halls; `None` before any word of them.
+    /// Evacuations of data halls; `None` before the first update.
     evacuations: Option<HallNews>,
-    /// Roll-outs of services; `None` before any word of them.
+    /// Roll-outs of services; `None` before the first update.
     rollouts: Option<RolloutNews>,
-    /// What part of a service's requests each route has, for roll-outs under way, and when that was told.
+    /// Share of each route in a service's requests, for roll-outs under way, and when it was
+    /// received.
     mixes: (Duration, Vec<RolloutMix>),
-    /// When data halls were taken back into use, by the revision that did so and the time since the start
-    /// of the gateway.
+    /// When data halls were last returned to use: the revision that withdrew the evacuation, and
+    /// the time since the gateway started.
     returned: HashMap<String, (Revision, Duration)>,
-    /// Who has each home of each service, and who had it before.
+    /// Current owner of each home of each service.
     homes: HashMap<(String, u32), Arc<Target>>,
     former_owners: HashMap<(String, u32), FormerOwner>,
     by_id: HashMap<String, Arc<Target>>,
     by_key: HashMap<u64, Arc<Target>>,
     by_service: HashMap<String, Vec<Arc<Target>>>,
-    /// What those that are listed no more have said of themselves.
+    /// What targets that are no longer listed reported about themselves.
     remembered: RememberedReports,
 }
 
 impl Targets {
-    /// Revision of the directory that these are from.
+    /// Revision of the directory that the targets come from.
     pub(super) fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Every target.
     pub(super) fn all(&self) -> impl Iterator<Item = &Arc<Target>> {
         self.by_id.values()
     }
 
-    /// Revision of the orders about data halls that are obeyed; `None` before any word of them.
+    /// Revision of the evacuations in force; `None` before the first update.
     pub(super) fn evacuations_revision(&self) -> Option<Revision> {
         self.evacuations.as_ref().map(|halls| halls.revision)
     }
 
-    /// Revision of the roll-outs that are gone by; `None` before any word of them.
+    /// Revision of the roll-outs in force; `None` before the first update.
     pub(super) fn rollouts_revision(&self) -> Option<Revision> {
         self.rollouts.as_ref().map(|update| update.revision)
     }
@@ -76,12 +79,12 @@
         rollouts.find(|rollout| rollout.service == service)
     }
 
-    /// Takes word of what part of a service's requests each route has.
+    /// Stores the shares of the routes in the requests of services.
     pub(super) fn set_route_mixes(&mut self, now: Duration, mixes: Vec<RolloutMix>) {
         self.mixes = (now, mixes);
     }
 
-    /// A roll-out's stage on one route.
+    /// Stage of a roll-out on one route.
     pub(super) fn stage_on_route(
         &self,
         now: Duration,
@@ -96,7 +99,8 @@
         }
     }
 
-    /// Takes word of roll-outs, unless it is older than what is known; tells whether it was taken.
+    /// Applies an update of roll-outs if it is newer than the known one, and returns whether it
+    /// did.
     pub(super) fn apply_rollouts(&mut self, update: RolloutNews) -> bool {
         let newer = self.rollouts_revision().is_none_or(|known| known < update.revision);
         if newer {
@@ -105,8 +109,8 @@
         newer
     }
 
-    /// Takes orders about data halls, unless they are older than those that are obeyed; tells whether they
-    /// were taken.
+    /// Applies an update of evacuations unless it is older than the known one, and returns whether
+    /// it did.
     pub(super) fn apply_evacuations(&mut self, now: Duration, update: HallNews) -> bool {
         if self.evacuations_revision().is_some_and(|known| update.revision < known) {
             return false;
@@ -126,7 +130,7 @@
         true
     }
 
-    /// Has a target follow the orders about its data hall.
+    /// Applies the evacuation state of its data hall to a target.
     fn apply_hall_state(&self, target: &Target) {
         let data_hall = &target.announcement.data_hall;
         target.set_evacuated(self.hall_evacuated(data_hall));
@@ -151,8 +155,8 @@
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether a target has had its home for a short time only, and who had it before if that one
-    /// is still there.
+    /// `None` unless the target was given its home within [`NEW_HOME_WINDOW`]; then the home's
+    /// previous owner, if that is still listed.
     pub(super) fn former_home_owner(&self, target: &Target) -> Option<Option<&Arc<Target>>> {
         let former_owner =
             self.former_owners.get(&(target.announcement.service.clone(), target.home()?))?;
@@ -161,13 +165,14 @@
         recent.then(|| former_owner.target.as_ref().filter(still_listed))
     }
 
-    /// Takes news, unless they are older than what is known; tells whether they were taken.
+    /// Applies a directory update if it is newer than the known directory, and returns whether it
+    /// did.
     pub(super) fn apply(&mut self, now: Duration, delta: DirectoryDelta) -> bool {
         if delta.revision <= self.revision {
             return false;
         }
         self.revision = delta.revision;
-        // What was there when the gateway started has not just come.
+        // In the gateway's first directory no home has changed its owner.
         let initial = self.homes.is_empty();
         if delta.whole {
             let kept: HashSet<&str> =
@@ -188,7 +193,8 @@
             if let Some(target) = self.by_key.get(&target).cloned() {
                 target.cold_state().note_cold_left(now, cold_left);
                 if target.unresponsive() && state == TargetState::Ready {
-                    // It may have turned cold unheard, and the word that ends its silence may be an old one.
+                    // It may have restarted while it was unresponsive, and the heartbeat that ended
+                    // this may have been sent before the restart.
                     target.cold_state().note_returned(now);
                 }
                 target.set_state(state);
@@ -200,7 +206,8 @@
         true
     }
 
-    /// Notes who has a home now, and who had it before.
+    /// Records the owner of a home, and the previous owner if it changed. `initial` is set for the
+    /// first directory, in which no owner counts as new.
     fn note_home(&mut self, target: &Arc<Target>, initial: bool) {
         let Some(home) = target.home() else {
             return;
@@ -221,7 +228,8 @@
             self.remembered.keep(now, target.key, report);
         }
         self.by_key.remove(&target.key);
-        // Requests that hold the target must not keep its connections.
+        // Requests in flight still hold a reference to the target and must not keep its connections
+        // open.
         target.set_state(TargetState::Draining);
         if let Some(of_service) = self.by_service.get_mut(&target.announcement.service)
             && let Ok(at) = position(of_service, id)
@@ -245,7 +253,7 @@
         self.by_id.insert(announcement.id.clone(), target);
     }
 
-    /// Takes what is now known of a target, and returns the target.
+    /// Inserts or updates a target, and returns it.
     fn change(&mut self, now: Duration, listed: Listed) -> Arc<Target> {
         let Listed { announcement, home } = listed;
         if let Some(known) = self.by_id.get(&announcement.id)
@@ -270,7 +278,8 @@
     }
 }
 
-/// Where a target stands among those of its service, or where it belongs.
+/// Index of a target in the list of its service, which is sorted by identity, or the index at which
+/// to insert it.
 fn position(of_service: &[Arc<Target>], id: &str) -> Result<usize, usize> {
     of_service.binary_search_by(|target| target.announcement.id.as_str().cmp(id))
 }
