--- a/src/gateway/balance.rs
+++ b/src/gateway/balance.rs
@@ -1,63 +1,64 @@
-//! Which target a request goes to.
+//! The load-balancing algorithm.
 //!
-//! Requests with an affinity go to the target that is first in an order that depends on the affinity
-//! and the target's home alone (rendezvous hashing), so that every gateway chooses the same one
-//! without shared state; when that target is at its bound, to the next in the order. Others go to
-//! the less loaded of two drawn at random, those in the same data hall first.
+//! A request with an affinity goes to the target that ranks first for it by rendezvous hashing over
+//! the targets' homes, so that all gateways choose the same one without shared state. If that
+//! target has reached its load bound, the next in the ranking is used. Other requests go to the
+//! less loaded of two targets drawn at random, preferably in the gateway's own data hall.
 
 use rand::{Rng, RngExt};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Tokens in common with earlier requests from which a request is worth the most to its home.
+/// Number of shared tokens from which a request gets the highest load bound at its home.
 const FULL_WEIGHT_TOKENS: f64 = 4_096.0;
-/// Part of the bound that the cheapest and the dearest requests use: what is known of loads is some
-/// hundred milliseconds old, and the room beyond the first part is kept for dear ones.
+/// Fraction of the load bound that requests with no and with many shared tokens may use. The known
+/// loads are some hundred milliseconds old, and the room above the first fraction is reserved for
+/// requests that share many tokens.
 const BOUND_FRACTIONS: (f64, f64) = (0.6, 0.95);
-/// Requests by which a target may exceed that part, so that a fleet at rest can begin to grow.
+/// Requests by which a target may exceed that fraction, so that load can build up from zero.
 const BOUND_SLACK_REQUESTS: (f64, f64) = (1.0, 2.0);
 
-/// A target that may take the request.
+/// A target that the request may be sent to.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
     /// Hash of its identity.
     pub key: u64,
-    /// Number that affinities are hashed to, if it has one.
+    /// Hash slot to which affinities are mapped, if the target has one.
     pub home: Option<u32>,
-    /// Requests that it is thought to have, from all gateways.
+    /// Estimated requests in flight, from all gateways.
     pub load: f64,
-    /// Requests that it works on at once.
+    /// Requests that the target processes concurrently.
     pub slots: u32,
-    /// How long work takes there now, as a multiple of what is usual.
+    /// Processing time as a multiple of the usual time.
     pub slowdown: f64,
-    /// Whether it stands in the gateway's data hall.
+    /// Whether it is in the gateway's data hall.
     pub near: bool,
-    /// Whether it should be left alone if another will do.
+    /// Whether it should be used only if there is no other.
     pub last_resort: bool,
 }
 
-/// What a request shares with others that came before.
+/// The prompt prefix that a request shares with earlier ones.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Affinity {
-    /// Hash of the last part of the prompt that is shared.
+    /// Hash of the last shared part of the prompt.
     pub hash: u64,
-    /// Tokens up to there, which need not be read again where they were read before.
+    /// Tokens up to there. A target that has them cached need not process them again.
     pub tokens: u64,
 }
 
 /// What the choice depends on besides the candidates.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Preference {
-    /// What the request shares with others, if it does.
+    /// The prefix that the request shares with others, if any.
     pub affinity: Option<Affinity>,
-    /// No target gets more than this multiple of the mean load, and some.
+    /// Maximum load of a target, as a multiple of the mean load.
     pub load_bound: f64,
-    /// Targets of the service over which the mean is taken, those included that take no new work.
+    /// Number of targets over which the mean is taken, including those that take no new requests.
     pub targets: usize,
 }
 
-/// Chooses a candidate; `None` when there is none.
+/// Chooses a candidate and returns its index; `None` if there are no candidates.
 ///
-/// Doubtful ones are chosen only when no other is there.
+/// Candidates of last resort are chosen only if there is no other.
 pub fn choose(
     candidates: &[Candidate],
     preference: Preference,
@@ -92,12 +93,12 @@
     first.map(|(_, at)| at).or_else(|| least_loaded(candidates, usable)).copied()
 }
 
-/// Order of an affinity over candidates, the highest place first.
+/// Rendezvous hashing: the ranking of candidates for an affinity, highest score first.
 #[derive(Clone, Copy, Debug)]
 struct Ranking {
     affinity: Affinity,
-    /// Whether places follow from homes; else from identities, while most have no home yet: the few
-    /// that have one must not get the work of all.
+    /// Whether scores are computed from homes. They are computed from identities while most
+    /// candidates have no home: otherwise the few that have one would get all requests.
     by_home: bool,
 }
 
@@ -107,7 +108,7 @@
         Ranking { affinity, by_home: 2 * homed >= candidates.len() }
     }
 
-    /// Place of a candidate, if it has one.
+    /// Score of a candidate; `None` if it has no home and scores are computed from homes.
     fn score(self, candidate: &Candidate) -> Option<u64> {
         let seed = self.affinity.hash;
         if self.by_home {
@@ -117,8 +118,8 @@
     }
 }
 
-/// The candidate besides the chosen one that most likely keeps what a request shares with others: the
-/// first in the order of its affinity.
+/// The candidate other than the chosen one that most likely has the shared prefix cached: the one
+/// with the highest score.
 pub fn likely_holder(candidates: &[Candidate], chosen: usize, affinity: Affinity) -> Option<usize> {
     let ranking = Ranking::of(candidates, affinity);
     let others = (0..candidates.len()).filter(|at| *at != chosen && !candidates[*at].last_resort);
@@ -126,8 +127,8 @@
     scored.max_by_key(|(score, _)| *score).map(|(_, at)| at)
 }
 
-/// Which of the targets that may not be chosen comes before all candidates in the order of an affinity, if
-/// one does: it has served that affinity so far.
+/// The ineligible target that ranks above all candidates for an affinity, if there is one: it has
+/// served the affinity so far.
 pub fn earlier_home(
     candidates: &[Candidate],
     ineligible: &[Candidate],
@@ -141,15 +142,15 @@
     (Some(score) > first).then_some(at)
 }
 
-/// Whether a candidate is the first in the order of an affinity, among all.
+/// Whether the chosen candidate ranks first of all candidates for an affinity.
 pub fn is_first_home(candidates: &[Candidate], chosen: usize, affinity: Affinity) -> bool {
     let ranking = Ranking::of(candidates, affinity);
     let first = candidates.iter().filter_map(|candidate| ranking.score(candidate)).max();
     first.is_some() && ranking.score(&candidates[chosen]) == first
 }
 
-/// Whether a target with this home is the first in the order of an affinity among targets with such homes, so
-/// that everybody expects it to keep what the affinity shares.
+/// Whether a target with this home ranks first among `homes` for an affinity. Every gateway then
+/// assumes that it has the shared prefix cached.
 pub fn is_expected_holder(
     home: Option<u32>,
     homes: impl Iterator<Item = Option<u32>>,
@@ -162,9 +163,10 @@
     homes.flatten().map(score).all(|other| other <= own)
 }
 
-/// Load that a target may have with one more request, which shares so many tokens with others.
+/// Maximum load of a target including the new request, which shares `tokens` tokens with others.
 ///
-/// Where a target is nearly full, cheap requests leave it first: elsewhere they cost little.
+/// The bound is lower for requests that share few tokens: as a target fills up, they move elsewhere
+/// first, where they cost little extra.
 fn bound(load_bound: f64, mean: f64, tokens: u64) -> f64 {
     let weight = (tokens as f64 / FULL_WEIGHT_TOKENS).min(1.0);
     let between = |(lowest, highest): (f64, f64)| lowest + weight * (highest - lowest);
@@ -187,7 +189,7 @@
     better_of_two(candidates, usable, rng)
 }
 
-/// Whether the target has a free slot, as far as is known.
+/// Whether the target is estimated to have a free slot.
 fn has_free_slot(candidate: &Candidate) -> bool {
     candidate.load + 1.0 <= f64::from(candidate.slots) / 2.0
 }
--- a/src/gateway/choice.rs
+++ b/src/gateway/choice.rs
@@ -1,4 +1,4 @@
-//! Which target a request goes to, from what this gateway knows of each.
+//! Chooses the target for a request from what this gateway knows of each.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -23,35 +23,38 @@
 use crate::store::Revision;
 use crate::sync::read;
 
-/// How long ago a target that the members do not hear must have answered to be trusted.
+/// A target that is unresponsive to the members is still trusted if it answered this gateway within
+/// this time.
 const RECENT_ANSWER_WINDOW: Duration = Duration::from_secs(3);
 
-/// Time over which callers come back that were refused because targets rest.
+/// Random extra time added to `Retry-After`, so that clients that were refused because targets back
+/// off do not all return at once.
 const BACKOFF_RETURN_SPREAD: Duration = Duration::from_millis(300);
 
-/// A target chosen for an attempt, and what the choice was made of.
+/// A target chosen for an attempt, and what the choice was based on.
 pub(super) struct Choice {
     pub(super) target: Arc<Target>,
-    /// Requests that it is thought to have.
+    /// Estimated requests in flight at the target.
     pub(super) load: f64,
     pub(super) candidates: usize,
-    /// Whether it is slow after a start, or may be.
+    /// Whether the target is or may be slow because it has just started.
     pub(super) cold: bool,
-    /// Candidates that are left alone if another will do.
+    /// Number of candidates that are used only if there is no other.
     pub(super) last_resort: usize,
     /// Revision of the directory.
     pub(super) list_revision: Revision,
-    /// Where the target may fetch what it lacks of the prompt.
+    /// Address from which the target may fetch the cached part of the prompt that it lacks.
     pub(super) fetch_from: Option<SocketAddr>,
-    /// Whether the others take it to keep the prompt, without being told.
+    /// Whether other gateways assume without a report that this target has the prompt cached.
     pub(super) expected_holder: bool,
-    /// What the outcome is counted under while a roll-out is under way.
+    /// The roll-out, route and version that the outcome is counted under, while a roll-out is under
+    /// way.
     pub(super) counted_under: Option<Subject>,
 }
 
 impl Gateway {
-    /// What a request shares with others that came before: the last part of its prompt but one,
-    /// since the last is its own.
+    /// The part of the prompt that the request shares with earlier ones: all but the last part,
+    /// which belongs to this request alone. A single part counts as shared.
     pub(super) fn affinity(&self, route: &Route, headers: &HeaderMap) -> Option<Affinity> {
         if !route.sticky {
             return None;
@@ -100,7 +103,7 @@
         })
     }
 
-    /// Targets that the request may go to now, of the first group that has any.
+    /// Targets that may be sent the request now, from the first version group that has any.
     fn usable<'a>(
         &self,
         now: Duration,
@@ -126,7 +129,7 @@
         groups.find(|(_, targets)| !targets.is_empty())
     }
 
-    /// The targets as a choice weighs them.
+    /// Converts targets to candidates for the choice.
     fn weigh(&self, now: Duration, targets: &[&Arc<Target>]) -> Vec<Candidate> {
         let usual = usual_others(targets, now);
         let gateways = self.gateways();
@@ -145,14 +148,16 @@
         targets.iter().map(candidate).collect()
     }
 
-    /// What the choice depends on besides the candidates, which are of these targets.
+    /// Computes what the choice depends on besides the candidates. `targets` are those of the
+    /// chosen version group.
     fn preference<'a>(
         &self,
         now: Duration,
         plan: &Plan,
         targets: impl Iterator<Item = &'a Arc<Target>>,
     ) -> Preference {
-        // The others bear the work of those that are left alone: by a mean over all, all of them would be full.
+        // The other targets take over the work of the avoided ones. With a mean over all targets,
+        // the others would all exceed the load bound.
         let avoided = |target: &Arc<Target>| {
             let backing_off = target.eligibility(now).rest_left(now).is_some();
             backing_off || target.unresponsive() || self.is_last_resort(now, target)
@@ -164,7 +169,7 @@
         }
     }
 
-    /// Whether targets of a service fetch what they lack of a prompt.
+    /// Whether targets of a service can fetch cached prompts from each other.
     fn fetches(&self, service: &str) -> bool {
         let table = self.table();
         let service = table.as_ref().and_then(|table| table.service(service));
@@ -194,8 +199,8 @@
         if plan.connect_cost > 0 { Refusal::ConnectFailed } else { Refusal::NoTarget }
     }
 
-    /// Time until a target that rests can be asked, and some more, so that those who were refused do not come back
-    /// all at once; `None` where none rests.
+    /// Time until the first target that backs off can be sent requests again, plus a random part of
+    /// [`BACKOFF_RETURN_SPREAD`]; `None` if no target backs off.
     pub(super) fn backoff_left(&self, plan: &Plan) -> Option<Duration> {
         let now = self.now();
         let known = read(&self.targets);
@@ -205,7 +210,7 @@
         Some(first + BACKOFF_RETURN_SPREAD.mul_f64(rand::random()))
     }
 
-    /// Targets that may take the request by their version and region, and that do not leave.
+    /// Targets that are not draining and whose version and region suit the request.
     fn suitable<'a>(&self, known: &'a Targets, plan: &Plan) -> Vec<&'a Arc<Target>> {
         let versions = Versions::new(self.now(), known, plan);
         let groups = versions.groups(plan.lot, !plan.tried.is_empty());
@@ -217,8 +222,8 @@
         known.of(&plan.service).iter().filter(is_suitable).collect()
     }
 
-    /// Whether the regions of the request's route and team allow a target; one whose region is not known
-    /// is allowed by none.
+    /// Whether the regions of the request's route and team allow a target. A target whose region is
+    /// unknown is not allowed where regions are restricted.
     fn region_allows(&self, plan: &Plan, target: &Target) -> bool {
         let of_team = plan.team.as_ref().map_or(&[][..], |team| &team.regions);
         let bound = [plan.route.regions.as_slice(), of_team];
@@ -228,7 +233,7 @@
         })
     }
 
-    /// Counts a request that goes to a target now, if it is cold.
+    /// Counts a request that is about to be sent to a target, if the target is cold.
     pub(super) fn note_cold_request(&self, target: &Target) {
         if let Some(limit) = self.cold_limit(&target.announcement.service) {
             let now = self.now();
@@ -240,7 +245,8 @@
         }
     }
 
-    /// The affinity as it counts for the bound of loads.
+    /// The affinity as used for the load bound: without the `CheapFirst` mechanism every request
+    /// gets the highest bound.
     fn bound_affinity(&self, affinity: Affinity) -> Affinity {
         match self.uses(Mechanism::CheapFirst) {
             true => affinity,
@@ -248,7 +254,7 @@
         }
     }
 
-    /// Most that bodies of requests from this gateway have together at a target, in bytes.
+    /// Maximum total body size of this gateway's requests in flight at one target, in bytes.
     fn max_bodies_per_target(&self) -> usize {
         self.settings.bodies_at_target(self.gateways())
     }
@@ -257,7 +263,7 @@
         if self.uses(Mechanism::LoadBound) { self.settings.load_bound } else { f64::INFINITY }
     }
 
-    /// What this gateway has in flight, noted as told to a member.
+    /// Requests of this gateway in flight at each target, remembered as reported to a member.
     pub(super) fn report_loads(&self) -> Loads {
         let targets = read(&self.targets);
         let loads = targets.all().map(|target| TargetLoad {
@@ -267,7 +273,8 @@
         loads.filter(|load| load.requests > 0).collect()
     }
 
-    /// Takes what all gateways have in flight, this one as it last told.
+    /// Applies the requests in flight from all gateways, which include those that this gateway last
+    /// reported.
     pub(super) fn receive_loads(&self, loads: &Loads) {
         if !self.uses(Mechanism::MemberLoads) {
             return;
@@ -286,7 +293,7 @@
         }
     }
 
-    /// Whether a target should be left alone if another will do.
+    /// Whether a target should be used only if there is no other.
     fn is_last_resort(&self, now: Duration, target: &Target) -> bool {
         let health = target.health();
         let answered_recently =
@@ -299,7 +306,7 @@
     }
 }
 
-/// Those of the targets that are in a group.
+/// Filters the targets of a version group.
 fn in_group<'a>(
     versions: &Versions<'_>,
     group: VersionGroup,
@@ -308,7 +315,7 @@
     targets.iter().copied().filter(|target| versions.contains(group, target)).collect()
 }
 
-/// Mean load that other gateways bring to the targets that told of it lately.
+/// Mean load from other gateways, over the targets for which it is known.
 fn usual_others(targets: &[&Arc<Target>], now: Duration) -> f64 {
     let loads: Vec<f64> = targets.iter().filter_map(|target| target.others_load(now)).collect();
     loads.iter().sum::<f64>() / loads.len().max(1) as f64
--- a/src/gateway/slowdown.rs
+++ b/src/gateway/slowdown.rs
@@ -1,27 +1,30 @@
-//! How long work takes at a target whose machine is shared with others.
+//! How much slower than usual a target works, for example because it shares its machine with
+//! others.
 
 use std::time::Duration;
 
-/// What is usual, in percent.
+/// Reported value of a target that works at its usual speed, in percent.
 const USUAL_PERCENT: f64 = 100.0;
-/// Most that is believed, as a multiple: a target that tells more is as good as out of use already.
+/// Maximum multiple that is used. A target that reports more is practically out of use at this
+/// value already.
 const MAX_MULTIPLE: f64 = 10.0;
-/// Time after which half of what a target told is thought to be over.
+/// Time after which half of a reported slowdown is assumed to be over.
 const HALF_LIFE: Duration = Duration::from_millis(250);
 
-/// What a target told last.
+/// The slowdown that a target last reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Slowdown {
     latest: Option<(Duration, f64)>,
 }
 
 impl Slowdown {
-    /// The target told how long work takes there, in percent of what is usual.
+    /// Records the processing time that the target reported, in percent of the usual time.
     pub fn note(&mut self, now: Duration, percent: u32) {
         self.latest = Some((now, (f64::from(percent) / USUAL_PERCENT).clamp(1.0, MAX_MULTIPLE)));
     }
 
-    /// How long work takes there, as a multiple of what is usual: the older the word, the nearer to 1.
+    /// Estimated processing time as a multiple of the usual time. It decays towards 1 as the report
+    /// ages.
     pub fn multiple(&self, now: Duration) -> f64 {
         let Some((at, multiple)) = self.latest else {
             return 1.0;
--- a/src/gateway/versions.rs
+++ b/src/gateway/versions.rs
@@ -1,4 +1,5 @@
-//! Which version of a service a request goes to while one takes the place of another, and what this gateway saw of both.
+//! During the roll-out of a new version of a service: which version a request goes to, and the
+//! outcomes that this gateway observes of both.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,24 +15,25 @@
 use crate::rollout::{RolloutTold, Stage};
 use crate::sync::{lock, read};
 
-/// Least targets of a version on trial that get work, so that one that ends shows nothing of the others.
+/// Minimum number of trial targets, so that the failure of a single one does not decide about the
+/// version.
 const MIN_TRIAL_TARGETS: usize = 2;
 
-/// Targets of a service that a request may go to.
+/// A group of targets of a service, by version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum VersionGroup {
-    /// Those of either version.
+    /// Targets of any version.
     Any,
-    /// Those of any version but the new one.
+    /// Targets of any version except the new one.
     Old,
-    /// A few of the new version, each of which gets as much as one of the old.
+    /// Some targets of the new version, each of which gets as many requests as one of the old.
     Trial,
-    /// Those of the new version.
+    /// Targets of the new version.
     New,
 }
 
-/// The groups that a request goes to, the first that has a target for it. `lot` is drawn from 0 to 1 for the request;
-/// one that was sent before, `again`, goes to what has served so far.
+/// The groups that a request may go to; the first with a usable target is taken. `draw` is a random
+/// number from 0 to 1 for the request. A retry never goes to a version on trial.
 pub fn groups(stage: Option<Stage>, draw: f64, is_retry: bool) -> &'static [VersionGroup] {
     match stage {
         None => &[VersionGroup::Any],
@@ -44,25 +46,25 @@
     }
 }
 
-/// How many targets of a new version get its part of the requests, so that each has as many as one of so many of the
-/// old: some faults show under load only.
+/// Number of trial targets for a share of the requests, such that each gets as many requests as a
+/// target of the old version: some faults only show under load.
 pub fn trial_size(share: f64, old: usize, new: usize) -> usize {
     let as_loaded = (old as f64 * share / (1.0 - share).max(f64::EPSILON)).ceil() as usize;
     as_loaded.max(MIN_TRIAL_TARGETS).min(new)
 }
 
-/// Targets of a service, told apart by a roll-out.
+/// The targets of a service, with the roll-out that divides them by version.
 pub(super) struct Versions<'a> {
     of_service: &'a [Arc<Target>],
     rollout: Option<&'a RolloutTold>,
-    /// Stage on the route of the request.
+    /// Stage of the roll-out on the request's route.
     stage: Option<Stage>,
-    /// Place in the order of all gateways up to which new targets are on trial.
+    /// New targets with a trial rank below this one are on trial.
     trial_ranks_below: u64,
 }
 
 impl<'a> Versions<'a> {
-    /// Of the service and route that a request is for.
+    /// The targets of the request's service, and the stage on its route.
     pub(super) fn new(now: Duration, known: &'a Targets, plan: &Plan) -> Self {
         let (of_service, rollout) = (known.of(&plan.service), known.rollout(&plan.service));
         let stage = rollout.map(|rollout| known.stage_on_route(now, rollout, &plan.route.name));
@@ -77,12 +79,12 @@
         let alive = self.of_service.iter().filter(|target| target.in_service());
         let (new, old): (Vec<_>, Vec<_>) = alive.partition(|target| self.is_new(target));
         let count = trial_size(rollout.stage.share(), old.len(), new.len());
-        let mut places: Vec<u64> = new.iter().map(|target| trial_rank(rollout, target)).collect();
-        places.sort_unstable();
-        count.checked_sub(1).and_then(|last| places.get(last)).map_or(0, |last| last + 1)
+        let mut ranks: Vec<u64> = new.iter().map(|target| trial_rank(rollout, target)).collect();
+        ranks.sort_unstable();
+        count.checked_sub(1).and_then(|last| ranks.get(last)).map_or(0, |last| last + 1)
     }
 
-    /// Groups that a request goes to.
+    /// The groups that a request may go to, in order of preference.
     pub(super) fn groups(&self, draw: f64, is_retry: bool) -> &'static [VersionGroup] {
         groups(self.stage, draw, is_retry)
     }
@@ -94,8 +96,8 @@
             VersionGroup::Old => !self.is_new(target),
             VersionGroup::New => self.is_new(target),
             VersionGroup::Trial => {
-                let early = |rollout| trial_rank(rollout, target) < self.trial_ranks_below;
-                self.is_new(target) && self.rollout.is_some_and(early)
+                let on_trial = |rollout| trial_rank(rollout, target) < self.trial_ranks_below;
+                self.is_new(target) && self.rollout.is_some_and(on_trial)
             }
         }
     }
@@ -105,14 +107,15 @@
     }
 }
 
-/// Place of a target in an order that is the same at all gateways, and another for each roll-out.
+/// Rank of a target among the candidates for the trial: the same at all gateways, different for
+/// each roll-out.
 fn trial_rank(rollout: &RolloutTold, target: &Target) -> u64 {
     xxh3_64_with_seed(&target.key.to_le_bytes(), rollout.at) >> 1
 }
 
 impl Gateway {
-    /// What outcomes of a request at a target are counted under; `None` where no roll-out is under way, or the target
-    /// is slow for now because it has just started.
+    /// What outcomes of a request at a target are counted under. `None` if no roll-out is under
+    /// way, or if the target is cold and therefore slow.
     pub(super) fn subject(&self, known: &Targets, plan: &Plan, target: &Target) -> Option<Subject> {
         let rollout = known.rollout(&plan.service).filter(|rollout| rollout.stage.under_way())?;
         let cold = self.cold_limit(&plan.service);
@@ -124,7 +127,7 @@
         Some(Subject { rollout: rollout.at, route: RouteKey::of(&plan.route.name), side })
     }
 
-    /// Whether a roll-out of its service allows a target to be sent anything.
+    /// Whether the roll-out of its service allows sending requests to a target.
     pub(super) fn version_may_receive(&self, target: &Target) -> bool {
         let known = read(&self.targets);
         let rollout = known.rollout(&target.announcement.service);
@@ -133,14 +136,14 @@
         })
     }
 
-    /// The request failed by its target's doing.
+    /// Counts a request that failed because of its target.
     pub(super) fn note_version_failure(&self, plan: &Plan) {
         if let Some((subject, _)) = plan.counted_under {
             lock(&self.tallies).note_failed(subject);
         }
     }
 
-    /// The request's answer began, or is there.
+    /// Counts a request whose answer has begun or is complete, with the time it took.
     pub(super) fn note_version_answer(&self, plan: &Plan) {
         if let Some((subject, began)) = plan.counted_under {
             let took = Instant::now().saturating_duration_since(began);
@@ -148,7 +151,7 @@
         }
     }
 
-    /// What was seen since the last word.
+    /// Takes the outcomes that are not yet reported to a member.
     pub(super) fn take_tallies(&self) -> Tallies {
         std::mem::take(&mut *lock(&self.tallies))
     }
