--- a/src/gateway/evidence.rs
+++ b/src/gateway/evidence.rs
@@ -1,4 +1,4 @@
-//! What all gateways together saw of targets: which of them to leave, and to come back to.
+//! Ejects and restores targets on the evidence of all gateways, as the members report it.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -13,37 +13,41 @@
 use crate::group::loads::LoadKey;
 use crate::sync::read;
 
-/// Gateways that must have met failures at a target: one alone may be cut off itself.
+/// Minimum number of gateways that must report failures: a single one may itself have lost its
+/// network connection.
 const MIN_REPORTERS: u16 = 2;
-/// Outcomes that a target without failures is thought to have had.
+/// Number of outcomes assumed for a target that the members do not list because it has no failures.
 const OUTCOMES_WITHOUT_FAILURES: f64 = 8.0;
-/// Failure rate below which others are answered at a target.
+/// Failure rate below which a target counts as recovered.
 const RECOVERED_FAILURE_RATE: f64 = 0.35;
-/// Answers that show so.
+/// Minimum number of answers for a target to count as recovered.
 const MIN_ANSWERS: f32 = 1.5;
-/// Failure rate from which a target that keeps prompts is left: at another one they are read again, so that one
-/// which fails less is better kept. Where eleven of 18 engines lose 0.4 of their answers for 4 s, and every clear
-/// difference is a reason to leave, they are left and used again by turns: 1.11 million tokens are read again in a day
-/// rather than 0.75, while as many requests are served (docs/design/shifted-work.md).
+/// Minimum failure rate to eject a target that caches prompts. Elsewhere its prompts would have to
+/// be processed again, so that a target with fewer failures is better kept.
+///
+/// Simulated with eleven of 18 engines that lose 40% of their answers for 4 s: if every significant
+/// difference led to an ejection, targets would be ejected and restored in turns, and 1.11 million
+/// tokens a day would be processed again instead of 0.75 million, with the same number of requests
+/// served (docs/design/shifted-work.md).
 const MIN_FAILURE_RATE_WITH_PROMPTS: f64 = 0.5;
-/// Time for each gateway alive over which they come back to a target that they left together: so ten a second
-/// try it, and those that fail are told of before many more do.
+/// Time for each gateway over which the gateways return to an ejected target: ten gateways a second
+/// try it, and their failures are reported before many more do.
 const RETURN_SPREAD_PER_GATEWAY: Duration = Duration::from_millis(100);
-/// Longest such time.
+/// Maximum of that time in total.
 const MAX_RETURN_SPREAD: Duration = Duration::from_secs(4);
 
-/// What evidence of a target calls for.
+/// What to do with a target on the evidence.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
-    /// To leave it: it does worse than the others.
+    /// Eject it: it fails more often than the others.
     Eject,
-    /// To come back, if it was left: others are answered there.
+    /// Restore it, if it is ejected: requests of other gateways are answered.
     Restore,
-    /// Nothing.
+    /// Leave its state as it is.
     Keep,
 }
 
-/// How attempts at a target went, as all gateways tell.
+/// How attempts at a target went at all gateways.
 pub fn tally(now: Duration, evidence: Option<&Evidence>) -> Tally {
     let Some(evidence) = evidence else {
         return Tally::of(now, 0.0, OUTCOMES_WITHOUT_FAILURES);
@@ -52,7 +56,8 @@
     Tally::of(now, failed, failed + f64::from(evidence.answered))
 }
 
-/// Judges a target beside the others of its service, which keep prompts or do not.
+/// Compares a target with the others of its service. `keeps_prompts` tells whether these cache
+/// prompts.
 pub fn judge(now: Duration, evidence: &Evidence, others: &[Tally], keeps_prompts: bool) -> Verdict {
     let tally = tally(now, Some(evidence));
     let may_eject = !keeps_prompts || tally.failure_rate() >= MIN_FAILURE_RATE_WITH_PROMPTS;
@@ -65,18 +70,18 @@
     }
 }
 
-/// Time over which so many gateways come back to a target that they left together.
+/// Time over which the gateways return to a target that all of them ejected.
 pub fn return_spread(gateways: u32) -> Duration {
     (RETURN_SPREAD_PER_GATEWAY * gateways).min(MAX_RETURN_SPREAD)
 }
 
 impl Gateway {
-    /// How attempts went since the last word.
+    /// Takes the outcomes of attempts that are not yet reported to a member.
     pub(super) fn take_outcomes(&self) -> Vec<Outcomes> {
         read(&self.targets).all().filter_map(|target| target.take_outcomes()).collect()
     }
 
-    /// Takes what all gateways saw of the targets at which attempts failed.
+    /// Applies the evidence of all gateways about the targets at which attempts failed.
     pub(super) fn apply_evidence(&self, reports: &[Evidence]) {
         if reports.is_empty() || !self.uses(Mechanism::Evidence) {
             return;
@@ -105,7 +110,7 @@
         }
     }
 
-    /// Whether targets of its service keep what they have read of prompts.
+    /// Whether the targets of its service cache processed prompts.
     fn keeps_prompts(&self, target: &Target) -> bool {
         let table = self.table();
         let service = table.as_ref().and_then(|table| table.service(&target.announcement.service));
@@ -116,7 +121,7 @@
         let return_spread = return_spread(self.gateways());
         if target.health().eject_on_evidence(now, evidence, return_spread, rand::random()) {
             self.metrics.left_together(&target.announcement.service);
-            info!(self.log, "target left by all"; "event" => "target_left_by_all",
+            info!(self.log, "target ejected on the evidence of all gateways"; "event" => "target_left_by_all",
                 "target" => &target.announcement.id, "service" => &target.announcement.service,
                 "evidence" => ?evidence);
         }
--- a/src/gateway/health.rs
+++ b/src/gateway/health.rs
@@ -1,42 +1,45 @@
-//! What a gateway has itself seen of a target, and whether to leave it alone for a while.
+//! Outlier detection: a target that fails more often than the other targets of its service is
+//! ejected, that is, used only if there is no other, for a while.
 
 use std::time::Duration;
 
 use crate::group::evidence::Evidence;
 
-/// First time that a failing target is left alone.
+/// Length of the first ejection. Each further ejection in a row doubles it.
 const MIN_EJECTION: Duration = Duration::from_millis(500);
-/// Longest time that a failing target is left alone.
+/// Maximum length of an ejection.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
-/// Part of what a tally holds that is kept at the next outcome, so that it holds some eight.
+/// Weight that a tally keeps at each new outcome. The weights add up to about eight outcomes.
 const DECAY_PER_OUTCOME: f64 = 0.88;
-/// How long a tally counts after its last outcome.
+/// How long a tally is used after its last outcome.
 const TALLY_TTL: Duration = Duration::from_secs(3);
-/// Failure rate that is taken as usual at least, since some failures have no cause in the target.
+/// Minimum failure rate assumed for the other targets, since some failures are not caused by the
+/// target.
 const MIN_EXPECTED_RATE: f64 = 0.05;
-/// Failures beyond the usual from which a target does worse, besides the deviations.
+/// Failures above the expected number at which a target counts as worse, in addition to the
+/// standard deviations.
 const FAILURE_MARGIN: f64 = 1.0;
-/// Standard deviations beyond the usual from which a target does worse: with fewer, targets that
-/// all fail alike are often taken for worse than each other.
+/// Standard deviations above the expected number of failures at which a target counts as worse.
+/// With fewer, targets that all fail at the same rate are often judged worse than each other.
 const STD_DEVIATIONS: f64 = 2.5;
 
-/// Failure rate below which an answer ends a pause.
+/// Failure rate below which an answer ends an ejection.
 const RECOVERED_FAILURE_RATE: f64 = 0.35;
 
-/// How an attempt at a target went, as far as the target is to blame.
+/// Outcome of an attempt as far as the target is responsible for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// It answered.
+    /// The target answered.
     Answered,
-    /// It answered with a failure of its own, broke off, or said nothing.
+    /// The target answered with a server error, broke off the answer, or did not answer in time.
     Failed,
-    /// It did not run the request, and said so.
+    /// The target said that it did not run the request.
     TurnedAway,
-    /// It could not be connected to.
+    /// The target could not be connected to.
     Unreachable,
 }
 
-/// How the latest attempts at a target went, the newest counting most.
+/// Exponentially decaying counts of failed attempts and of all attempts at a target.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Tally {
     failures: f64,
@@ -45,7 +48,7 @@
 }
 
 impl Tally {
-    /// So many failures among so many outcomes, told just now.
+    /// A tally of `failures` among `outcomes` attempts, up to date at `now`.
     pub fn of(now: Duration, failures: f64, outcomes: f64) -> Self {
         Tally { failures, outcomes, newest: now }
     }
@@ -59,20 +62,21 @@
         self.newest = now;
     }
 
-    /// What still counts: nothing, when there was no outcome for long.
+    /// The tally, or an empty one if the last outcome is older than [`TALLY_TTL`].
     pub fn as_of(self, now: Duration) -> Tally {
         if now < self.newest + TALLY_TTL { self } else { Tally::default() }
     }
 
-    /// Part of the attempts that failed.
+    /// Fraction of the attempts that failed.
     pub fn failure_rate(&self) -> f64 {
         if self.outcomes > 0.0 { self.failures / self.outcomes } else { 0.0 }
     }
 
-    /// Whether failures are clearly more than those of the others, to which work would go instead.
+    /// Whether the failures are significantly more than those of the other targets, which would
+    /// take over the work.
     ///
-    /// Where all fail alike nothing is won by leaving one alone, and what it keeps of prompts would
-    /// have to be read again elsewhere.
+    /// Where all targets fail alike, ejecting one gains nothing, and the prompts it has cached
+    /// would have to be processed again elsewhere.
     pub fn worse_than(&self, others: &[Tally]) -> bool {
         if others.is_empty() {
             return false;
@@ -84,7 +88,8 @@
     }
 }
 
-/// Failure rate of the better half of those that have any outcomes: work would go to them.
+/// Failure rate of the better half of the targets that have any outcomes, since these would take
+/// over the work.
 fn better_half_rate(others: &[Tally]) -> f64 {
     let mut with_outcomes: Vec<&Tally> =
         others.iter().filter(|tally| tally.outcomes > 0.0).collect();
@@ -95,24 +100,25 @@
     if outcomes > 0.0 { failures / outcomes } else { 0.0 }
 }
 
-/// Health of one target.
+/// Failure history and ejection state of one target.
 #[derive(Clone, Debug, Default)]
 pub struct Health {
     tally: Tally,
-    /// Pauses in a row.
+    /// Ejections in a row.
     ejections: u32,
     ejected_until: Option<Duration>,
-    /// Whether the last pause came of requests that it turned away.
+    /// Whether the last ejection was caused by requests that the target rejected without running
+    /// them.
     rejected_work: bool,
     last_answer: Option<Duration>,
-    /// When it was last left because of what all gateways saw, and what that was.
+    /// When the target was last ejected on the evidence of all gateways, and that evidence.
     ejected_on: Option<(Duration, Evidence)>,
 }
 
 impl Health {
-    /// Notes an outcome; tells whether the target is now left alone because of it.
+    /// Counts an outcome and returns whether the target is ejected because of it.
     ///
-    /// `others` are the targets that could take its work.
+    /// `others` are the targets that could take over its work.
     pub fn note(&mut self, now: Duration, outcome: AttemptOutcome, others: &[Tally]) -> bool {
         self.tally.note(now, outcome);
         let ejected_before = self.ejected(now);
@@ -134,14 +140,15 @@
                 false
             }
             AttemptOutcome::Unreachable => self.eject(now),
-            // A target that turns away at once has nothing in flight, and would look idle for all it refuses.
+            // A target that rejects requests at once has nothing in flight and would seem idle, so
+            // that it would attract more and more of them.
             AttemptOutcome::Failed | AttemptOutcome::TurnedAway => {
                 self.tally.worse_than(others) && self.eject(now)
             }
         }
     }
 
-    /// What all gateways saw since the target was left because of that, if it was.
+    /// The evidence of all gateways since the target was ejected on it; all of it if it never was.
     pub fn evidence_since_ejection(&self, now: Duration, evidence: &Evidence) -> Evidence {
         match &self.ejected_on {
             Some((at, then)) => evidence.since(then, now.saturating_sub(*at)),
@@ -149,10 +156,12 @@
         }
     }
 
-    /// Leaves the target because of what all gateways saw; tells whether it was not left before.
+    /// Ejects the target on the evidence of all gateways. Returns false if it is still ejected on
+    /// earlier evidence.
     ///
-    /// The gateways come back at times that `chance`, from 0 to 1, spreads over `spread`: what the first of
-    /// them meet the others are told.
+    /// `chance`, from 0 to 1, places the end of this gateway's ejection within `spread`, so that
+    /// the gateways return one after the other and the later ones learn the first ones' outcomes
+    /// before.
     pub fn eject_on_evidence(
         &mut self,
         now: Duration,
@@ -162,20 +171,21 @@
     ) -> bool {
         let on_evidence_before = self.ejected_on.replace((now, *evidence)).is_some();
         if on_evidence_before && self.ejected(now) {
-            // What was under way when it was left fails now; the pause is as long as it was.
+            // These failures are of requests that were in flight at the ejection: it is not
+            // prolonged.
             return false;
         }
         let doubled = MIN_EJECTION * 2u32.saturating_pow(self.ejections.min(8));
         let until = now + doubled.min(MAX_EJECTION) + spread.mul_f64(chance);
         self.ejected_until = self.ejected_until.max(Some(until));
         self.ejections += 1;
-        // What others met there may be worse than being turned away.
+        // Failures at other gateways may be worse than rejected requests.
         self.rejected_work = false;
         true
     }
 
-    /// Comes back to a target that was left because of what all gateways saw, since others are answered
-    /// there; tells whether it was left.
+    /// Ends an ejection on the evidence of all gateways, since other gateways' requests are
+    /// answered. Returns whether the target was ejected.
     pub fn restore_on_evidence(&mut self, now: Duration) -> bool {
         let ejected = self.ejected_on.take().is_some() && self.ejected(now);
         if ejected {
@@ -195,17 +205,18 @@
         true
     }
 
-    /// Whether the target is left alone now.
+    /// Whether the target is ejected now.
     pub fn ejected(&self, now: Duration) -> bool {
         self.ejected_until.is_some_and(|until| now < until)
     }
 
-    /// Whether the target is left alone because it turns requests away: it lives, and keeps what it has read.
+    /// Whether the target was ejected for rejecting requests: it is running, and its prompt cache
+    /// is intact.
     pub fn rejects_work(&self, now: Duration) -> bool {
         self.rejected_work && (self.ejected(now) || self.on_probation(now))
     }
 
-    /// Whether the target comes back from a pause and has not answered since.
+    /// Whether an ejection has ended and the failure rate has not recovered since.
     pub fn on_probation(&self, now: Duration) -> bool {
         self.ejected_until.is_some_and(|until| now >= until)
     }
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -1,6 +1,7 @@
-//! Requests under which targets ended: what this gateway saw of them, and whether one may be sent.
+//! Poison requests, under which targets crash: what this gateway has observed of them, and whether
+//! a request may be sent.
 //!
-//! Every way to a target asks here before each sending: first attempts, retries and resumed streams alike.
+//! Every request is checked here before each attempt, including retries and resumed streams.
 
 use slog::info;
 
@@ -10,8 +11,8 @@
 use crate::sync::lock;
 
 impl Gateway {
-    /// Whether a request is to be sent to no target, because targets ended under it. One that is let through as a
-    /// trial counts as tried from now on.
+    /// Whether a request must not be sent because targets ended while processing it. A request that
+    /// is let through as a trial is recorded as tried.
     pub(super) fn is_blocked_as_poison(&self, plan: &Plan) -> bool {
         if !self.may_be_known_poison(plan) {
             return false;
@@ -22,7 +23,7 @@
             Verdict::Blocked => true,
             Verdict::Trial => {
                 board.note_trial(now, fingerprint);
-                info!(self.log, "tried again"; "event" => "poison_trial",
+                info!(self.log, "poison request let through as a trial"; "event" => "poison_trial",
                     "fingerprint" => %fingerprint, "ends" => board.ends(fingerprint));
                 false
             }
@@ -30,13 +31,14 @@
         }
     }
 
-    /// Whether anything like the request is remembered: most are told apart by a look that does not read the body.
+    /// Whether a similar request is tracked. A cheap check that does not read the body excludes
+    /// most requests.
     fn may_be_known_poison(&self, plan: &Plan) -> bool {
         let board = lock(&self.poison);
         !board.is_empty() && board.may_know(plan.identity().outline())
     }
 
-    /// A target ended under a request.
+    /// Records that a target ended while processing a request.
     pub(super) fn note_target_ended(&self, suspect: Suspect, target: u64) {
         let by = Reporter::of(&self.settings.host);
         lock(&self.poison).note_end(self.now(), suspect, target, by);
@@ -44,7 +46,8 @@
         self.log_poison();
     }
 
-    /// A request was answered whole and well: targets do not end under it.
+    /// Records that a request was answered completely and successfully, so that it is not the cause
+    /// of targets' ends.
     pub(super) fn note_not_poison(&self, plan: &Plan) {
         if !self.may_be_known_poison(plan) {
             return;
@@ -57,7 +60,7 @@
         }
     }
 
-    /// Takes what other gateways saw.
+    /// Applies what other gateways reported.
     pub(super) fn receive_poison_reports(&self, reports: &[Report]) {
         if reports.is_empty() {
             return;
@@ -69,18 +72,19 @@
         self.log_poison();
     }
 
-    /// What was seen here since a change, and up to which change that is.
+    /// This gateway's reports since change `known`, and the number of the latest change.
     pub(super) fn poison_reports_since(&self, known: u64) -> (Vec<Report>, u64) {
         lock(&self.poison).news_from_here(self.now(), known)
     }
 
-    /// Requests under which targets ended, and those of them that are blocked.
+    /// Number of tracked requests, and how many of them are blocked.
     pub(super) fn count_poison(&self) -> (usize, usize) {
         let board = lock(&self.poison);
         (board.len(), board.blocked_len())
     }
 
-    /// Logs which requests are blocked from now on, or no more, and counts what was forgotten.
+    /// Logs which requests became blocked or unblocked, and counts the ones dropped from the
+    /// tracker.
     fn log_poison(&self) {
         let mut board = lock(&self.poison);
         self.metrics.poison_dropped.inc_by(board.take_dropped());
