--- a/src/gateway/attempt.rs
+++ b/src/gateway/attempt.rs
@@ -1,4 +1,4 @@
-//! One sending of a request to one target.
+//! One attempt: sends a request to one target and waits for the head of the answer.
 
 use std::net::SocketAddr;
 use std::pin::pin;
@@ -18,7 +18,7 @@
 use crate::dialect::Headers;
 use crate::run_clock::RunClock;
 
-/// The head of an answer, with all that must live until its body has been read.
+/// The head of an answer, with everything that must stay alive until the body has been read.
 pub(super) struct Answer {
     pub(super) target: Arc<Target>,
     pub(super) status: StatusCode,
@@ -31,39 +31,44 @@
 /// Why an attempt gave no answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum AttemptError {
-    /// Nothing was sent.
+    /// The request was not sent.
     NotSent(ConnectError),
-    /// Another target has the address now, and did not run the request.
+    /// Another target is at this address now. It did not run the request.
     Gone,
     /// The target said that it did not run the request.
     NotRun,
-    /// The request was sent, and the connection broke.
+    /// The connection broke after the request was sent.
     Lost,
-    /// The request was sent, and there was no answer before the deadline.
+    /// The request was sent, and no answer arrived in time.
     Late,
-    /// The answer belonged to another request, or bore no signature.
+    /// The answer belongs to another request, or lacks the target's signature.
     Wrong,
 }
 
-/// Decides on an attempt while it is under way, and is told of it.
+/// Callbacks by which the request's handler decides on an attempt under way and observes it.
 pub(super) trait Supervisor {
-    /// Whether the target may still be sent the request, now that a connection is there.
+    /// Whether the request may still be sent to the target, now that the connection is open.
     fn may_send(&self) -> bool;
 
-    /// Whether another target could be asked instead of one that says nothing.
+    /// Whether the request could be sent to another target instead of a stalled one.
     fn may_try_another(&self) -> bool;
 
-    /// Time in which this process ran.
+    /// Clock that counts only the time in which this process ran.
     fn run_clock(&self) -> &RunClock;
 
-    /// The target is waited for on, since no other could be asked.
+    /// Called when the target has stalled and the attempt keeps waiting, since there is no other
+    /// target to try.
     fn on_stall(&self);
 
-    /// The head of an answer that is the target's own, whatever becomes of the request.
+    /// Called with the head of an answer that comes from the target itself, even if the attempt
+    /// fails.
     fn on_answer_head(&self, status: StatusCode, headers: &HeaderMap);
 }
 
 /// Sends the request and waits for the head of the answer.
+///
+/// After `answer_timeout` the attempt ends if the supervisor can try another target; otherwise it
+/// waits until the request's deadline.
 pub(super) async fn send(
     target: &Arc<Target>,
     fetch_from: Option<SocketAddr>,
@@ -86,7 +91,7 @@
             return Err(AttemptError::NotSent(ConnectError::NotWanted));
         }
         if Instant::now() >= deadline {
-            // Its time went by while this process stood still.
+            // The deadline passed while this process was suspended.
             return Err(AttemptError::NotSent(ConnectError::TooLate));
         }
         let request = outgoing.to_target(target, fetch_from, names);
@@ -111,7 +116,8 @@
                 return Ok(Answer { target, status, headers, body, connection, in_flight });
             }
             Some(Err(mut error)) => {
-                // The connection closed before any byte was written: a new one is needed.
+                // The request is returned only if the connection closed before any byte was
+                // written: it is then sent on a new one.
                 if error.take_message().is_none() {
                     return Err(AttemptError::Lost);
                 }
@@ -122,7 +128,7 @@
     }
 }
 
-/// Tells whether the answer is one to this request.
+/// Checks that the answer belongs to this request and comes from the target.
 fn verify(head: &Parts, outgoing: &Outgoing, names: &Headers) -> Result<(), AttemptError> {
     let echoed = head.headers.get(&names.request_id);
     if echoed.is_some_and(|id| *id != outgoing.id) {
--- a/src/gateway/budget.rs
+++ b/src/gateway/budget.rs
@@ -1,23 +1,25 @@
-//! How many further arrivals at a service its requests allow, over all gateways together.
+//! Retry budgets: the retries allowed for a service in a sliding window, as a fraction of its
+//! requests, across all gateways.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Part of the allowance that is used, so that windows that slide differently still hold it.
+/// Fraction of the allowance that is used. The rest allows for windows that begin at different
+/// times.
 pub const USED_FRACTION: f64 = 0.8;
-/// Slices that a window is counted in.
+/// Slices into which a window is divided for counting.
 const SLICES: u32 = 20;
 
-/// The rule that a budget keeps.
+/// Limits of a retry budget.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetRule {
-    /// Further arrivals, as a part of the requests.
+    /// Allowed retries as a fraction of the requests.
     pub ratio: f64,
     /// Length of the window.
     pub window: Duration,
-    /// Further arrivals in a window beyond the ratio, for all gateways together.
+    /// Retries allowed in a window in addition to the ratio, for all gateways together.
     pub slack: f64,
-    /// Part of the allowance that is used.
+    /// Fraction of the allowance that is used.
     pub used_fraction: f64,
 }
 
@@ -28,7 +30,7 @@
     retries: u32,
 }
 
-/// Counts of one service at one gateway.
+/// Requests and retries of one service at one gateway.
 #[derive(Clone, Debug)]
 pub struct ServiceBudget {
     rule: BudgetRule,
@@ -36,7 +38,7 @@
 }
 
 impl ServiceBudget {
-    /// A budget that has counted nothing yet.
+    /// Creates a budget without any requests counted.
     pub fn new(rule: BudgetRule) -> Self {
         ServiceBudget { rule, slices: VecDeque::new() }
     }
@@ -46,7 +48,7 @@
         self.slice(now).requests += 1;
     }
 
-    /// Takes one further arrival, if there is one, while so many gateways are alive.
+    /// Takes one retry if there is one left, where the slack is shared by `gateways`.
     pub fn try_spend(&mut self, now: Duration, gateways: u32) -> bool {
         let remaining = self.remaining(now, gateways);
         if remaining < 1.0 {
@@ -56,18 +58,18 @@
         true
     }
 
-    /// Further arrivals that are left now.
+    /// Retries that are left now.
     pub fn remaining(&mut self, now: Duration, gateways: u32) -> f64 {
         self.slice(now);
         let requests: u32 = self.slices.iter().map(|slice| slice.requests).sum();
         let retries: u32 = self.slices.iter().map(|slice| slice.retries).sum();
-        // Without news of the others none of the slack is safe to take.
+        // While the number of gateways is unknown, no part of the slack is safe to use.
         let slack = if gateways == 0 { 0.0 } else { self.rule.slack / f64::from(gateways) };
         self.rule.used_fraction * (self.rule.ratio * f64::from(requests) + slack)
             - f64::from(retries)
     }
 
-    /// The slice of `now`; those that have left the window are dropped.
+    /// The slice of `now`. Drops the slices that are outside the window.
     fn slice(&mut self, now: Duration) -> &mut Slice {
         let length = self.rule.window / SLICES;
         let number = (now.as_nanos() / length.as_nanos().max(1)) as u64;
--- a/src/gateway/retries.rs
+++ b/src/gateway/retries.rs
@@ -1,4 +1,4 @@
-//! Whether a request may go to one more target.
+//! Decides whether a request may be sent to one more target.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 use crate::sync::lock;
 
 impl Gateway {
-    /// Counts a request for a service.
+    /// Counts a request for a service, which adds to the service's retry budget.
     pub(super) fn count_request(&self, service: &str) {
         let now = self.now();
         self.metrics.requested(service);
@@ -35,7 +35,7 @@
         with(budgets.get_mut(service).expect("just put in"))
     }
 
-    /// Whether the request could be sent to one more target after the attempt under way.
+    /// Whether the request could be sent to one more target if the attempt under way is given up.
     pub(super) fn could_retry_after_current(&self, plan: &Plan) -> bool {
         let (now, gateways) = (self.now(), self.sharing_gateways());
         self.uses(Mechanism::Silence)
@@ -44,7 +44,7 @@
             && self.choose(plan).is_some_and(|choice| choice.last_resort < choice.candidates)
     }
 
-    /// Whether the request could be sent to one more target.
+    /// Whether the request could be sent to one more target now.
     pub(super) fn could_retry(&self, plan: &Plan) -> bool {
         let (now, gateways) = (self.now(), self.sharing_gateways());
         plan.sends < plan.route.max_attempts
@@ -53,7 +53,8 @@
             && self.choose(plan).is_some()
     }
 
-    /// Takes one further arrival out of the budget, if the request may have it.
+    /// Takes one retry out of the budget, if the route's maximum number of attempts and the budget
+    /// allow it.
     pub(super) fn try_spend_retry(&self, plan: &Plan) -> bool {
         if plan.sends >= plan.route.max_attempts {
             return false;
@@ -64,7 +65,7 @@
         allowed
     }
 
-    /// Further arrivals at a service that the budget has left.
+    /// Retries that the budget of a service has left.
     pub(super) fn budget_left(&self, service: &str) -> i64 {
         let (now, gateways) = (self.now(), self.sharing_gateways());
         self.with_budget(service, |budget| budget.remaining(now, gateways)).floor() as i64
--- a/src/gateway/reuse.rs
+++ b/src/gateway/reuse.rs
@@ -1,23 +1,25 @@
-//! Which kept connections a request may use.
+//! Decides which pooled connections a request may use.
 
 use std::time::Duration;
 
-/// Idle time beyond which a request that may run only once gets a new connection: one that a target
-/// without power has forgotten would leave its outcome unknown. Targets keep connections for
-/// seconds, so that a much shorter time would have connections made anew without need.
+/// Maximum idle time of a connection for a request that must not run twice. During a longer idle
+/// time the target may have lost power and with it the connection: a request sent on it would have
+/// an unknown outcome. Targets keep connections open for seconds, so a much smaller value would
+/// only cause unnecessary new connections.
 const MAX_IDLE_IF_NOT_REPEATABLE: Duration = Duration::from_millis(1_600);
 
-/// Whether an attempt may leave the outcome unknown without harm.
+/// Which pooled connections an attempt may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reuse {
-    /// Any kept connection will do.
+    /// Any, since the request is safe to repeat.
     Any,
-    /// Only one used lately.
+    /// Only recently used ones, since the request must not run twice or an older connection turned
+    /// out to be closed.
     RecentlyUsed,
 }
 
 impl Reuse {
-    /// Whether a connection that was idle for so long may be used.
+    /// Whether a connection that has been idle for `idle_for` may be used.
     pub fn allows(self, idle_for: Duration) -> bool {
         self == Reuse::Any || idle_for <= MAX_IDLE_IF_NOT_REPEATABLE
     }
--- a/src/gateway/stall.rs
+++ b/src/gateway/stall.rs
@@ -1,4 +1,4 @@
-//! How long a gateway waits for a target that says nothing.
+//! Stall timeouts: how long a gateway waits for data from a target before it tries another.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -11,46 +11,46 @@
 use super::target::Target;
 use crate::configuration::Route;
 
-/// Multiple of its goal after which an answer is thought not to come.
+/// Multiple of the route's answer goal after which an answer counts as stalled.
 const ANSWER_GOAL_MULTIPLE: u32 = 3;
-/// Multiple of the goal for pauses after which a stream is thought to have stopped.
+/// Multiple of the route's goal for gaps between events after which a stream counts as stalled.
 const GAP_GOAL_MULTIPLE: u32 = 3;
-/// Shortest patience, whatever the goals.
+/// Minimum stall timeout, whatever the goals.
 const MIN_TIMEOUT: Duration = Duration::from_millis(400);
-/// Patience for pauses where the route states no goal for them.
+/// Timeout for the next event where the route has no goal for gaps.
 const DEFAULT_EVENT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How long to wait for an answer, or for the first event of one, before asking another target.
+/// How long to wait for an answer, or for its first event, before trying another target.
 pub fn answer_timeout(route: &Route) -> Duration {
     (route.goal * ANSWER_GOAL_MULTIPLE).max(MIN_TIMEOUT)
 }
 
-/// How long to wait for the next event of a stream before asking another target to go on.
+/// How long to wait for the next event of a stream before resuming it at another target.
 pub fn next_event_timeout(route: &Route) -> Duration {
     route.gap_goal.map_or(DEFAULT_EVENT_TIMEOUT, |gap| (gap * GAP_GOAL_MULTIPLE).max(MIN_TIMEOUT))
 }
 
-/// Blames a target for its silence when the wait for it ends by itself, for example because the
-/// client leaves.
+/// Counts a stalled target as failed even if the wait for it is cancelled, for example because the
+/// client disconnects.
 pub(super) struct StallGuard {
     gateway: Arc<Gateway>,
     target: Arc<Target>,
     timeout: Duration,
-    /// Run time of this process when the wait began.
+    /// Run time of this process when the wait began; `None` once it has ended.
     since: Option<Duration>,
     blamed: AtomicBool,
 }
 
 impl StallGuard {
-    /// Begins to wait for the target.
+    /// Starts to wait for the target.
     pub(super) fn start(gateway: &Arc<Gateway>, target: &Arc<Target>, timeout: Duration) -> Self {
         let (gateway, target) = (gateway.clone(), target.clone());
         let (since, blamed) = (Some(gateway.run_clock.ran()), AtomicBool::new(false));
         StallGuard { gateway, target, timeout, since, blamed }
     }
 
-    /// Blames the target now if it has been silent for so long, though it is waited for on: who asks it next should
-    /// know.
+    /// Counts the target as failed now if it has stalled, although the wait for it goes on, so that
+    /// other requests avoid it.
     pub(super) fn blame_if_stalled(&self) {
         let ran = self.gateway.run_clock.ran();
         let stalled_for = self.since.map(|since| ran.saturating_sub(since));
@@ -61,19 +61,19 @@
 
     fn blame(&self) {
         if !self.blamed.swap(true, Ordering::Relaxed) {
-            info!(self.gateway.log, "target silent"; "event" => "target_silent",
+            info!(self.gateway.log, "no data from target within the stall timeout"; "event" => "target_silent",
                 "target" => &self.target.announcement.id,
                 "silent_ms" => self.timeout.as_millis() as u64);
             self.gateway.note_outcome(&self.target, AttemptOutcome::Failed);
         }
     }
 
-    /// Whether the target was blamed.
+    /// Whether the target was counted as failed.
     pub(super) fn blamed(&self) -> bool {
         self.blamed.load(Ordering::Relaxed)
     }
 
-    /// The target said something, or is blamed otherwise.
+    /// Ends the wait: the target sent data, or its failure is counted elsewhere.
     pub(super) fn finish(mut self) {
         self.since = None;
     }
