--- a/src/gateway/buffer_ledger.rs
+++ b/src/gateway/buffer_ledger.rs
@@ -1,41 +1,44 @@
-//! What each connection of a client has a gateway hold, and who makes room when there is none.
+//! Accounting of the bytes buffered for each client's connection, and the choice of connections to
+//! cut when the limit is reached.
 //!
-//! The connections that have occupied the most for the longest make room, and only those that have kept the gateway
-//! waiting: whoever sends and reads at an ordinary pace is never cut for others.
+//! Connections are cut in the order of buffered bytes times waiting time, and only if they have
+//! kept the gateway waiting: a client that sends and reads at a normal pace is never cut for
+//! others.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Time for which a client must have kept the gateway waiting before it is cut for others: guards those that read at once
-/// and whose packets are lost and sent again.
+/// How long a client must have kept the gateway waiting before it may be cut for others. Protects
+/// clients that read at once but suffer from packet loss and retransmission.
 const MIN_WAIT_BEFORE_CUT: Duration = Duration::from_secs(1);
 
-/// A connection of a client, as the ledger knows it.
+/// A client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ClientId(u64);
 
-/// What one connection has the gateway hold.
+/// Account of one connection.
 #[derive(Clone, Copy, Debug, Default)]
 struct Account {
-    /// In bytes.
+    /// Buffered bytes.
     held: usize,
-    /// Since when the gateway waits for the client to send or to read, if it does.
+    /// Since when the gateway has been waiting for the client to send or read, if it is.
     waiting_since: Option<Duration>,
 }
 
-/// Whether there is room for more bytes.
+/// Result of a request for space.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reservation {
-    /// They are counted. These connections are to be cut for them; what they hold is not counted any more.
+    /// The bytes are counted. The listed connections must be cut for them; their bytes are no
+    /// longer counted.
     Granted(Vec<ClientId>),
-    /// There is none, and they are not counted.
+    /// There is no space, and the bytes are not counted.
     Refused,
 }
 
-/// Counts what all connections of clients have a gateway hold.
+/// Counts the bytes buffered for all connections.
 #[derive(Debug)]
 pub struct BufferLedger {
-    /// Most bytes in all.
+    /// Maximum bytes in total.
     max_bytes: usize,
     held: usize,
     accounts: HashMap<ClientId, Account>,
@@ -43,17 +46,17 @@
 }
 
 impl BufferLedger {
-    /// Nothing held yet, of so many bytes at most.
+    /// Creates an empty ledger with a limit of `max_bytes`.
     pub fn new(max_bytes: usize) -> Self {
         BufferLedger { max_bytes, held: 0, accounts: HashMap::new(), opened: 0 }
     }
 
-    /// Bytes held in all.
+    /// Bytes buffered in total.
     pub fn held(&self) -> usize {
         self.held
     }
 
-    /// A client connected.
+    /// Opens an account for a new connection.
     pub fn open(&mut self) -> ClientId {
         self.opened += 1;
         let id = ClientId(self.opened);
@@ -61,28 +64,29 @@
         id
     }
 
-    /// Its connection ended, and nothing is held for it any more.
+    /// Closes the account of a connection, and releases its bytes.
     pub fn close(&mut self, id: ClientId) {
         if let Some(account) = self.accounts.remove(&id) {
             self.held -= account.held;
         }
     }
 
-    /// The gateway begins to wait for the client, or goes on to.
+    /// Records that the gateway waits for the client; no effect if it already does.
     pub fn start_waiting(&mut self, now: Duration, id: ClientId) {
         if let Some(account) = self.accounts.get_mut(&id) {
             account.waiting_since.get_or_insert(now);
         }
     }
 
-    /// The gateway does not wait for the client any more.
+    /// Records that the gateway no longer waits for the client.
     pub fn stop_waiting(&mut self, id: ClientId) {
         if let Some(account) = self.accounts.get_mut(&id) {
             account.waiting_since = None;
         }
     }
 
-    /// Has more bytes held for a connection, if there is room or others can make it.
+    /// Counts `bytes` more for a connection, if they fit or if cutting other connections makes them
+    /// fit.
     pub fn reserve(&mut self, now: Duration, id: ClientId, bytes: usize) -> Reservation {
         let missing = self.held.saturating_add(bytes).saturating_sub(self.max_bytes);
         if !self.accounts.contains_key(&id) {
@@ -99,7 +103,7 @@
         Reservation::Granted(cut)
     }
 
-    /// The connections to cut for so many bytes; `None` where all that may be cut hold less.
+    /// The connections to cut to free `missing` bytes; `None` if all that may be cut hold less.
     fn clients_to_cut(
         &self,
         now: Duration,
@@ -128,7 +132,7 @@
         (freed >= missing).then_some(cut)
     }
 
-    /// Bytes of a connection are held no longer.
+    /// Releases bytes of a connection.
     pub fn release(&mut self, id: ClientId, bytes: usize) {
         if let Some(account) = self.accounts.get_mut(&id) {
             let bytes = bytes.min(account.held);
--- a/src/gateway/client_buffers.rs
+++ b/src/gateway/client_buffers.rs
@@ -1,7 +1,7 @@
-//! Bytes that a gateway holds for clients and targets, bounded in all.
+//! Bytes of requests and answers that the gateway buffers for clients, limited in total.
 //!
-//! A client that sends its request slowly, or reads its answer slowly, has the gateway hold bytes for as long as it
-//! takes. [`Ledger`] counts them, and says which connections to cut for others.
+//! A client that sends its request or reads its answer slowly keeps its bytes buffered for that
+//! long. [`BufferLedger`] counts them and picks the connections to cut when others need the space.
 
 use std::collections::HashMap;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -14,14 +14,14 @@
 use crate::clock::Instant;
 use crate::sync::lock;
 
-/// The ledger of a gateway, and how connections that are cut learn of it.
+/// The buffer accounting of a gateway, with the signals that tell connections that they are cut.
 pub(super) struct ClientBuffers {
     ledger: Mutex<BufferLedger>,
     cut_signals: Mutex<HashMap<ClientId, Arc<CutSignal>>>,
     started: Instant,
 }
 
-/// Tells a connection that it is cut.
+/// Tells the task of a connection to close it.
 #[derive(Default)]
 struct CutSignal {
     done: AtomicBool,
@@ -29,18 +29,18 @@
 }
 
 impl ClientBuffers {
-    /// Nothing held yet, of so many bytes at most.
+    /// Creates an empty accounting with a limit of `max_bytes`.
     pub(super) fn new(max_bytes: usize) -> Arc<Self> {
         let (ledger, started) = (Mutex::new(BufferLedger::new(max_bytes)), Instant::now());
         Arc::new(ClientBuffers { ledger, cut_signals: Mutex::default(), started })
     }
 
-    /// Bytes held in all.
+    /// Bytes buffered in total.
     pub(super) fn held(&self) -> usize {
         self.ledger().held()
     }
 
-    /// A client connected.
+    /// Registers a client's connection.
     pub(super) fn open(self: &Arc<Self>) -> Arc<ClientBuffer> {
         let id = self.ledger().open();
         let cut = Arc::new(CutSignal::default());
@@ -54,14 +54,14 @@
     }
 }
 
-/// One connection of a client.
+/// Bytes buffered for one client's connection.
 pub(super) struct ClientBuffer {
     buffers: Arc<ClientBuffers>,
     id: ClientId,
     cut: Arc<CutSignal>,
-    /// Bytes of answers that the client has not taken yet.
+    /// Bytes of answers that the client has not read yet.
     unread: AtomicUsize,
-    /// Wakes when it has taken some.
+    /// Notified when the client has read some of them.
     read: Notify,
 }
 
@@ -73,7 +73,8 @@
 }
 
 impl ClientBuffer {
-    /// Holds so many bytes more; false where there is no room.
+    /// Counts `bytes` more as buffered, and cuts slow connections to make room for them. Returns
+    /// false if there is no room.
     pub(super) fn reserve(&self, bytes: usize) -> bool {
         let now = self.buffers.started.elapsed();
         let Reservation::Granted(cut) = self.buffers.ledger().reserve(now, self.id, bytes) else {
@@ -93,23 +94,23 @@
         self.buffers.ledger().release(self.id, bytes);
     }
 
-    /// Begins to hold what comes in pieces.
+    /// Creates a buffer for a body that arrives in chunks.
     pub(super) fn new_body(self: &Arc<Self>) -> BodyBuffer {
         BodyBuffer { client: self.clone(), chunks: Vec::new(), length: 0 }
     }
 
-    /// The gateway waits for the client to send, until that is dropped.
+    /// Records that the gateway waits for the client to send, until the guard is dropped.
     pub(super) fn start_waiting(&self) -> WaitGuard<'_> {
         self.buffers.ledger().start_waiting(self.buffers.started.elapsed(), self.id);
         WaitGuard(self)
     }
 
-    /// Whether the connection was cut so that others find room.
+    /// Whether the connection is cut to make room for others.
     pub(super) fn is_cut(&self) -> bool {
         self.cut.done.load(Ordering::Relaxed)
     }
 
-    /// Waits until the connection is cut so that others find room.
+    /// Waits until the connection is cut to make room for others.
     pub(super) async fn wait_for_cut(&self) {
         let woken = self.cut.wake.notified();
         if !self.is_cut() {
@@ -117,23 +118,23 @@
         }
     }
 
-    /// Bytes of answers that the client has not taken yet.
+    /// Bytes of answers that the client has not read yet.
     pub(super) fn unread(&self) -> usize {
         self.unread.load(Ordering::Relaxed)
     }
 
-    /// Waits until the client has taken some of what is unread.
+    /// Waits until the client has read some of its unread bytes.
     pub(super) async fn wait_for_read(&self) {
         self.read.notified().await;
     }
 
-    /// A piece of an answer on its way to the client, which is held until the client takes it; gives the piece back
-    /// where there is no room.
+    /// Counts a chunk of an answer as buffered until the client has read it. Returns the chunk as
+    /// an error if there is no room.
     pub(super) fn hold_unread(self: &Arc<Self>, chunk: Bytes) -> Result<Bytes, Bytes> {
         if self.reserve(chunk.len()) { Ok(self.wrap_unread(chunk)) } else { Err(chunk) }
     }
 
-    /// The same for bytes that are held already.
+    /// Like [`Self::hold_unread`], for bytes that are already counted.
     fn wrap_unread(self: &Arc<Self>, chunk: Bytes) -> Bytes {
         if self.unread.fetch_add(chunk.len(), Ordering::Relaxed) == 0 {
             self.buffers.ledger().start_waiting(self.buffers.started.elapsed(), self.id);
@@ -142,7 +143,7 @@
     }
 }
 
-/// Pieces of a body that are held while the rest of it comes.
+/// The chunks of a body that has not arrived completely.
 pub(super) struct BodyBuffer {
     client: Arc<ClientBuffer>,
     chunks: Vec<Bytes>,
@@ -156,7 +157,7 @@
 }
 
 impl BodyBuffer {
-    /// Takes a piece; gives it back where there is no room.
+    /// Appends a chunk. Returns it as an error if there is no room.
     pub(super) fn push(&mut self, chunk: Bytes) -> Result<(), Bytes> {
         if !self.client.reserve(chunk.len()) {
             return Err(chunk);
@@ -166,12 +167,12 @@
         Ok(())
     }
 
-    /// Bytes that have come.
+    /// Bytes that have arrived.
     pub(super) fn length(&self) -> usize {
         self.length
     }
 
-    /// All of it in one; counted no longer.
+    /// Joins all chunks. The caller takes over their count in the ledger.
     fn join(&mut self) -> Bytes {
         let mut chunks = std::mem::take(&mut self.chunks);
         self.length = 0;
@@ -181,7 +182,7 @@
         Bytes::from(chunks.concat())
     }
 
-    /// The body of a request, held until it is sent nowhere any more.
+    /// The complete body of a request, counted as buffered until its last copy is dropped.
     pub(super) fn into_body(mut self) -> Bytes {
         let body = self.join();
         if body.is_empty() {
@@ -190,20 +191,20 @@
         Bytes::from_owner(CountedBody { length: body.len(), body, client: self.client.clone() })
     }
 
-    /// What has come, with a piece for which there was no room; not held any more.
+    /// The chunks so far and one for which there was no room, which are no longer counted.
     pub(super) fn into_bytes(mut self, beyond: Option<Bytes>) -> Bytes {
         self.chunks.extend(beyond);
         Bytes::from(self.chunks.concat())
     }
 
-    /// An answer on its way to the client, held until the client takes it.
+    /// A complete answer, counted as buffered until the client has read it.
     pub(super) fn into_answer(mut self) -> Bytes {
         let answer = self.join();
         if answer.is_empty() { answer } else { self.client.wrap_unread(answer) }
     }
 }
 
-/// The gateway waits for a client to send.
+/// Marks the gateway as waiting for a client to send.
 pub(super) struct WaitGuard<'a>(&'a ClientBuffer);
 
 impl Drop for WaitGuard<'_> {
@@ -212,7 +213,7 @@
     }
 }
 
-/// A request's body, held until it is sent nowhere any more.
+/// The body of a request, counted as buffered until dropped.
 struct CountedBody {
     body: Bytes,
     length: usize,
@@ -231,7 +232,7 @@
     }
 }
 
-/// A piece of an answer that the client has not taken yet.
+/// A chunk of an answer that the client has not read yet, counted as buffered until dropped.
 struct UnreadChunk {
     chunk: Bytes,
     client: Arc<ClientBuffer>,
--- a/src/gateway/config_delay.rs
+++ b/src/gateway/config_delay.rs
@@ -1,19 +1,22 @@
-//! How late a configuration can have come into force at a gateway, by what members told it.
+//! Measures how long a new configuration took to come into force at this gateway, from the versions
+//! that members report.
 
 use std::time::Duration;
 
-/// What members have told of the configurations that they hold.
+/// Versions of the configuration that the members have reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ConfigDelay {
-    /// Newest version that any told of.
+    /// Newest version that any member reported.
     newest_version: u64,
-    /// When one that hears a leader last held nothing newer than the gateway.
+    /// When a member in contact with a leader last reported nothing newer than this gateway's
+    /// version.
     current_at: Option<Duration>,
 }
 
 impl ConfigDelay {
-    /// A member tells which version it holds, and whether it hears a leader, while the gateway holds
-    /// `held`. Without a leader there may be newer ones that it has not heard of.
+    /// Records the version that a member reports while the gateway holds version `held`. `fresh`
+    /// tells whether the member has contact with a leader: without a leader, newer versions may
+    /// exist that it has not received.
     pub fn note_update(&mut self, now: Duration, fresh: bool, version: u64, held: u64) {
         self.newest_version = self.newest_version.max(version);
         if fresh && self.newest_version <= held {
@@ -21,12 +24,13 @@
         }
     }
 
-    /// Newest version that a member told of; 0 before.
+    /// Newest version that a member reported; 0 before the first.
     pub fn newest_version(&self) -> u64 {
         self.newest_version
     }
 
-    /// How long ago nothing newer was held, at most; `None` if no member said so yet.
+    /// Upper bound on the time for which a newer version has existed; `None` before the first
+    /// confirmation.
     pub fn max_delay(&self, now: Duration) -> Option<Duration> {
         self.current_at.map(|at| now.saturating_sub(at))
     }
--- a/src/gateway/member_order.rs
+++ b/src/gateway/member_order.rs
@@ -1,25 +1,27 @@
-//! In which order a gateway turns to members: each has an order of its own over all of them.
+//! The order in which a gateway connects to members. Each gateway has its own order.
 //!
-//! An order that all shared would send the gateways of a lost member to the same next one. Its link
-//! is then full when a configuration grows, those that wait too long leave it together, and wait
-//! again at the one after it.
+//! With one order for all, the gateways of a failed member would all move to the same next member.
+//! The link of that member would be saturated when a large configuration is pushed; the gateways
+//! that time out would then move to the one after it together, and so on.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Pause before the first look whether a member that comes earlier can be followed again. With up
-/// to as much again by chance, the gateways of a member that was away come back to it one by one.
+/// Delay before the first check whether an earlier member can be followed again. A random part of
+/// up to the same length is added, so that the gateways of a member that was down return to it one
+/// by one.
 const MIN_FAILBACK_DELAY: Duration = Duration::from_secs(2);
-/// Longest pause between two looks, each twice the one before: a member that is gone for good is asked
-/// for seldom.
+/// Maximum delay between two checks, which doubles each time, so that a member that is gone for
+/// good is rarely contacted.
 const MAX_FAILBACK_DELAY: Duration = Duration::from_secs(30);
 
-/// Members in the order of one gateway, and the one that it turns to now.
+/// The members in the order of one gateway, and the one it currently uses.
 ///
-/// The order follows from the gateway's name and the members' addresses, so that each member comes first for about as
-/// many gateways, and a member more or less changes the choice of those gateways only.
+/// The order is computed by rendezvous hashing from the gateway's name and the members' addresses.
+/// Each member comes first for about the same number of gateways, and adding or removing a member
+/// changes the choice of those gateways only.
 #[derive(Clone, Debug)]
 pub struct MemberOrder {
     seed: u64,
@@ -28,7 +30,7 @@
 }
 
 impl MemberOrder {
-    /// Begins with the first of these members; `None` without any.
+    /// Starts with the first of the members; `None` if there are none.
     pub fn new(gateway: &str, members: Vec<SocketAddr>) -> Option<Self> {
         let seed = xxh3_64_with_seed(gateway.as_bytes(), 0);
         let ranked = rank(seed, members);
@@ -41,7 +43,7 @@
         self.current
     }
 
-    /// All members, the current one first and the others in the order in which they are turned to.
+    /// All members, beginning with the current one.
     pub fn from_current(&self) -> Vec<SocketAddr> {
         let mut members = self.ranked.clone();
         members.rotate_left(self.position());
@@ -53,27 +55,27 @@
         &self.ranked[..self.position()]
     }
 
-    /// Turns to the first member of the order.
+    /// Makes the first member of the order the current one.
     pub fn select_first(&mut self) {
         if let Some(first) = self.ranked.first() {
             self.current = *first;
         }
     }
 
-    /// Turns to the member after the current one.
+    /// Makes the member after the current one the current one.
     pub fn select_next(&mut self) {
         self.current = self.ranked[(self.position() + 1) % self.ranked.len()];
     }
 
-    /// Turns to a member, if it is one.
+    /// Makes `member` the current one, if it is in the order.
     pub fn select(&mut self, member: SocketAddr) {
         if self.ranked.contains(&member) {
             self.current = member;
         }
     }
 
-    /// Takes the members that there are now. The current one stays the current one, unless it is none any
-    /// more; without any, the known ones stay.
+    /// Replaces the members. The current one stays current if it is among them, else the first
+    /// becomes current. An empty list changes nothing.
     pub fn set_members(&mut self, members: Vec<SocketAddr>) {
         let ranked = rank(self.seed, members);
         let Some(first) = ranked.first() else {
@@ -97,28 +99,29 @@
     members
 }
 
-/// When to look whether an earlier member can be followed again.
+/// Schedules the checks whether an earlier member can be followed again.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FailbackBackoff {
-    /// Looks since the gateway last stayed with the first member of its order.
+    /// Checks since the gateway last followed the first member of its order for a whole delay.
     checks: u32,
 }
 
 impl FailbackBackoff {
-    /// Pause before the next look; `chance` is from 0 to 1.
+    /// Delay before the next check. `chance` is from 0 to 1.
     pub fn delay(self, chance: f64) -> Duration {
         let doubled = 1_u32.checked_shl(self.checks).unwrap_or(u32::MAX);
         let delay = MIN_FAILBACK_DELAY.saturating_mul(doubled).min(MAX_FAILBACK_DELAY);
         delay + delay.mul_f64(chance)
     }
 
-    /// A look was made. One that found a member counts too: where that is lost again soon, the gateway
-    /// does not go to and fro.
+    /// Counts a check. One that found a member counts too, so that a gateway does not switch back
+    /// and forth if that member fails again soon.
     pub fn note_check(&mut self) {
         self.checks = self.checks.saturating_add(1);
     }
 
-    /// The first member has been followed for a pause.
+    /// Starts again from the minimum delay, once the first member has been followed for a whole
+    /// delay.
     pub fn reset(&mut self) {
         self.checks = 0;
     }
