--- a/src/gateway/choice.rs
+++ b/src/gateway/choice.rs
@@ -74,12 +74,12 @@
         let versions = Versions::new(now, &known, plan);
         let cold = self.cold_limit(&plan.service);
         let (group, targets) = self.usable(now, &known, &versions, plan, cold)?;
-        let candidates = self.weigh(now, &targets);
+        let candidates = self.to_candidates(now, &targets);
         let in_group = known.of(&plan.service).iter().filter(|one| versions.contains(group, one));
         let preference = self.preference(now, plan, in_group);
         let at = choose(&candidates, preference, &mut rand::rng())?;
         let of_service = known.of(&plan.service);
-        let affinity = plan.affinity.filter(|_| self.fetches(&plan.service));
+        let affinity = plan.affinity.filter(|_| self.can_fetch(&plan.service));
         let fetch_from = affinity.and_then(|affinity| {
             let known = &known;
             let (targets, candidates) = (&targets, &candidates);
@@ -125,12 +125,13 @@
         if groups == [VersionGroup::Any] {
             return (!usable.is_empty()).then_some((VersionGroup::Any, usable));
         }
-        let mut groups = groups.iter().map(|group| (*group, in_group(versions, *group, &usable)));
+        let mut groups =
+            groups.iter().map(|group| (*group, filter_group(versions, *group, &usable)));
         groups.find(|(_, targets)| !targets.is_empty())
     }
 
     /// Converts targets to candidates for the choice.
-    fn weigh(&self, now: Duration, targets: &[&Arc<Target>]) -> Vec<Candidate> {
+    fn to_candidates(&self, now: Duration, targets: &[&Arc<Target>]) -> Vec<Candidate> {
         let usual = usual_others(targets, now);
         let gateways = self.gateways();
         let homes = self.uses(Mechanism::Homes);
@@ -170,7 +171,7 @@
     }
 
     /// Whether targets of a service can fetch cached prompts from each other.
-    fn fetches(&self, service: &str) -> bool {
+    fn can_fetch(&self, service: &str) -> bool {
         let table = self.table();
         let service = table.as_ref().and_then(|table| table.service(service));
         self.uses(Mechanism::Fetch) && service.is_some_and(|service| service.fetches)
@@ -307,7 +308,7 @@
 }
 
 /// Filters the targets of a version group.
-fn in_group<'a>(
+fn filter_group<'a>(
     versions: &Versions<'_>,
     group: VersionGroup,
     targets: &[&'a Arc<Target>],
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -348,7 +348,7 @@
     }
 
     fn on_stall(&self) {
-        self.watch.blame_if_stalled();
+        self.watch.count_if_stalled();
     }
 
     fn on_answer_head(&self, status: StatusCode, headers: &HeaderMap) {
@@ -373,7 +373,7 @@
     let (from, names) = (choice.fetch_from, gateway.names());
     let sent =
         attempt::send(target, from, &plan.outgoing, names, limits, longest, &supervised).await;
-    let blamed = watch.blamed();
+    let blamed = watch.failure_counted();
     watch.finish();
     gateway.note_met(target, found(&sent));
     if !matches!(sent, Err(AttemptError::NotSent(_))) {
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -293,7 +293,7 @@
                 && self.gateway.could_retry(&self.plan)
         };
         if waited.is_none() && !may_turn() {
-            watch.blame_if_stalled();
+            watch.count_if_stalled();
             waited = clock.before(deadline, frame).await;
         }
         watch.finish();
--- a/src/gateway/stall.rs
+++ b/src/gateway/stall.rs
@@ -38,39 +38,39 @@
     timeout: Duration,
     /// Run time of this process when the wait began; `None` once it has ended.
     since: Option<Duration>,
-    blamed: AtomicBool,
+    failure_counted: AtomicBool,
 }
 
 impl StallGuard {
     /// Starts to wait for the target.
     pub(super) fn start(gateway: &Arc<Gateway>, target: &Arc<Target>, timeout: Duration) -> Self {
         let (gateway, target) = (gateway.clone(), target.clone());
-        let (since, blamed) = (Some(gateway.run_clock.ran()), AtomicBool::new(false));
-        StallGuard { gateway, target, timeout, since, blamed }
+        let (since, failure_counted) = (Some(gateway.run_clock.ran()), AtomicBool::new(false));
+        StallGuard { gateway, target, timeout, since, failure_counted }
     }
 
     /// Counts the target as failed now if it has stalled, although the wait for it goes on, so that
     /// other requests avoid it.
-    pub(super) fn blame_if_stalled(&self) {
+    pub(super) fn count_if_stalled(&self) {
         let ran = self.gateway.run_clock.ran();
         let stalled_for = self.since.map(|since| ran.saturating_sub(since));
         if stalled_for.is_some_and(|stalled_for| stalled_for >= self.timeout) {
-            self.blame();
+            self.count_failure();
         }
     }
 
-    fn blame(&self) {
-        if !self.blamed.swap(true, Ordering::Relaxed) {
-            info!(self.gateway.log, "no data from target within the stall timeout"; "event" => "target_silent",
-                "target" => &self.target.announcement.id,
+    fn count_failure(&self) {
+        if !self.failure_counted.swap(true, Ordering::Relaxed) {
+            info!(self.gateway.log, "no data from target within the stall timeout";
+                "event" => "target_silent", "target" => &self.target.announcement.id,
                 "silent_ms" => self.timeout.as_millis() as u64);
             self.gateway.note_outcome(&self.target, AttemptOutcome::Failed);
         }
     }
 
     /// Whether the target was counted as failed.
-    pub(super) fn blamed(&self) -> bool {
-        self.blamed.load(Ordering::Relaxed)
+    pub(super) fn failure_counted(&self) -> bool {
+        self.failure_counted.load(Ordering::Relaxed)
     }
 
     /// Ends the wait: the target sent data, or its failure is counted elsewhere.
@@ -81,6 +81,6 @@
 
 impl Drop for StallGuard {
     fn drop(&mut self) {
-        self.blame_if_stalled();
+        self.count_if_stalled();
     }
 }
