--- a/src/gateway/cold.rs
+++ b/src/gateway/cold.rs
@@ -14,8 +14,8 @@
 /// has a request for the target.
 ///
 /// It leaves room for the random start times. Simulated with 65 gateways, a limit of 24.5 requests
-/// in any second and 400 requests for the target: the busiest second of 400 cold periods has 20
-/// requests; with 0.5 it has 23 (test `gateway`, module `cold`).
+/// in any second and 400 requests a second for the target: the busiest second of 400 cold periods
+/// has 20 requests; with 0.5 it has 23 (test `gateway`, module `cold`).
 const USED_FRACTION: f64 = 0.4;
 /// Gap where no rate is configured or the number of gateways is unknown: practically no requests.
 const MAX_GAP: Duration = Duration::from_secs(24 * 3_600);
