--- a/src/gateway/failback.rs
+++ b/src/gateway/failback.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::bootstrap;
-use super::order::{Looks, MemberOrder};
+use super::member_order::{FailbackBackoff, MemberOrder};
 use crate::group::message::Subscription;
 
 /// Timeout for the check of one member.
@@ -26,7 +26,7 @@
 /// Schedules and runs the checks.
 pub(super) struct Failback {
     source: Option<IpAddr>,
-    schedule: Looks,
+    schedule: FailbackBackoff,
     next_check_at: Instant,
     /// The running check, which finds an available member or none.
     check: JoinSet<Option<SocketAddr>>,
@@ -36,7 +36,12 @@
     /// Checks connect from the address `source`, where one is set.
     pub(super) fn new(source: Option<IpAddr>) -> Self {
         let next_check_at = Instant::now();
-        Failback { source, schedule: Looks::default(), next_check_at, check: JoinSet::new() }
+        Failback {
+            source,
+            schedule: FailbackBackoff::default(),
+            next_check_at,
+            check: JoinSet::new(),
+        }
     }
 
     /// Starts anew when the gateway has subscribed to a member: aborts a running check and drops its result.
@@ -53,7 +58,7 @@
                 return FailbackEvent::CheckDue;
             }
             if let Some(Ok(found)) = self.check.join_next().await {
-                self.schedule.note_made();
+                self.schedule.note_check();
                 self.schedule_next();
                 if let Some(member) = found {
                     return FailbackEvent::Available(member);
@@ -74,7 +79,7 @@
     }
 
     fn schedule_next(&mut self) {
-        self.next_check_at = Instant::now() + self.schedule.pause(rand::random());
+        self.next_check_at = Instant::now() + self.schedule.delay(rand::random());
     }
 }
 
--- a/src/gateway/prefix_source.rs
+++ b/src/gateway/prefix_source.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::Gateway;
-use super::balance::{Affinity, Candidate, earlier_home, is_first_home, likely_keeper};
+use super::balance::{Affinity, Candidate, earlier_home, is_first_home, likely_holder};
 use super::mechanism::Mechanism;
 use super::target::Target;
 use super::targets::Targets;
@@ -70,13 +70,13 @@
             return Reported::Chosen;
         }
         let usable =
-            |target: &&Arc<Target>| !target.silent() && !target.health().paused(search.now);
+            |target: &&Arc<Target>| !target.unresponsive() && !target.health().ejected(search.now);
         let holders = reported.iter().filter_map(|key| {
             let mut usable = search.of_service.iter().filter(usable);
             usable.find(|target| LoadKey::of(target.key) == *key)
         });
         let holders: Vec<&Arc<Target>> = holders.collect();
-        let near = holders.iter().find(|holder| holder.hall == chosen.hall);
+        let near = holders.iter().find(|holder| holder.hall_key == chosen.hall_key);
         near.or(holders.first()).map_or(Reported::Nobody, |holder| Reported::Other(holder))
     }
 
@@ -84,10 +84,10 @@
     /// turns requests away.
     fn unavailable_home<'a>(&self, search: &PrefixSearch<'a>) -> Option<&'a Arc<Target>> {
         let uses_homes = self.uses(Mechanism::Homes);
-        let unavailable = |target: &&Arc<Target>| match target.standing(search.now) {
+        let unavailable = |target: &&Arc<Target>| match target.eligibility(search.now) {
             Standing::Evacuated | Standing::Resting { .. } => true,
             Standing::Leaving => false,
-            Standing::Open | Standing::Returning { .. } => target.health().turns_away(search.now),
+            Standing::Open | Standing::Returning { .. } => target.health().rejects_work(search.now),
         };
         let others = search.of_service.iter().filter(|target| target.key != search.chosen().key);
         let others: Vec<&Arc<Target>> = others.filter(unavailable).collect();
@@ -99,12 +99,12 @@
             home: target.home().filter(|_| uses_homes),
             load: 0.0,
             slots: target.announcement.slots,
-            strain: 1.0,
+            slowdown: 1.0,
             near: false,
-            doubtful: false,
+            last_resort: false,
         });
         let homes: Vec<Candidate> = homes.collect();
-        let usable = search.candidates.iter().filter(|candidate| !candidate.doubtful);
+        let usable = search.candidates.iter().filter(|candidate| !candidate.last_resort);
         let usable: Vec<Candidate> = usable.copied().collect();
         earlier_home(&usable, &homes, search.affinity).map(|at| others[at])
     }
@@ -119,18 +119,18 @@
     /// affinity, it may lack the prefix only while it is new as that home, or has just returned.
     fn likely_holder(&self, returned_recently: bool) -> Option<&'a Arc<Target>> {
         let (candidates, chosen, affinity) = (self.candidates, self.chosen, self.affinity);
-        let other = || likely_keeper(candidates, chosen, affinity).map(|at| self.targets[at]);
+        let other = || likely_holder(candidates, chosen, affinity).map(|at| self.targets[at]);
         if returned_recently || !is_first_home(candidates, chosen, affinity) {
             return other();
         }
-        let former = self.known.moved_in_lately(self.chosen())?;
+        let former = self.known.former_home_owner(self.chosen())?;
         former.or_else(other)
     }
 
     /// Whether the evacuation of the chosen target's data hall was withdrawn within [`RETURN_WINDOW`]. Other targets
     /// served its affinities meanwhile.
     fn returned_recently(&self) -> bool {
-        let returned_at = self.chosen().warmth().returned_at();
+        let returned_at = self.chosen().cold_state().returned_at();
         returned_at.is_some_and(|at| self.now < at + RETURN_WINDOW)
     }
 }
--- a/src/gateway/subscriber.rs
+++ b/src/gateway/subscriber.rs
@@ -12,7 +12,7 @@
 use super::disconnect::Disconnect;
 use super::failback::{Failback, FailbackEvent};
 use super::mechanism::Mechanism;
-use super::order::MemberOrder;
+use super::member_order::MemberOrder;
 use super::update_receiver::{FetchResult, UpdateReceiver};
 use crate::clock::{Instant, Suspensions};
 use crate::group::loads::own_loads_interval;
@@ -63,11 +63,11 @@
         subscriber.note_disconnected(member, &reason);
         subscriber.set_members(subscriber.order.from_current());
         match reason {
-            Disconnect::Earlier(earlier) => subscriber.order.turn_to(earlier),
+            Disconnect::Earlier(earlier) => subscriber.order.select(earlier),
             // Subscribes to the same member again: a new connection carries only current data.
             Disconnect::Suspended(_) => {}
             _ => {
-                subscriber.order.turn_to_next();
+                subscriber.order.select_next();
                 tokio::time::sleep(RETRY_DELAY).await;
             }
         }
@@ -176,7 +176,7 @@
         let members = members.map_err(|_| LinkError::Timeout)?;
         self.gateway.heard_member.send_replace(true);
         self.set_members(members);
-        self.order.turn_to_first();
+        self.order.select_first();
         Ok(())
     }
 
@@ -186,7 +186,7 @@
             supported_level: Level::NEWEST,
             version: self.updates.version(),
             directory: self.updates.directory(),
-            evacuations: read(&self.gateway.targets).halls_revision(),
+            evacuations: read(&self.gateway.targets).evacuations_revision(),
             rollouts: read(&self.gateway.targets).rollouts_revision(),
             data_hall: self.gateway.settings.data_hall.clone(),
             status_only: false,
@@ -331,9 +331,9 @@
     /// Reports to the member what this gateway has in flight and how attempts ended. Sends nothing if there is nothing
     /// to report and the last report said so.
     async fn report_loads(&mut self, sender: &mut FrameSender) -> Result<(), LinkError> {
-        let (loads, outcomes) = (self.gateway.tell_loads(), self.gateway.tell_outcomes());
-        let keepers = lock(&self.gateway.keepers).tell();
-        let tallies = self.gateway.tell_tallies();
+        let (loads, outcomes) = (self.gateway.report_loads(), self.gateway.take_outcomes());
+        let keepers = lock(&self.gateway.keepers).take_pending();
+        let tallies = self.gateway.take_tallies();
         let no_events = outcomes.is_empty() && keepers.is_empty() && tallies.is_empty();
         if loads.is_empty() && no_events && self.reported_idle {
             return Ok(());
@@ -347,7 +347,7 @@
     /// Sends the member the pending reports on poison requests seen here. They are small, and sent without delay.
     async fn report_poison(&mut self, sender: &mut FrameSender) -> Result<(), LinkError> {
         loop {
-            let (reports, upto) = self.gateway.poison_news_since(self.poison_reported);
+            let (reports, upto) = self.gateway.poison_reports_since(self.poison_reported);
             if reports.is_empty() {
                 return Ok(());
             }
@@ -363,7 +363,7 @@
     /// Replaces the known members with these and those of the settings.
     fn set_members(&mut self, mut members: Vec<SocketAddr>) {
         members.extend(lock(&self.gateway.seeds).iter());
-        self.order.learn(members);
+        self.order.set_members(members);
     }
 
     /// Logs that contact with the members is restored.
--- a/src/gateway/update_receiver.rs
+++ b/src/gateway/update_receiver.rs
@@ -8,7 +8,7 @@
 use slog::{info, warn};
 use tokio::task::JoinSet;
 
-use super::lateness::Lateness;
+use super::config_delay::ConfigDelay;
 use super::{Gateway, peers};
 use crate::blob::{Blob, BlobId, Content};
 use crate::document::{Document, PackedDocument};
@@ -31,7 +31,7 @@
     gateway: Arc<Gateway>,
     /// The last configuration received, as the base of the next delta.
     document: Option<Document>,
-    lateness: Lateness,
+    lateness: ConfigDelay,
     /// Running fetches from other gateways.
     fetches: JoinSet<FetchResult>,
 }
@@ -41,7 +41,7 @@
         UpdateReceiver {
             gateway,
             document: None,
-            lateness: Lateness::default(),
+            lateness: ConfigDelay::default(),
             fetches: JoinSet::new(),
         }
     }
@@ -58,7 +58,7 @@
 
     /// Whether no fetch is running and no member has announced a newer configuration.
     pub(super) fn is_complete(&self) -> bool {
-        self.fetches.is_empty() && self.lateness.told() <= self.version()
+        self.fetches.is_empty() && self.lateness.newest_version() <= self.version()
     }
 
     /// Applies an update, and starts to fetch the blob that it refers to, if any.
@@ -169,7 +169,7 @@
     /// Whether evacuation orders may be new to this gateway. Members of the first build always send revision 0, which
     /// stands for no orders.
     fn needs_halls(&self, halls: &EvacuationsUpdate) -> bool {
-        halls.revision > 0 || read(&self.gateway.targets).halls_revision().is_none()
+        halls.revision > 0 || read(&self.gateway.targets).evacuations_revision().is_none()
     }
 
     /// Applies evacuation orders, and reports to the member up to which revision they are applied here.
@@ -183,18 +183,18 @@
         let evacuated = halls.halls.iter().filter(|hall| hall.state == Evacuation::InForce);
         let evacuated: Vec<&str> = evacuated.map(|hall| hall.data_hall.as_str()).collect();
         let evacuated = evacuated.join(",");
-        if write(&self.gateway.targets).obey(self.gateway.now(), halls) {
+        if write(&self.gateway.targets).apply_evacuations(self.gateway.now(), halls) {
             info!(self.gateway.log, "evacuation orders applied"; "event" => "evacuations",
                 "revision" => revision, "evacuated" => evacuated, "from" => %from);
         }
-        let applied = read(&self.gateway.targets).halls_revision().unwrap_or(0);
+        let applied = read(&self.gateway.targets).evacuations_revision().unwrap_or(0);
         sender.send(&ToMember::EvacuationsInForce(applied)).await
     }
 
     /// Whether the gateway has received the state of both evacuations and roll-outs.
     fn has_orders(&self) -> bool {
         let targets = read(&self.gateway.targets);
-        targets.halls_revision().is_some() && targets.rollouts_revision().is_some()
+        targets.evacuations_revision().is_some() && targets.rollouts_revision().is_some()
     }
 
     fn apply_rollouts(&self, update: RolloutNews, from: SocketAddr) {
@@ -208,7 +208,7 @@
             )
         });
         let (revision, summary) = (update.revision, summaries.collect::<Vec<_>>().join(","));
-        if write(&self.gateway.targets).follow_rollouts(update) {
+        if write(&self.gateway.targets).apply_rollouts(update) {
             info!(self.gateway.log, "roll-out states applied"; "event" => "rollouts", "revision" => revision,
                 "rollouts" => summary, "from" => %from);
         }
@@ -217,19 +217,19 @@
     /// Applies what an update carries besides blobs and orders.
     fn apply_state(&mut self, update: &Update) {
         let held = self.version();
-        self.lateness.hear(self.gateway.now(), update.fresh, update.version, held);
-        self.gateway.metrics.version_announced.set(self.lateness.told() as i64);
+        self.lateness.note_update(self.gateway.now(), update.fresh, update.version, held);
+        self.gateway.metrics.version_announced.set(self.lateness.newest_version() as i64);
         if let Some(loads) = &update.loads {
-            self.gateway.take_loads(loads);
+            self.gateway.receive_loads(loads);
         }
         if !update.mixes.is_empty() {
             let mut targets = write(&self.gateway.targets);
-            targets.take_mixes(self.gateway.now(), update.mixes.clone());
+            targets.set_route_mixes(self.gateway.now(), update.mixes.clone());
         }
-        lock(&self.gateway.keepers).hear(self.gateway.now(), &update.prefix_holders);
-        self.gateway.take_poison_news(&update.poison);
+        lock(&self.gateway.keepers).record(self.gateway.now(), &update.prefix_holders);
+        self.gateway.receive_poison_reports(&update.poison);
         if let Some(evidence) = &update.evidence {
-            self.gateway.take_evidence(evidence);
+            self.gateway.apply_evidence(evidence);
         }
         lock(&self.gateway.fleet_size).note(self.gateway.now(), update.gateways);
         let before = self.gateway.gateways.swap(update.gateways, Ordering::Relaxed);
@@ -255,7 +255,7 @@
                 let table = Arc::new(RouteTable::new(configuration));
                 self.gateway.table.send_replace(Some(table));
                 self.gateway.metrics.version.set(document.version as i64);
-                let waited = self.lateness.at_most(self.gateway.now());
+                let waited = self.lateness.max_delay(self.gateway.now());
                 if let Some(waited) = waited {
                     self.gateway.metrics.in_force.observe(waited.as_secs_f64());
                 }
