--- a/src/gateway/choice.rs
+++ b/src/gateway/choice.rs
@@ -18,7 +18,7 @@
 use super::versions::{Group, Versions};
 use super::{ColdLimit, Gateway};
 use crate::configuration::Route;
-use crate::group::loads::{LoadKey, Loads, TargetLoad, loads_count_for};
+use crate::group::loads::{LoadKey, Loads, TargetLoad, loads_ttl};
 use crate::rollout::tally::Subject;
 use crate::store::Revision;
 use crate::sync::read;
@@ -275,7 +275,7 @@
         let now = self.now();
         let loads: HashMap<LoadKey, u32> =
             loads.all().iter().map(|load| (load.target, load.requests)).collect();
-        let counts_for = loads_count_for(self.gateways(), loads.len());
+        let counts_for = loads_ttl(self.gateways(), loads.len());
         let targets = read(&self.targets);
         for target in targets.all() {
             target.note_total(
--- a/src/gateway/keepers.rs
+++ b/src/gateway/keepers.rs
@@ -7,8 +7,8 @@
 use super::choice::Choice;
 use super::exchange::Plan;
 use super::mechanism::Mechanism;
-use crate::group::keepers::{Keeper, MOST_IN_WORD, PromptKey};
 use crate::group::loads::LoadKey;
+use crate::group::prefix_holders::{MAX_HOLDERS_PER_MESSAGE, PrefixHolder, PromptKey};
 use crate::sync::lock;
 
 /// Tokens in common from which a prompt is told of. On two days nine tenths of the tokens that were read again, because
@@ -39,32 +39,32 @@
 pub struct Keepers {
     /// Keepers of each prompt, the newest last.
     known: HashMap<PromptKey, Vec<Known>>,
-    untold: Vec<Keeper>,
+    untold: Vec<PrefixHolder>,
     /// When old entries were last dropped to make room.
     made_room_at: Option<Duration>,
 }
 
 impl Keepers {
     /// A target has read a prompt that nobody expects it to keep; it is told of unless that was done lately.
-    pub fn note_read(&mut self, now: Duration, keeper: Keeper) {
+    pub fn note_read(&mut self, now: Duration, keeper: PrefixHolder) {
         let known = self.known.get(&keeper.prompt).map_or(&[][..], Vec::as_slice);
         let known = known.iter().find(|known| known.target == keeper.target);
         if known.is_some_and(|known| now < known.at + TOLD_AGAIN_AFTER) {
             return;
         }
         self.remember(now, keeper);
-        if self.untold.len() < MOST_IN_WORD {
+        if self.untold.len() < MAX_HOLDERS_PER_MESSAGE {
             self.untold.push(keeper);
         }
     }
 
     /// Takes what others tell.
-    pub fn hear(&mut self, now: Duration, word: &[Keeper]) {
+    pub fn hear(&mut self, now: Duration, word: &[PrefixHolder]) {
         word.iter().for_each(|keeper| self.remember(now, *keeper));
     }
 
     /// What is to be told, and counts as told from now on.
-    pub fn tell(&mut self) -> Vec<Keeper> {
+    pub fn tell(&mut self) -> Vec<PrefixHolder> {
         std::mem::take(&mut self.untold)
     }
 
@@ -75,7 +75,7 @@
         fresh.map(|known| known.target)
     }
 
-    fn remember(&mut self, now: Duration, keeper: Keeper) {
+    fn remember(&mut self, now: Duration, keeper: PrefixHolder) {
         if self.known.len() >= MOST_PROMPTS {
             self.make_room(now);
         }
@@ -109,7 +109,7 @@
             return;
         };
         let target = LoadKey::of(choice.target.key);
-        let keeper = Keeper { prompt: PromptKey::of(affinity.hash), target };
+        let keeper = PrefixHolder { prompt: PromptKey::of(affinity.hash), target };
         lock(&self.keepers).note_read(self.now(), keeper);
     }
 }
--- a/src/gateway/source.rs
+++ b/src/gateway/source.rs
@@ -10,8 +10,8 @@
 use super::target::Target;
 use super::targets::Targets;
 use crate::availability::Standing;
-use crate::group::keepers::PromptKey;
 use crate::group::loads::LoadKey;
+use crate::group::prefix_holders::PromptKey;
 use crate::sync::lock;
 
 /// How long after its hall was taken back into use a target is thought to lack what others read meanwhile.
--- a/src/group/background.rs
+++ b/src/group/background.rs
@@ -8,9 +8,9 @@
 use slog::info;
 
 use super::Shared;
-use super::keepers::Told;
-use super::loads::{loads_count_for, loads_interval, member_loads_interval};
+use super::loads::{loads_interval, loads_ttl, member_loads_interval};
 use super::message::{Call, Reply, ToMember};
+use super::prefix_holders::ReadPosition;
 use crate::clock::Instant;
 use crate::control::member::Outbox;
 use crate::level::Level;
@@ -46,7 +46,7 @@
             }
         }
         for (addr, messages) in batches {
-            let (from, knows) = (shared.own, shared.knows());
+            let (from, knows) = (shared.own_addr, shared.knows());
             shared.peers.send(addr, ToMember::Agreement { from, messages, knows });
         }
     }
@@ -55,7 +55,7 @@
 /// Where `id` is reached, by the members or else by its own word.
 fn address(shared: &Shared, members: &Members, id: StoreId) -> Option<SocketAddr> {
     let known = members.get(id).map(|member| member.addr);
-    known.or_else(|| lock(&shared.book).get(&id).copied())
+    known.or_else(|| lock(&shared.store_addrs).get(&id).copied())
 }
 
 /// Asks to be taken in while this store is no member, or has heard no leader for long.
@@ -76,14 +76,14 @@
 }
 
 async fn ask_to_join(shared: &Shared) {
-    let mut asked: Vec<SocketAddr> = vec![shared.own];
+    let mut asked: Vec<SocketAddr> = vec![shared.own_addr];
     let mut waiting = shared.known_members();
     while let Some(addr) = waiting.pop() {
         if asked.contains(&addr) {
             continue;
         }
         asked.push(addr);
-        let (store, own) = (shared.store, shared.own);
+        let (store, own) = (shared.store, shared.own_addr);
         let call = Call::Join { store, addr: own, knows: Level::NEWEST };
         match shared.peers.call(addr, call, JOIN_TIMEOUT).await {
             Ok(Reply::Done) => return,
@@ -99,33 +99,33 @@
         tokio::time::sleep(PRESENCE_INTERVAL).await;
         let gateways = lock(&shared.presence).connected();
         if !gateways.is_empty() {
-            shared.tell_others(&ToMember::Presence(gateways));
+            shared.broadcast(&ToMember::Presence(gateways));
         }
     }
 }
 
 /// Tells the others what the gateways connected here have in flight.
 pub(super) async fn tell_loads(shared: Arc<Shared>) {
-    let mut told = Told::default();
+    let mut told = ReadPosition::default();
     loop {
         let busy = lock(&shared.load_totals).busy();
         tokio::time::sleep(member_loads_interval(shared.gateways_alive(), busy)).await;
-        let longest = shared.loads_count_for();
-        let loads = lock(&shared.load_totals).here(shared.now(), longest);
+        let longest = shared.loads_ttl();
+        let loads = lock(&shared.load_totals).local(shared.now(), longest);
         if lock(&shared.presence).any_connected() {
-            let evidence = lock(&shared.evidence).here(shared.now());
-            let keepers = lock(&shared.keepers).next_for_members(shared.now(), &mut told);
-            let (from, tallies) = (shared.own, lock(&shared.rollouts).here());
+            let evidence = lock(&shared.evidence).local(shared.now());
+            let keepers = lock(&shared.prefix_holders).next_for_members(shared.now(), &mut told);
+            let (from, tallies) = (shared.own_addr, lock(&shared.rollouts).local());
             let word = ToMember::MemberLoads { from, loads, evidence, keepers, tallies };
-            shared.tell_others(&word);
+            shared.broadcast(&word);
         }
     }
 }
 
 impl Shared {
     /// Sends a frame to every other member that is known.
-    pub(super) fn tell_others(&self, frame: &ToMember) {
-        let others = self.known_members().into_iter().filter(|addr| *addr != self.own);
+    pub(super) fn broadcast(&self, frame: &ToMember) {
+        let others = self.known_members().into_iter().filter(|addr| *addr != self.own_addr);
         others.for_each(|addr| self.peers.send(addr, frame.clone()));
     }
 
@@ -135,8 +135,8 @@
     }
 
     /// How long a word about loads counts.
-    pub(super) fn loads_count_for(&self) -> Duration {
-        loads_count_for(self.gateways_alive(), lock(&self.load_totals).busy())
+    pub(super) fn loads_ttl(&self) -> Duration {
+        loads_ttl(self.gateways_alive(), lock(&self.load_totals).busy())
     }
 
     /// Gateways that are connected to any member.
--- a/src/group/cursor.rs
+++ b/src/group/cursor.rs
@@ -6,8 +6,8 @@
 use crate::parcel::{Parcel, ParcelId};
 use crate::store::Revision;
 
-use super::keepers::Told;
 use super::message::Subscription;
+use super::prefix_holders::ReadPosition;
 
 /// What a parcel brings a gateway to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
     /// When loads are to be told next.
     pub(super) loads_at: Duration,
     /// Keepers of prompts that it was told of.
-    pub(super) keepers: Told,
+    pub(super) keepers: ReadPosition,
     /// Change up to which it was told of requests under which targets ended.
     pub(super) poison: u64,
     /// Whether nothing is in flight anywhere.
@@ -67,7 +67,7 @@
             members: Vec::new(),
             fresh: false,
             loads_at: Duration::ZERO,
-            keepers: Told::default(),
+            keepers: ReadPosition::default(),
             poison: 0,
             idle: true,
             loan: None,
--- a/src/group/evacuation.rs
+++ b/src/group/evacuation.rs
@@ -46,7 +46,7 @@
 
 /// Number under which the propagation of orders knows what a gateway obeys: 0 stands for one that never
 /// heard of any, and the first revision is 0.
-pub(super) fn propagation_number(revision: Option<Revision>) -> u64 {
+pub(super) fn evacuations_version(revision: Option<Revision>) -> u64 {
     revision.map_or(0, |revision| revision + 1)
 }
 
@@ -129,7 +129,7 @@
     }
 
     /// Orders about data halls, for a gateway.
-    pub(super) fn hall_news(&self) -> HallNews {
+    pub(super) fn evacuations_update(&self) -> HallNews {
         let evacuations = self.member.published().borrow().evacuations.clone();
         let (now, returns) = (self.now(), lock(&self.returns));
         let told = |order: &HallOrder| order.since > 0 && !order.warm_again;
@@ -172,7 +172,7 @@
     pub(super) fn note_orders(&self, evacuations: &Evacuations) {
         let now = self.now();
         lock(&self.returns).note(now, evacuations);
-        lock(&self.orders_propagation).hold(now, propagation_number(Some(evacuations.revision())));
+        lock(&self.orders_propagation).hold(now, evacuations_version(Some(evacuations.revision())));
         let halls = evacuations.halls().filter(|(_, order)| order.evacuated);
         let evacuated: Vec<&str> = halls.map(|(hall, _)| hall).collect();
         info!(self.log, "orders about data halls"; "event" => "evacuations",
@@ -180,20 +180,20 @@
     }
 
     /// A gateway tells up to which revision it obeys.
-    pub(super) fn note_obeyed(&self, connection: Connection, revision: Revision) {
+    pub(super) fn record_evacuations_in_force(&self, connection: Connection, revision: Revision) {
         let waited = lock(&self.orders_propagation).in_force(
             self.now(),
             connection,
-            propagation_number(Some(revision)),
+            evacuations_version(Some(revision)),
         );
         if let Some(waited) = waited {
             self.metrics.obeyed.observe(waited.as_secs_f64());
         }
-        self.tell_obeyed_everywhere();
+        self.log_evacuations_everywhere();
     }
 
     /// Logs orders that all gateways here obey, with the gateway that waited longest.
-    pub(super) fn tell_obeyed_everywhere(&self) {
+    pub(super) fn log_evacuations_everywhere(&self) {
         let all = lock(&self.orders_propagation).take_everywhere();
         for everywhere in all {
             let last = everywhere.last.as_ref();
--- a/src/group/evidence.rs
+++ b/src/group/evidence.rs
@@ -79,16 +79,16 @@
 
 /// How attempts went, as the gateways connected here and the other members tell.
 #[derive(Debug, Default)]
-pub struct EvidenceBoard {
+pub struct EvidenceTotals {
     here: HashMap<LoadKey, Record>,
     members: HashMap<SocketAddr, (Duration, Word)>,
     /// The last word over all, and when it was made, for gateways that are told at about the same time.
     summed: Option<(Duration, Word)>,
 }
 
-impl EvidenceBoard {
+impl EvidenceTotals {
     /// A gateway connected here tells how its attempts went.
-    pub fn hear_gateway(&mut self, now: Duration, gateway: &str, outcomes: &[Outcomes]) {
+    pub fn record_gateway(&mut self, now: Duration, gateway: &str, outcomes: &[Outcomes]) {
         for outcome in outcomes {
             let record = self.here.entry(outcome.target).or_default();
             let told = record.by_gateway.entry(gateway.to_owned()).or_default();
@@ -99,13 +99,13 @@
     }
 
     /// Another member tells what its gateways saw.
-    pub fn hear_member(&mut self, now: Duration, member: SocketAddr, word: Word) {
+    pub fn record_member(&mut self, now: Duration, member: SocketAddr, word: Word) {
         self.members.insert(member, (now, word));
     }
 
     /// What the gateways connected here saw of the targets at which attempts failed; of too many, just more than
     /// are told of.
-    pub fn here(&mut self, now: Duration) -> Word {
+    pub fn local(&mut self, now: Duration) -> Word {
         self.here.retain(|_, record| {
             record.by_gateway.retain(|_, told| {
                 let told = told.as_of(now);
@@ -118,7 +118,7 @@
     }
 
     /// The same over all gateways, at most `slack` old; nothing where too many targets fail.
-    pub fn everywhere(&mut self, now: Duration, slack: Duration) -> Word {
+    pub fn total(&mut self, now: Duration, slack: Duration) -> Word {
         if let Some((_, word)) = self.summed.as_ref().filter(|(at, _)| now < *at + slack) {
             return word.clone();
         }
@@ -130,7 +130,7 @@
     fn sum(&mut self, now: Duration) -> Word {
         self.members.retain(|_, (at, _)| now < *at + MEMBER_COUNTS_FOR);
         let mut sums: HashMap<LoadKey, Evidence> =
-            self.here(now).into_iter().map(|evidence| (evidence.target, evidence)).collect();
+            self.local(now).into_iter().map(|evidence| (evidence.target, evidence)).collect();
         for evidence in self.members.values().flat_map(|(_, word)| word) {
             sums.entry(evidence.target).and_modify(|sum| sum.add(evidence)).or_insert(*evidence);
         }
--- a/src/group/feed.rs
+++ b/src/group/feed.rs
@@ -4,9 +4,9 @@
 use tokio::sync::mpsc;
 
 use super::Shared;
-use super::evacuation::propagation_number;
-use super::keepers::Teller;
+use super::evacuation::evacuations_version;
 use super::message::{Subscription, ToMember};
+use super::prefix_holders::ReportedBy;
 use super::propagation::Connection;
 use super::push::{Push, Word};
 use crate::link::{FrameReceiver, FrameSender, LinkError};
@@ -24,10 +24,10 @@
 ) -> Result<(), LinkError> {
     let gateway = subscription.gateway.clone();
     lock(&shared.presence).connect(&gateway);
-    lock(&shared.behind).connect(&gateway, subscription.knows);
+    lock(&shared.gateways_behind).connect(&gateway, subscription.knows);
     let connection =
         lock(&shared.propagation).connect(shared.now(), &gateway, subscription.version);
-    let obeys = propagation_number(subscription.evacuations);
+    let obeys = evacuations_version(subscription.evacuations);
     let obeying = lock(&shared.orders_propagation).connect(shared.now(), &gateway, obeys);
     let (words, waiting) = mpsc::channel(WORDS_LEN);
     let closed = async {
@@ -35,14 +35,14 @@
             let now = shared.now();
             match receiver.receive().await? {
                 ToMember::Loads { loads, outcomes, keepers, tallies } => {
-                    lock(&shared.load_totals).hear_gateway(now, &gateway, loads);
-                    lock(&shared.evidence).hear_gateway(now, &gateway, &outcomes);
-                    lock(&shared.keepers).hear(now, Teller::Gateway, &keepers);
-                    lock(&shared.rollouts).hear_gateway(&tallies);
+                    lock(&shared.load_totals).record_gateway(now, &gateway, loads);
+                    lock(&shared.evidence).record_gateway(now, &gateway, &outcomes);
+                    lock(&shared.prefix_holders).record(now, ReportedBy::Gateway, &keepers);
+                    lock(&shared.rollouts).record_gateway(&tallies);
                 }
-                ToMember::Poison(word) => shared.hear_poison_of(&gateway, word)?,
+                ToMember::Poison(word) => shared.record_gateway_poison(&gateway, word)?,
                 ToMember::InForce(version) => note_in_force(shared, connection, version),
-                ToMember::Obeys(revision) => shared.note_obeyed(obeying, revision),
+                ToMember::Obeys(revision) => shared.record_evacuations_in_force(obeying, revision),
                 ToMember::Has(parcel) => tell(&words, Word::Has(parcel)).await?,
                 ToMember::Lacks(parcel) => tell(&words, Word::Lacks(parcel)).await?,
                 _ => return Err(LinkError::Garbled),
@@ -57,11 +57,11 @@
     push.close();
     let now = shared.now();
     lock(&shared.presence).disconnect(shared.run_clock.ran(), &gateway);
-    lock(&shared.behind).disconnect(now, &gateway);
+    lock(&shared.gateways_behind).disconnect(now, &gateway);
     lock(&shared.load_totals).forget_gateway(&gateway);
     lock(&shared.propagation).disconnect(connection);
     lock(&shared.orders_propagation).disconnect(obeying);
-    shared.tell_obeyed_everywhere();
+    shared.log_evacuations_everywhere();
     tell_everywhere(shared);
     ended
 }
--- a/src/group/frames/from_member.rs
+++ b/src/group/frames/from_member.rs
@@ -9,8 +9,8 @@
 use crate::compat::parts::{self, Parts};
 use crate::group::evidence::Evidence;
 use crate::group::heartbeats::Taken;
-use crate::group::keepers::Keeper;
 use crate::group::message::{FromMember, HallNews, Reply, Update};
+use crate::group::prefix_holders::PrefixHolder;
 use crate::link::{LinkError, Message};
 use crate::poison::Report;
 use crate::rollout::RolloutNews;
@@ -31,7 +31,7 @@
     halls: Option<Cow<'a, HallNews>>,
     rollouts: Option<Cow<'a, RolloutNews>>,
     evidence: Option<Cow<'a, [Evidence]>>,
-    keepers: Cow<'a, [Keeper]>,
+    keepers: Cow<'a, [PrefixHolder]>,
     mixes: Cow<'a, [RolloutMix]>,
     poison: Cow<'a, [Report]>,
 }
--- a/src/group/frames/to_member.rs
+++ b/src/group/frames/to_member.rs
@@ -10,8 +10,8 @@
 use crate::compat::parts::{self, Parts};
 use crate::directory::Announcement;
 use crate::group::evidence::{Evidence, Outcomes};
-use crate::group::keepers::Keeper;
 use crate::group::message::{Call, Subscription, ToMember};
+use crate::group::prefix_holders::PrefixHolder;
 use crate::level::Level;
 use crate::link::{LinkError, Message};
 use crate::parcel::ParcelId;
@@ -41,7 +41,7 @@
 #[derive(Serialize, Deserialize)]
 struct MemberSaw<'a> {
     evidence: Cow<'a, [Evidence]>,
-    keepers: Cow<'a, [Keeper]>,
+    keepers: Cow<'a, [PrefixHolder]>,
     tallies: Cow<'a, Tallies>,
 }
 
@@ -49,7 +49,7 @@
 #[derive(Serialize, Deserialize)]
 struct GatewaySaw<'a> {
     outcomes: Cow<'a, [Outcomes]>,
-    keepers: Cow<'a, [Keeper]>,
+    keepers: Cow<'a, [PrefixHolder]>,
     tallies: Cow<'a, Tallies>,
 }
 
--- a/src/group/heartbeats.rs
+++ b/src/group/heartbeats.rs
@@ -125,11 +125,11 @@
             let mut liveness = lock(&self.liveness);
             for announcement in announcements {
                 let announcement = announcement.at(level);
-                liveness.hear(now, announcement.key());
+                liveness.record_heartbeat(now, announcement.key());
                 let news = directory.judge(&announcement) == Heartbeat::News;
                 taken.push(if news { Taken::News } else { Taken::Known });
                 if news {
-                    let at_once = liveness.forming(now, &announcement.service, &directory);
+                    let at_once = liveness.is_forming(now, &announcement.service, &directory);
                     sights.push(Sight { announcement, at_once });
                 }
             }
@@ -162,14 +162,14 @@
         }
         let now = self.run_clock.ran();
         let mut liveness = lock(&self.liveness);
-        targets.iter().for_each(|target| liveness.hear(now, *target));
+        targets.iter().for_each(|target| liveness.record_heartbeat(now, *target));
         Reply::Done
     }
 
     /// Where targets best send their next heartbeat: here, since they reached this member.
     pub(super) fn own_door(&self) -> Option<SocketAddr> {
         let port = self.settings.listen?.port();
-        Some(SocketAddr::new(self.own.ip(), port))
+        Some(SocketAddr::new(self.own_addr.ip(), port))
     }
 }
 
--- a/src/group/incoming.rs
+++ b/src/group/incoming.rs
@@ -5,8 +5,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-use super::keepers::Teller;
 use super::message::{Call, FromMember, ToMember};
+use super::prefix_holders::ReportedBy;
 use super::{Shared, feed};
 use crate::link::{FrameSender, LinkError, frames};
 use crate::poison::Origin;
@@ -38,7 +38,7 @@
         match receiver.receive().await? {
             ToMember::Agreement { from, messages, knows } => {
                 if let Some(first) = messages.first() {
-                    lock(&shared.book).insert(first.from, from);
+                    lock(&shared.store_addrs).insert(first.from, from);
                     lock(&shared.readiness).hear(shared.now(), first.from, knows);
                 }
                 shared.member.deliver(messages);
@@ -47,13 +47,13 @@
                 lock(&shared.presence).hear(shared.run_clock.ran(), gateways);
             }
             ToMember::MemberLoads { from, loads, evidence, keepers, tallies } => {
-                lock(&shared.load_totals).hear_member(shared.now(), from, loads);
-                lock(&shared.evidence).hear_member(shared.now(), from, evidence);
-                lock(&shared.keepers).hear(shared.now(), Teller::Member, &keepers);
-                lock(&shared.rollouts).hear_member(from, tallies);
+                lock(&shared.load_totals).record_member(shared.now(), from, loads);
+                lock(&shared.evidence).record_member(shared.now(), from, evidence);
+                lock(&shared.prefix_holders).record(shared.now(), ReportedBy::Member, &keepers);
+                lock(&shared.rollouts).record_member(from, tallies);
             }
             ToMember::MemberPoison { reports, .. } => {
-                shared.hear_poison(Origin::Elsewhere, reports)?;
+                shared.record_poison(Origin::Elsewhere, reports)?;
             }
             ToMember::Loads { .. }
             | ToMember::Poison(_)
@@ -80,7 +80,7 @@
 }
 
 async fn answer(shared: Arc<Shared>, id: u64, call: Call, replies: mpsc::Sender<FromMember>) {
-    let reply = shared.carry_out(call).await;
+    let reply = shared.execute(call).await;
     let _ = replies.send(FromMember::Reply { id, reply }).await;
 }
 
--- a/src/group/liveness.rs
+++ b/src/group/liveness.rs
@@ -37,13 +37,18 @@
     }
 
     /// Notes a heartbeat of a target, by its short form.
-    pub(super) fn hear(&mut self, now: Duration, target: u64) {
+    pub(super) fn record_heartbeat(&mut self, now: Duration, target: u64) {
         self.heard.insert(target, now);
     }
 
     /// Whether a service has only just had its first target: then newcomers replace nobody, and
     /// need not wait for a home that somebody leaves.
-    pub(super) fn forming(&mut self, now: Duration, service: &str, directory: &Directory) -> bool {
+    pub(super) fn is_forming(
+        &mut self,
+        now: Duration,
+        service: &str,
+        directory: &Directory,
+    ) -> bool {
         if let Some(first) = self.first_seen.get(service) {
             return first.is_some_and(|first| now < first + self.waits_for_home);
         }
--- a/src/group/load_totals.rs
+++ b/src/group/load_totals.rs
@@ -24,7 +24,7 @@
 
 impl LoadTotals {
     /// A gateway connected here tells what it has in flight.
-    pub(super) fn hear_gateway(&mut self, now: Duration, gateway: &str, loads: Loads) {
+    pub(super) fn record_gateway(&mut self, now: Duration, gateway: &str, loads: Loads) {
         self.gateways.insert(gateway.to_owned(), Told { at: now, loads });
     }
 
@@ -34,24 +34,19 @@
     }
 
     /// Another member tells what its gateways have in flight.
-    pub(super) fn hear_member(&mut self, now: Duration, member: SocketAddr, loads: Loads) {
+    pub(super) fn record_member(&mut self, now: Duration, member: SocketAddr, loads: Loads) {
         self.members.insert(member, Told { at: now, loads });
     }
 
     /// What the gateways connected here have in flight, of words no older than `longest`.
-    pub(super) fn here(&mut self, now: Duration, longest: Duration) -> Loads {
+    pub(super) fn local(&mut self, now: Duration, longest: Duration) -> Loads {
         self.gateways.retain(|_, told| now < told.at + longest);
         sum(self.gateways.values())
     }
 
     /// What all gateways have in flight, of words no older than `longest`; may itself be as old as
     /// `slack`.
-    pub(super) fn everywhere(
-        &mut self,
-        now: Duration,
-        longest: Duration,
-        slack: Duration,
-    ) -> Loads {
+    pub(super) fn total(&mut self, now: Duration, longest: Duration, slack: Duration) -> Loads {
         if let Some(summed) = self.summed.as_ref().filter(|summed| now < summed.at + slack) {
             return summed.loads.clone();
         }
--- a/src/group/loads.rs
+++ b/src/group/loads.rs
@@ -126,6 +126,6 @@
 }
 
 /// How long a word about loads counts, under the same circumstances.
-pub fn loads_count_for(gateways: u32, targets: usize) -> Duration {
+pub fn loads_ttl(gateways: u32, targets: usize) -> Duration {
     SHORTEST_COUNT.max(loads_interval(gateways, targets) * 3)
 }
--- a/src/group/message.rs
+++ b/src/group/message.rs
@@ -7,8 +7,8 @@
 
 use super::evidence::{Evidence, Outcomes};
 use super::heartbeats::Taken;
-use super::keepers::Keeper;
 use super::loads::Loads;
+use super::prefix_holders::PrefixHolder;
 use crate::directory::Announcement;
 use crate::level::Level;
 use crate::parcel::ParcelId;
@@ -49,7 +49,7 @@
         /// How their attempts at targets went, where any failed.
         evidence: Vec<Evidence>,
         /// Targets that keep prompts, as they told since the last word.
-        keepers: Vec<Keeper>,
+        keepers: Vec<PrefixHolder>,
         /// What they saw of roll-outs under way, since the orders.
         tallies: Tallies,
     },
@@ -60,7 +60,7 @@
         /// How its attempts went since its last word.
         outcomes: Vec<Outcomes>,
         /// Targets that keep prompts, since its last word.
-        keepers: Vec<Keeper>,
+        keepers: Vec<PrefixHolder>,
         /// What it saw of roll-outs under way, since its last word.
         tallies: Tallies,
     },
@@ -212,7 +212,7 @@
     /// How attempts of all gateways at targets went, where any failed, when it is time for that.
     pub evidence: Option<Vec<Evidence>>,
     /// Targets that keep prompts, since the last word, when it is time for that.
-    pub keepers: Vec<Keeper>,
+    pub keepers: Vec<PrefixHolder>,
     /// What part of a service's requests each route has, for roll-outs under way, when it is time for that.
     pub mixes: Vec<RolloutMix>,
     /// Requests under which targets ended and that gateways are to know, since the last word.
--- a/src/group/metrics.rs
+++ b/src/group/metrics.rs
@@ -17,21 +17,21 @@
 
 /// The way of a large parcel to a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum ParcelWay {
+pub(super) enum BlobDelivery {
     /// Sent by this member.
     Sent,
     /// To be fetched from another gateway.
-    Named,
+    FromPeer,
     /// Not to be had from the gateway that was named.
-    NotPassedOn,
+    PeerFailed,
 }
 
-impl ParcelWay {
+impl BlobDelivery {
     fn label(self) -> &'static str {
         match self {
-            ParcelWay::Sent => "sent",
-            ParcelWay::Named => "named",
-            ParcelWay::NotPassedOn => "not_passed_on",
+            BlobDelivery::Sent => "sent",
+            BlobDelivery::FromPeer => "named",
+            BlobDelivery::PeerFailed => "not_passed_on",
         }
     }
 }
@@ -180,7 +180,7 @@
     }
 
     /// Counts a large parcel by the way that it went.
-    pub(super) fn large_parcel(&self, way: ParcelWay) {
+    pub(super) fn count_large_blob(&self, way: BlobDelivery) {
         self.large_parcels.with_label_values(&[way.label()]).inc();
     }
 
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -17,7 +17,6 @@
 mod frames;
 pub mod heartbeats;
 mod incoming;
-pub mod keepers;
 pub mod listing;
 mod liveness;
 mod load_totals;
@@ -28,6 +27,7 @@
 mod peers;
 mod poison;
 mod poison_file;
+pub mod prefix_holders;
 mod presence;
 pub mod propagation;
 mod push;
@@ -65,21 +65,21 @@
 use self::batches::Batches;
 use self::deltas::Deltas;
 use self::evacuation::Returns;
-use self::evidence::EvidenceBoard;
+use self::evidence::EvidenceTotals;
 use self::fan_out::FanOut;
 use self::heartbeats::Heard;
-use self::keepers::KeeperBoard;
 use self::liveness::Liveness;
 use self::load_totals::LoadTotals;
 use self::message::{Call, Reply};
 use self::metrics::MemberMetrics;
 use self::pacer::Pacer;
 use self::peers::Peers;
+use self::prefix_holders::PrefixHolderLog;
 use self::presence::Presence;
 use self::propagation::Propagation;
 use self::rollout::RolloutWatch;
 use self::settings::MemberSettings;
-use self::upgrade::Behind;
+use self::upgrade::GatewaysBehind;
 
 /// Longest time to wait for one member before the leader is looked up again.
 const ONE_TRY: Duration = Duration::from_millis(450);
@@ -122,13 +122,13 @@
     /// Where the seeds are reached by members.
     seeds: Mutex<Vec<SocketAddr>>,
     /// Where other members reach this one.
-    own: SocketAddr,
+    own_addr: SocketAddr,
     store: StoreId,
     member: Member,
     peers: Peers,
     dialect: SharedDialect,
     /// Where stores are reached, by their own word.
-    book: Mutex<HashMap<StoreId, SocketAddr>>,
+    store_addrs: Mutex<HashMap<StoreId, SocketAddr>>,
     presence: Mutex<Presence>,
     liveness: Mutex<Liveness>,
     archive: Mutex<Archive>,
@@ -144,27 +144,27 @@
     /// Which level each member knows.
     readiness: Mutex<Readiness>,
     /// Gateways here that know less than this build.
-    behind: Mutex<Behind>,
+    gateways_behind: Mutex<GatewaysBehind>,
     load_totals: Mutex<LoadTotals>,
-    evidence: Mutex<EvidenceBoard>,
-    keepers: Mutex<KeeperBoard>,
+    evidence: Mutex<EvidenceTotals>,
+    prefix_holders: Mutex<PrefixHolderLog>,
     heard: Mutex<Heard>,
     batches: Batches,
     refused_lines: Mutex<Sampler>,
     /// Requests under which targets ended, as all gateways tell.
     poison: Mutex<Board>,
     /// Last change of those that gateways are to know.
-    poison_news: watch::Sender<u64>,
+    poison_updates: watch::Sender<u64>,
     /// Wakes who tells the other members what gateways told here.
     poison_heard: Notify,
     /// Wakes who writes what is blocked.
     poison_turned: Notify,
     /// Of parcels that are sent along with signs of life.
-    pace_of_small: Pacer,
+    small_pacer: Pacer,
     /// Of large parcels that go to one gateway, which passes them on.
-    pace_of_large: Pacer,
+    large_pacer: Pacer,
     /// Of word of requests under which targets ended.
-    pace_of_poison: Pacer,
+    poison_pacer: Pacer,
     metrics: MemberMetrics,
     started: Instant,
     /// Time in which this process ran, by which others' silence counts.
@@ -206,12 +206,12 @@
             "founder" => founder.is_some(), "listen" => %listen, "peer" => %own);
         let heartbeat = Duration::from_millis(settings.target_heartbeat_ms);
         let shared = Arc::new(Shared {
-            own,
+            own_addr: own,
             store,
             member,
             peers: Peers::new(settings.source),
             dialect,
-            book: Mutex::default(),
+            store_addrs: Mutex::default(),
             presence: Mutex::default(),
             liveness: Mutex::new(Liveness::new(heartbeat)),
             archive: Mutex::default(),
@@ -223,21 +223,21 @@
             rollouts: Mutex::default(),
             formed_here: blank && founder == Some(store),
             readiness: Mutex::default(),
-            behind: Mutex::default(),
+            gateways_behind: Mutex::default(),
             load_totals: Mutex::default(),
             evidence: Mutex::default(),
-            keepers: Mutex::default(),
+            prefix_holders: Mutex::default(),
             heard: Mutex::default(),
             batches: Batches::default(),
             refused_lines: Mutex::default(),
             poison: Mutex::new(Board::new(Rule::default(), None)),
-            poison_news: watch::Sender::new(0),
+            poison_updates: watch::Sender::new(0),
             poison_heard: Notify::new(),
             poison_turned: Notify::new(),
-            pace_of_small: Pacer::new(settings.link_mbps, pacer::PART_FOR_SMALL),
-            pace_of_large: Pacer::new(settings.link_mbps, pacer::PART_FOR_LARGE)
+            small_pacer: Pacer::new(settings.link_mbps, pacer::PART_FOR_SMALL),
+            large_pacer: Pacer::new(settings.link_mbps, pacer::PART_FOR_LARGE)
                 .with_burst(pacer::BURST_FOR_LARGE),
-            pace_of_poison: Pacer::new(settings.link_mbps, pacer::PART_FOR_POISON)
+            poison_pacer: Pacer::new(settings.link_mbps, pacer::PART_FOR_POISON)
                 .with_burst(pacer::BURST_FOR_LARGE),
             metrics,
             started: Instant::now(),
@@ -373,7 +373,7 @@
             }
             let standing = self.member.standing();
             let reply = if standing.leads {
-                tokio::time::timeout(left, self.carry_out(call.clone())).await.ok()
+                tokio::time::timeout(left, self.execute(call.clone())).await.ok()
             } else if let Some(leader) = standing.leader {
                 self.peers.call(leader, call.clone(), left.min(ONE_TRY)).await.ok()
             } else {
@@ -388,7 +388,7 @@
     }
 
     /// Carries out a call as the leader.
-    async fn carry_out(&self, call: Call) -> Reply {
+    async fn execute(&self, call: Call) -> Reply {
         let standing = self.member.standing();
         if !standing.leads {
             return Reply::NotLeader(standing.leader);
@@ -400,7 +400,7 @@
             Call::ReadIndex => self.read_index().await,
             Call::Join { store, knows, .. } if !self.may_join(store, knows) => Reply::Unknown,
             Call::Join { store, addr, .. } => {
-                lock(&self.book).insert(store, addr);
+                lock(&self.store_addrs).insert(store, addr);
                 let joined = self.member.query(move |replica, now| replica.join(now, store, addr));
                 joined.await.map_or(Reply::Unknown, |()| Reply::Done)
             }
--- a/src/group/poison.rs
+++ b/src/group/poison.rs
@@ -43,21 +43,21 @@
 impl Shared {
     /// Takes what a gateway tells. Of ends only those count that it saw itself, so that it can accuse in no other's
     /// name.
-    pub(super) fn hear_poison_of(
+    pub(super) fn record_gateway_poison(
         &self,
         gateway: &str,
         mut word: Vec<Report>,
     ) -> Result<(), LinkError> {
         let by = Reporter::of(gateway);
         word.iter_mut().for_each(|report| report.ends.retain(|end| end.by == by));
-        self.hear_poison(Origin::Here, word)
+        self.record_poison(Origin::Here, word)
     }
 
     /// Takes what a gateway here or another member tells.
     ///
     /// # Errors
     /// [`LinkError::Garbled`] for a word that is longer than any may be.
-    pub(super) fn hear_poison(&self, origin: Origin, word: Vec<Report>) -> Result<(), LinkError> {
+    pub(super) fn record_poison(&self, origin: Origin, word: Vec<Report>) -> Result<(), LinkError> {
         if word.len() > MOST_IN_WORD {
             return Err(LinkError::Garbled);
         }
@@ -78,7 +78,7 @@
         self.metrics.poison_dropped.inc_by(board.take_dropped());
         let newest = board.newest_for_gateways();
         drop(board);
-        self.poison_news.send_if_modified(|known| std::mem::replace(known, newest) != newest);
+        self.poison_updates.send_if_modified(|known| std::mem::replace(known, newest) != newest);
         self.poison_heard.notify_one();
     }
 
@@ -118,13 +118,13 @@
                 break;
             }
             told = upto;
-            shared.tell_others(&ToMember::MemberPoison { from: shared.own, reports: word });
+            shared.broadcast(&ToMember::MemberPoison { from: shared.own_addr, reports: word });
         }
         if heard.is_err() {
             let (word, upto) = lock(&shared.poison).news_for_gateways(now, told_again);
             told_again = if word.is_empty() { 0 } else { upto };
             if !word.is_empty() {
-                shared.tell_others(&ToMember::MemberPoison { from: shared.own, reports: word });
+                shared.broadcast(&ToMember::MemberPoison { from: shared.own_addr, reports: word });
             }
         }
     }
--- a/src/group/keepers.rs
+++ b/src/group/prefix_holders.rs
@@ -17,7 +17,7 @@
 const PROMPT_BITS: u32 = 24;
 /// Most entries in a word, eight bytes each: at 300 gateways over five members, each told three times a second, 6% of a
 /// member's link of 6 Mbit/s (by computation).
-pub const MOST_IN_WORD: usize = 32;
+pub const MAX_HOLDERS_PER_MESSAGE: usize = 32;
 /// Most entries that a member holds for those that it has not told yet: 32 words, more than go out in the time for which
 /// entries are held where gateways are many.
 const MOST_HELD: usize = 1_024;
@@ -37,7 +37,7 @@
 
 /// A target that keeps the shared parts of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Keeper {
+pub struct PrefixHolder {
     /// The prompt.
     pub prompt: PromptKey,
     /// The target.
@@ -46,7 +46,7 @@
 
 /// Who told a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Teller {
+pub enum ReportedBy {
     /// A gateway that is connected to it.
     Gateway,
     /// Another member.
@@ -55,29 +55,29 @@
 
 /// Up to where a reader has been told.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told(u64);
+pub struct ReadPosition(u64);
 
 /// An entry, and how it came.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     at: Duration,
-    by: Teller,
-    keeper: Keeper,
+    by: ReportedBy,
+    keeper: PrefixHolder,
 }
 
 /// What a member was told lately, in the order in which it came.
 #[derive(Debug, Default)]
-pub struct KeeperBoard {
+pub struct PrefixHolderLog {
     /// Entries that were dropped before the first that is held.
     dropped: u64,
     entries: VecDeque<Entry>,
 }
 
-impl KeeperBoard {
+impl PrefixHolderLog {
     /// Takes entries; those that are held already are left out.
-    pub fn hear(&mut self, now: Duration, by: Teller, word: &[Keeper]) {
+    pub fn record(&mut self, now: Duration, by: ReportedBy, word: &[PrefixHolder]) {
         self.drop_old(now);
-        for keeper in word.iter().take(MOST_IN_WORD) {
+        for keeper in word.iter().take(MAX_HOLDERS_PER_MESSAGE) {
             if self.entries.iter().any(|entry| entry.keeper == *keeper) {
                 continue;
             }
@@ -89,22 +89,35 @@
     }
 
     /// The next word for a gateway.
-    pub fn next_for_gateway(&mut self, now: Duration, told: &mut Told) -> Vec<Keeper> {
+    pub fn next_for_gateway(
+        &mut self,
+        now: Duration,
+        told: &mut ReadPosition,
+    ) -> Vec<PrefixHolder> {
         self.next(now, told, |_| true)
     }
 
     /// The next word for other members: what gateways told here.
-    pub fn next_for_members(&mut self, now: Duration, told: &mut Told) -> Vec<Keeper> {
-        self.next(now, told, |by| by == Teller::Gateway)
+    pub fn next_for_members(
+        &mut self,
+        now: Duration,
+        told: &mut ReadPosition,
+    ) -> Vec<PrefixHolder> {
+        self.next(now, told, |by| by == ReportedBy::Gateway)
     }
 
-    fn next(&mut self, now: Duration, told: &mut Told, wanted: fn(Teller) -> bool) -> Vec<Keeper> {
+    fn next(
+        &mut self,
+        now: Duration,
+        told: &mut ReadPosition,
+        wanted: fn(ReportedBy) -> bool,
+    ) -> Vec<PrefixHolder> {
         self.drop_old(now);
         let from = told.0.saturating_sub(self.dropped) as usize;
         let mut word = Vec::new();
         let mut passed = from;
         for entry in self.entries.iter().skip(from) {
-            if word.len() == MOST_IN_WORD {
+            if word.len() == MAX_HOLDERS_PER_MESSAGE {
                 break;
             }
             passed += 1;
--- a/src/group/push.rs
+++ b/src/group/push.rs
@@ -16,7 +16,7 @@
 use super::fan_out::Neighbour;
 use super::loads::Loads;
 use super::message::{Elsewhere, FromMember, HallNews, Subscription, Update};
-use super::metrics::ParcelWay;
+use super::metrics::BlobDelivery;
 use super::pacer::Turn;
 use crate::clock::Instant;
 use crate::control::member::Published;
@@ -86,7 +86,7 @@
     /// Sends until the connection ends.
     pub(super) async fn run(&mut self, mut words: mpsc::Receiver<Word>) -> Result<(), LinkError> {
         let mut published = self.shared.member.published();
-        let mut poison = self.shared.poison_news.subscribe();
+        let mut poison = self.shared.poison_updates.subscribe();
         loop {
             let known_poison = *poison.borrow_and_update();
             let lacked = self.lacked_now(&published.borrow_and_update())?;
@@ -135,7 +135,7 @@
 
     /// Queues for a turn to send a large parcel, or leaves the queue.
     fn await_turn(&mut self, wanted: bool) {
-        let pacer = &self.shared.pace_of_large;
+        let pacer = &self.shared.large_pacer;
         match wanted {
             true if self.turn.is_none() => self.turn = Some(Box::pin(pacer.turn())),
             true => {}
@@ -146,7 +146,7 @@
     /// Queues for a turn to tell of requests under which targets ended, which nothing else has to wait for.
     fn await_poison_turn(&mut self, wanted: bool) {
         if wanted && self.poison_turn.is_none() {
-            self.poison_turn = Some(Box::pin(self.shared.pace_of_poison.turn()));
+            self.poison_turn = Some(Box::pin(self.shared.poison_pacer.turn()));
         }
     }
 
@@ -206,7 +206,7 @@
         if !self.lacks_evacuations() {
             return None;
         }
-        let news = self.shared.hall_news();
+        let news = self.shared.evacuations_update();
         self.cursor.evacuations = Some(news.revision);
         Some(news)
     }
@@ -222,7 +222,7 @@
         if !self.lacks_rollouts() {
             return None;
         }
-        let news = self.shared.rollout_news();
+        let news = self.shared.rollouts_update();
         self.cursor.rollouts = Some(news.revision);
         Some(news)
     }
@@ -241,7 +241,7 @@
     async fn tell_neighbour(&mut self, large: &Piece, at: SocketAddr) -> Result<(), LinkError> {
         let parcel = large.parcel.id();
         self.cursor.loan = Some(Loan { parcel, from: at, brings: large.brings });
-        self.shared.metrics.large_parcel(ParcelWay::Named);
+        self.shared.metrics.count_large_blob(BlobDelivery::FromPeer);
         let elsewhere = Some(Elsewhere { parcel, at });
         let update = Update { elsewhere, ..self.sign() };
         self.send(update).await
@@ -254,7 +254,7 @@
             return Ok(());
         };
         self.cursor.advance(large.brings);
-        self.shared.metrics.large_parcel(ParcelWay::Sent);
+        self.shared.metrics.count_large_blob(BlobDelivery::Sent);
         turn.spend(large.parcel.bytes().len());
         let parcels = vec![large.parcel.bytes().clone()];
         let update = Update { parcels, ..self.sign() };
@@ -263,7 +263,7 @@
 
     /// Sends all that is small and the gateway lacks, in its turn.
     async fn tell_small(&mut self) -> Result<(), LinkError> {
-        let turn = self.shared.pace_of_small.turn().await;
+        let turn = self.shared.small_pacer.turn().await;
         let published = self.shared.published();
         let small = if self.looks { Vec::new() } else { self.lacked(&published)?.small };
         for piece in &small {
@@ -306,9 +306,11 @@
         let version = self.shared.member.published().borrow().version();
         let (halls, rollouts) = (self.next_halls(), self.next_rollouts());
         let slack = self.shared.loads_interval() / 4;
-        let evidence = loads.is_some().then(|| lock(&self.shared.evidence).everywhere(now, slack));
+        let evidence = loads.is_some().then(|| lock(&self.shared.evidence).total(now, slack));
         let keepers = match loads {
-            Some(_) => lock(&self.shared.keepers).next_for_gateway(now, &mut self.cursor.keepers),
+            Some(_) => {
+                lock(&self.shared.prefix_holders).next_for_gateway(now, &mut self.cursor.keepers)
+            }
             None => Vec::new(),
         };
         let mixes = loads.as_ref().map(|_| lock(&self.shared.rollouts).mixes());
@@ -324,9 +326,9 @@
             return None;
         }
         self.cursor.loads_at = now + self.shared.loads_interval();
-        let longest = self.shared.loads_count_for();
+        let longest = self.shared.loads_ttl();
         let slack = self.shared.loads_interval() / 4;
-        let loads = lock(&self.shared.load_totals).everywhere(now, longest, slack);
+        let loads = lock(&self.shared.load_totals).total(now, longest, slack);
         self.cursor.idle = loads.is_empty();
         Some(loads)
     }
@@ -345,7 +347,7 @@
                 fan_out.passed_on(parcel, loan.from);
             } else {
                 fan_out.failed(parcel, loan.from);
-                shared.metrics.large_parcel(ParcelWay::NotPassedOn);
+                shared.metrics.count_large_blob(BlobDelivery::PeerFailed);
                 info!(shared.log, "parcel not passed on"; "event" => "not_passed_on",
                     "from" => %loan.from, "to" => &self.gateway, "brings" => ?loan.brings);
             }
--- a/src/group/rollout.rs
+++ b/src/group/rollout.rs
@@ -91,13 +91,13 @@
 
 impl RolloutWatch {
     /// Gateways connected here tell what they saw since their last word.
-    pub(super) fn hear_gateway(&mut self, tallies: &Tallies) {
+    pub(super) fn record_gateway(&mut self, tallies: &Tallies) {
         self.here.add(tallies);
         self.note_full(tallies);
     }
 
     /// Another member tells all that its gateways saw.
-    pub(super) fn hear_member(&mut self, member: SocketAddr, tallies: Tallies) {
+    pub(super) fn record_member(&mut self, member: SocketAddr, tallies: Tallies) {
         if !tallies.is_empty() {
             self.note_full(&tallies);
             self.members.insert(member, tallies);
@@ -112,7 +112,7 @@
     }
 
     /// All that the gateways connected here saw.
-    pub(super) fn here(&self) -> Tallies {
+    pub(super) fn local(&self) -> Tallies {
         self.here.clone()
     }
 
@@ -268,7 +268,7 @@
     }
 
     /// Roll-outs, for a gateway.
-    pub(super) fn rollout_news(&self) -> RolloutNews {
+    pub(super) fn rollouts_update(&self) -> RolloutNews {
         self.member.published().borrow().rollouts.news()
     }
 
@@ -329,8 +329,8 @@
         if rollout.stage != Stage::Shifted {
             return 0;
         }
-        let longest = self.loads_count_for();
-        let loads = lock(&self.load_totals).everywhere(self.now(), longest, Duration::ZERO);
+        let longest = self.loads_ttl();
+        let loads = lock(&self.load_totals).total(self.now(), longest, Duration::ZERO);
         let loads: HashMap<LoadKey, u32> =
             loads.all().iter().map(|load| (load.target, load.requests)).collect();
         let old = published.directory.targets().filter(|target| {
--- a/src/group/upgrade.rs
+++ b/src/group/upgrade.rs
@@ -25,7 +25,7 @@
 
 /// Gateways that know less than this build.
 #[derive(Debug, Default)]
-pub(super) struct Behind(HashMap<String, Gateway>);
+pub(super) struct GatewaysBehind(HashMap<String, Gateway>);
 
 #[derive(Debug)]
 struct Gateway {
@@ -34,7 +34,7 @@
     left_at: Duration,
 }
 
-impl Behind {
+impl GatewaysBehind {
     /// A gateway connected.
     pub(super) fn connect(&mut self, gateway: &str, knows: Level) {
         if knows >= Level::NEWEST {
@@ -78,12 +78,12 @@
 
     /// Level that this member and the gateways connected to it know.
     pub(super) fn knows(&self) -> Level {
-        lock(&self.behind).lowest(self.now())
+        lock(&self.gateways_behind).lowest(self.now())
     }
 
     /// Gateways here that know less than this build.
     pub(super) fn gateways_behind(&self) -> usize {
-        lock(&self.behind).len()
+        lock(&self.gateways_behind).len()
     }
 
     /// Whether a store that knows a level may join the group.
--- a/tests/compat/frames.rs
+++ b/tests/compat/frames.rs
@@ -7,11 +7,11 @@
 use latchmount::directory::DirectoryDelta;
 use latchmount::group::evidence::{Evidence, Outcomes};
 use latchmount::group::heartbeats::Taken;
-use latchmount::group::keepers::{Keeper, PromptKey};
 use latchmount::group::loads::LoadKey;
 use latchmount::group::message::{
     Call, Evacuation, FromMember, HallNews, HallState, Reply, Subscription, ToMember, Update,
 };
+use latchmount::group::prefix_holders::{PrefixHolder, PromptKey};
 use latchmount::level::Level;
 use latchmount::link::Message;
 use latchmount::parcel::{Content, Parcel};
@@ -136,7 +136,7 @@
     let announced = vec![start("t1", 7), start("t2", 8)];
     let member = ([10, 0, 0, 1], 7420).into();
     let target = LoadKey::of(1 << 50);
-    let keepers = vec![Keeper { prompt: PromptKey::of(1 << 60), target }];
+    let keepers = vec![PrefixHolder { prompt: PromptKey::of(1 << 60), target }];
     let evidence = vec![Evidence { target, failed: 1.5, answered: 2.0, reporters: 2 }];
     let outcomes = vec![Outcomes { target, failed: 1, answered: 2 }];
     let subscription = samples::to_member().pop().map(|(_, message)| message);
@@ -189,7 +189,7 @@
         halls: Some(HallNews { revision: 11, halls }),
         rollouts: Some(RolloutNews { revision: 12, rollouts: vec![told] }),
         evidence: Some(vec![Evidence { target, failed: 1.5, answered: 2.0, reporters: 2 }]),
-        keepers: vec![Keeper { prompt: PromptKey::of(1 << 60), target }],
+        keepers: vec![PrefixHolder { prompt: PromptKey::of(1 << 60), target }],
         mixes: vec![RolloutMix { rollout: 12, mix: Mix(vec![share]) }],
         poison: vec![report()],
         ..Update::default()
--- a/tests/gateway/evidence.rs
+++ b/tests/gateway/evidence.rs
@@ -6,7 +6,7 @@
 
 use latchmount::gateway::evidence::{Verdict, judge, spread, tally};
 use latchmount::gateway::health::{AttemptOutcome, Health, Tally};
-use latchmount::group::evidence::{Evidence, EvidenceBoard, Outcomes};
+use latchmount::group::evidence::{Evidence, EvidenceTotals, Outcomes};
 use latchmount::group::loads::LoadKey;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -46,7 +46,7 @@
     targets: usize,
     health: Vec<Vec<Health>>,
     untold: Vec<HashMap<usize, (u32, u32)>>,
-    boards: Vec<EvidenceBoard>,
+    boards: Vec<EvidenceTotals>,
     shares: bool,
     keep_prompts: bool,
 }
@@ -58,7 +58,7 @@
             targets,
             health: vec![vec![Health::default(); targets]; GATEWAYS],
             untold: vec![HashMap::new(); GATEWAYS],
-            boards: (0..MEMBERS).map(|_| EvidenceBoard::default()).collect(),
+            boards: (0..MEMBERS).map(|_| EvidenceTotals::default()).collect(),
             shares,
             keep_prompts: targets > 4,
         }
@@ -111,7 +111,7 @@
 
     /// Gateways tell their members, members each other what they heard before, and then their gateways.
     fn exchange(&mut self, now: Duration) {
-        let heard: Vec<_> = self.boards.iter_mut().map(|board| board.here(now)).collect();
+        let heard: Vec<_> = self.boards.iter_mut().map(|board| board.local(now)).collect();
         for gateway in 0..GATEWAYS {
             let untold = std::mem::take(&mut self.untold[gateway]);
             let outcomes = untold.into_iter().map(|(target, (failed, answered))| Outcomes {
@@ -120,12 +120,12 @@
                 answered,
             });
             let outcomes: Vec<Outcomes> = outcomes.collect();
-            self.boards[gateway % MEMBERS].hear_gateway(now, &gateway.to_string(), &outcomes);
+            self.boards[gateway % MEMBERS].record_gateway(now, &gateway.to_string(), &outcomes);
         }
         for (at, word) in heard.iter().enumerate() {
             for (other, board) in self.boards.iter_mut().enumerate() {
                 if other != at {
-                    board.hear_member(
+                    board.record_member(
                         now,
                         SocketAddr::from(([10, 0, 0, at as u8], 1)),
                         word.clone(),
@@ -134,7 +134,7 @@
             }
         }
         for gateway in 0..GATEWAYS {
-            let word = self.boards[gateway % MEMBERS].everywhere(now, Duration::ZERO);
+            let word = self.boards[gateway % MEMBERS].total(now, Duration::ZERO);
             self.take(now, gateway, &word);
         }
     }
@@ -184,19 +184,19 @@
 #[test]
 fn one_gateway_alone_has_no_target_left_whatever_it_says() {
     let now = secs(1.0);
-    let mut board = EvidenceBoard::default();
+    let mut board = EvidenceTotals::default();
     let outcomes = [Outcomes { target: key(0), failed: 1_000, answered: 0 }];
-    board.hear_gateway(now, "a liar", &outcomes);
-    let word = board.everywhere(now, Duration::ZERO);
+    board.record_gateway(now, "a liar", &outcomes);
+    let word = board.total(now, Duration::ZERO);
     assert!(word[0].failed <= 3.0 && word[0].reporters == 1, "{word:?}");
     let others = [tally(now, None); 3];
     assert_eq!(judge(now, &word[0], &others, false), Verdict::Stay);
     // Beside answers that others had it counts for three failures.
     for gateway in 0..12 {
         let outcomes = [Outcomes { target: key(0), failed: 0, answered: 3 }];
-        board.hear_gateway(now, &gateway.to_string(), &outcomes);
+        board.record_gateway(now, &gateway.to_string(), &outcomes);
     }
-    let word = board.everywhere(now, Duration::ZERO);
+    let word = board.total(now, Duration::ZERO);
     assert!(tally(now, Some(&word[0])).failure_rate() < 0.1, "{word:?}");
 }
 
@@ -214,14 +214,14 @@
 #[test]
 fn where_too_many_targets_fail_nothing_is_told() {
     let now = secs(1.0);
-    let mut board = EvidenceBoard::default();
+    let mut board = EvidenceTotals::default();
     for target in 0..200 {
         let outcomes = [Outcomes { target: key(target), failed: 2, answered: 0 }];
-        board.hear_gateway(now, &(target % 5).to_string(), &outcomes);
+        board.record_gateway(now, &(target % 5).to_string(), &outcomes);
     }
-    assert!(board.everywhere(now, Duration::ZERO).is_empty());
+    assert!(board.total(now, Duration::ZERO).is_empty());
     // What was told long ago counts no more.
-    assert!(board.here(now + secs(20.0)).is_empty());
+    assert!(board.local(now + secs(20.0)).is_empty());
 }
 
 /// At another target they are read again.
--- a/tests/gateway/keepers.rs
+++ b/tests/gateway/keepers.rs
@@ -5,8 +5,10 @@
 
 use latchmount::gateway::balance::{Affinity, expected_keeper};
 use latchmount::gateway::keepers::Keepers;
-use latchmount::group::keepers::{Keeper, KeeperBoard, MOST_IN_WORD, PromptKey, Teller, Told};
 use latchmount::group::loads::LoadKey;
+use latchmount::group::prefix_holders::{
+    MAX_HOLDERS_PER_MESSAGE, PrefixHolder, PrefixHolderLog, PromptKey, ReadPosition, ReportedBy,
+};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -28,8 +30,8 @@
     Duration::from_millis(ms)
 }
 
-fn keeper(prompt: u64, target: u64) -> Keeper {
-    Keeper { prompt: PromptKey::of(prompt << 40), target: LoadKey::of(target << 40) }
+fn keeper(prompt: u64, target: u64) -> PrefixHolder {
+    PrefixHolder { prompt: PromptKey::of(prompt << 40), target: LoadKey::of(target << 40) }
 }
 
 fn targets(keepers: &Keepers, now: Duration, prompt: u64) -> Vec<LoadKey> {
@@ -42,24 +44,25 @@
 fn every_reader_is_told_everything_once() {
     let seed = seeds::seed();
     let mut rng = StdRng::seed_from_u64(seed);
-    let mut board = KeeperBoard::default();
-    let mut readers = [(Told::default(), Vec::new()), (Told::default(), Vec::new())];
-    let mut members = (Told::default(), Vec::new());
+    let mut board = PrefixHolderLog::default();
+    let mut readers =
+        [(ReadPosition::default(), Vec::new()), (ReadPosition::default(), Vec::new())];
+    let mut members = (ReadPosition::default(), Vec::new());
     let (mut all, mut here) = (Vec::new(), Vec::new());
     for step in 0..2_000_u64 {
         let now = ms(step * 50);
         if rng.random_bool(0.5) {
-            let by = if rng.random_bool(0.5) { Teller::Gateway } else { Teller::Member };
+            let by = if rng.random_bool(0.5) { ReportedBy::Gateway } else { ReportedBy::Member };
             let word = vec![keeper(step, rng.random_range(0..TARGETS))];
-            board.hear(now, by, &word);
+            board.record(now, by, &word);
             all.extend(&word);
-            if by == Teller::Gateway {
+            if by == ReportedBy::Gateway {
                 here.extend(&word);
             }
         }
         let reader = &mut readers[rng.random_range(0..2)];
         let word = board.next_for_gateway(now, &mut reader.0);
-        assert!(word.len() <= MOST_IN_WORD, "seed {seed}");
+        assert!(word.len() <= MAX_HOLDERS_PER_MESSAGE, "seed {seed}");
         reader.1.extend(word);
         members.1.extend(board.next_for_members(now, &mut members.0));
     }
@@ -72,16 +75,16 @@
 
 #[test]
 fn a_board_holds_a_bounded_number_for_a_bounded_time_and_nothing_twice() {
-    let mut board = KeeperBoard::default();
+    let mut board = PrefixHolderLog::default();
     for prompt in 0..5_000 {
-        board.hear(ms(prompt / 10), Teller::Gateway, &[keeper(prompt, 1), keeper(prompt, 1)]);
+        board.record(ms(prompt / 10), ReportedBy::Gateway, &[keeper(prompt, 1), keeper(prompt, 1)]);
     }
-    let told = &mut Told::default();
+    let told = &mut ReadPosition::default();
     let words = std::iter::repeat_with(|| board.next_for_gateway(ms(500), told));
-    let heard: Vec<Keeper> = words.take_while(|word| !word.is_empty()).flatten().collect();
+    let heard: Vec<PrefixHolder> = words.take_while(|word| !word.is_empty()).flatten().collect();
     assert!(heard.len() <= 1_024, "{}", heard.len());
     assert_eq!(heard.last(), Some(&keeper(4_999, 1)));
-    assert_eq!(board.next_for_gateway(ms(60_000), &mut Told::default()), []);
+    assert_eq!(board.next_for_gateway(ms(60_000), &mut ReadPosition::default()), []);
 }
 
 #[test]
@@ -112,14 +115,14 @@
 /// gateway's memory stay bounded.
 #[test]
 fn a_liar_is_bounded() {
-    let (mut board, mut keepers) = (KeeperBoard::default(), Keepers::default());
-    let lies: Vec<Keeper> = (0..100_000).map(|prompt| keeper(prompt, 3)).collect();
-    board.hear(ms(0), Teller::Gateway, &lies);
-    let told = &mut Told::default();
-    assert_eq!(board.next_for_gateway(ms(1), told).len(), MOST_IN_WORD);
+    let (mut board, mut keepers) = (PrefixHolderLog::default(), Keepers::default());
+    let lies: Vec<PrefixHolder> = (0..100_000).map(|prompt| keeper(prompt, 3)).collect();
+    board.record(ms(0), ReportedBy::Gateway, &lies);
+    let told = &mut ReadPosition::default();
+    assert_eq!(board.next_for_gateway(ms(1), told).len(), MAX_HOLDERS_PER_MESSAGE);
     assert_eq!(board.next_for_gateway(ms(1), told).len(), 0);
     lies.iter().for_each(|lie| keepers.note_read(ms(0), *lie));
-    assert_eq!(keepers.tell().len(), MOST_IN_WORD);
+    assert_eq!(keepers.tell().len(), MAX_HOLDERS_PER_MESSAGE);
     let known = (0..100_000).filter(|prompt| !targets(&keepers, ms(1), *prompt).is_empty());
     assert!(known.count() <= 8_192);
 }
@@ -145,9 +148,10 @@
 fn play(seed: u64, tells: bool) -> Play {
     let mut rng = StdRng::seed_from_u64(seed);
     let mut gateways: Vec<Keepers> = (0..GATEWAYS).map(|_| Keepers::default()).collect();
-    let mut boards: Vec<KeeperBoard> = (0..MEMBERS).map(|_| KeeperBoard::default()).collect();
-    let mut told_gateways = vec![Told::default(); GATEWAYS];
-    let mut told_members = [Told::default(); MEMBERS];
+    let mut boards: Vec<PrefixHolderLog> =
+        (0..MEMBERS).map(|_| PrefixHolderLog::default()).collect();
+    let mut told_gateways = vec![ReadPosition::default(); GATEWAYS];
+    let mut told_members = [ReadPosition::default(); MEMBERS];
     let mut kept: HashSet<(u64, u64)> = HashSet::new();
     let mut played = Play { misses: 0, named: 0 };
     for at in (0..LASTS * 1_000).step_by(WORD_MS as usize) {
@@ -173,12 +177,12 @@
             }
         }
         for (gateway, keepers) in gateways.iter_mut().enumerate() {
-            boards[gateway % MEMBERS].hear(now, Teller::Gateway, &keepers.tell());
+            boards[gateway % MEMBERS].record(now, ReportedBy::Gateway, &keepers.tell());
         }
         for member in 0..MEMBERS {
             let word = boards[member].next_for_members(now, &mut told_members[member]);
             for other in (0..MEMBERS).filter(|other| *other != member) {
-                boards[other].hear(now, Teller::Member, &word);
+                boards[other].record(now, ReportedBy::Member, &word);
             }
         }
         for (gateway, keepers) in gateways.iter_mut().enumerate() {
