--- a/src/group/evidence.rs
+++ b/src/group/evidence.rs
@@ -1,9 +1,10 @@
-//! How attempts at targets went, over all gateways.
+//! Outcomes of attempts at each target, summed over all gateways.
 //!
-//! A gateway meets each of a hundred targets once in many seconds, so that it learns late, at its own cost, what
-//! others know. Gateways tell their members with the loads how their attempts went; members add up, tell each
-//! other, and tell gateways of the targets at which attempts failed. What one gateway says counts little, since it
-//! may be cut off itself, or wrong.
+//! With a hundred targets, a gateway sends to each of them only once in many seconds. By itself it would notice a
+//! failing target late, and by failed attempts of its own, while other gateways have seen the failures already.
+//! Gateways report the outcomes of their attempts to their member along with their loads; members sum them, exchange
+//! the sums, and send gateways those of the targets at which attempts failed. The weight of a single gateway is
+//! bounded, since it may itself be cut off from the targets or report wrong numbers.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,145 +14,148 @@
 
 use super::loads::LoadKey;
 
-/// Time in which what was told counts half: at seven requests a second for a target some ten outcomes count.
+/// Time after which an outcome counts half: at seven requests a second for a target, about ten outcomes count.
 const HALF_LIFE: Duration = Duration::from_millis(700);
-/// Most failures at a target that one gateway's word counts for.
-const MOST_OF_ONE: f64 = 3.0;
-/// Failures, as they count, below which a target is not told of any more.
-const TOLD_FROM: f64 = 0.1;
-/// Most targets in a word, some 10 bytes each. Where more fail, much fails alike and nothing is won by leaving any.
-const MOST_TOLD: usize = 64;
-/// How long another member's word counts.
-const MEMBER_COUNTS_FOR: Duration = Duration::from_millis(2_000);
-
-/// How a gateway's attempts at a target went since its last word.
+/// Maximum number of failures at a target that count from one gateway.
+const MAX_FAILURES_PER_GATEWAY: f64 = 3.0;
+/// Decayed number of failures below which a target is no longer reported.
+const MIN_COUNT: f64 = 0.1;
+/// Maximum number of targets in a message, about 10 bytes each. When more fail, the cause is common to many of them, and
+/// avoiding some targets gains nothing.
+const MAX_TARGETS: usize = 64;
+/// How long the last report of another member counts.
+const MEMBER_REPORT_TTL: Duration = Duration::from_millis(2_000);
+
+/// Outcomes of a gateway's attempts at a target since its last report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcomes {
     /// The target.
     pub target: LoadKey,
     /// Attempts that failed.
     pub failed: u32,
-    /// Attempts that were answered.
+    /// Attempts that the target answered.
     pub answered: u32,
 }
 
-/// How attempts at a target went lately.
+/// Recent outcomes of attempts at a target, summed over gateways and decayed by age.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Evidence {
     /// The target.
     pub target: LoadKey,
-    /// Attempts that failed, the older the less they count.
+    /// Attempts that failed, decayed with `HALF_LIFE`.
     pub failed: f32,
-    /// Attempts that were answered, likewise.
+    /// Attempts that the target answered, decayed likewise.
     pub answered: f32,
-    /// Gateways at which attempts failed lately.
+    /// Number of gateways whose attempts failed recently.
     pub reporters: u16,
 }
 
-/// What a member tells of the targets at which attempts failed; empty where too many do.
-pub type Word = Vec<Evidence>;
+/// Evidence on the targets at which attempts failed, as a member sends it; empty when more than `MAX_TARGETS` fail.
+pub type EvidenceList = Vec<Evidence>;
 
-/// What one gateway told of one target.
+/// Decayed outcomes of one gateway at one target.
 #[derive(Clone, Copy, Debug, Default)]
-struct Told {
+struct Tally {
     at: Duration,
     failed: f64,
     answered: f64,
 }
 
-impl Told {
-    fn as_of(self, now: Duration) -> Told {
-        let kept = kept_after(now.saturating_sub(self.at));
-        Told { at: now, failed: self.failed * kept, answered: self.answered * kept }
+impl Tally {
+    fn decayed_to(self, now: Duration) -> Tally {
+        let factor = decay(now.saturating_sub(self.at));
+        Tally { at: now, failed: self.failed * factor, answered: self.answered * factor }
     }
 }
 
-/// Part of what was told that still counts after so long.
-fn kept_after(time: Duration) -> f64 {
-    0.5_f64.powf(time.as_secs_f64() / HALF_LIFE.as_secs_f64())
+/// Fraction of an outcome that still counts at this age.
+fn decay(age: Duration) -> f64 {
+    0.5_f64.powf(age.as_secs_f64() / HALF_LIFE.as_secs_f64())
 }
 
-/// What is known of one target by the gateways of this member.
+/// Outcomes at one target, as the gateways connected to this member reported them.
 #[derive(Debug, Default)]
 struct Record {
-    by_gateway: HashMap<String, Told>,
+    by_gateway: HashMap<String, Tally>,
 }
 
-/// How attempts went, as the gateways connected here and the other members tell.
+/// Outcomes of attempts as reported by the gateways connected here and by the other members.
 #[derive(Debug, Default)]
 pub struct EvidenceTotals {
-    here: HashMap<LoadKey, Record>,
-    members: HashMap<SocketAddr, (Duration, Word)>,
-    /// The last word over all, and when it was made, for gateways that are told at about the same time.
-    summed: Option<(Duration, Word)>,
+    local: HashMap<LoadKey, Record>,
+    members: HashMap<SocketAddr, (Duration, EvidenceList)>,
+    /// The last total and its time, reused for gateways that are sent one shortly after.
+    cached_total: Option<(Duration, EvidenceList)>,
 }
 
 impl EvidenceTotals {
-    /// A gateway connected here tells how its attempts went.
+    /// Adds a report of a gateway that is connected here.
     pub fn record_gateway(&mut self, now: Duration, gateway: &str, outcomes: &[Outcomes]) {
         for outcome in outcomes {
-            let record = self.here.entry(outcome.target).or_default();
-            let told = record.by_gateway.entry(gateway.to_owned()).or_default();
-            *told = told.as_of(now);
-            told.failed = (told.failed + f64::from(outcome.failed)).min(MOST_OF_ONE);
-            told.answered += f64::from(outcome.answered);
+            let record = self.local.entry(outcome.target).or_default();
+            let tally = record.by_gateway.entry(gateway.to_owned()).or_default();
+            *tally = tally.decayed_to(now);
+            tally.failed = (tally.failed + f64::from(outcome.failed)).min(MAX_FAILURES_PER_GATEWAY);
+            tally.answered += f64::from(outcome.answered);
         }
     }
 
-    /// Another member tells what its gateways saw.
-    pub fn record_member(&mut self, now: Duration, member: SocketAddr, word: Word) {
-        self.members.insert(member, (now, word));
+    /// Replaces the last report of another member, which covers the gateways connected to it.
+    pub fn record_member(&mut self, now: Duration, member: SocketAddr, evidence: EvidenceList) {
+        self.members.insert(member, (now, evidence));
     }
 
-    /// What the gateways connected here saw of the targets at which attempts failed; of too many, just more than
-    /// are told of.
-    pub fn local(&mut self, now: Duration) -> Word {
-        self.here.retain(|_, record| {
-            record.by_gateway.retain(|_, told| {
-                let told = told.as_of(now);
-                told.failed + told.answered >= TOLD_FROM
+    /// Evidence of the gateways connected here on the targets at which attempts failed. Where more than `MAX_TARGETS`
+    /// fail, the list has one target more than that, so that the other members see that there are too many.
+    pub fn local(&mut self, now: Duration) -> EvidenceList {
+        self.local.retain(|_, record| {
+            record.by_gateway.retain(|_, tally| {
+                let tally = tally.decayed_to(now);
+                tally.failed + tally.answered >= MIN_COUNT
             });
             !record.by_gateway.is_empty()
         });
-        let word = self.here.iter().filter_map(|(target, record)| record.evidence(now, *target));
-        word.take(MOST_TOLD + 1).collect()
+        let failing =
+            self.local.iter().filter_map(|(target, record)| record.evidence(now, *target));
+        failing.take(MAX_TARGETS + 1).collect()
     }
 
-    /// The same over all gateways, at most `slack` old; nothing where too many targets fail.
-    pub fn total(&mut self, now: Duration, slack: Duration) -> Word {
-        if let Some((_, word)) = self.summed.as_ref().filter(|(at, _)| now < *at + slack) {
-            return word.clone();
+    /// The same over all gateways, at most `max_age` old; empty when more than `MAX_TARGETS` targets fail.
+    pub fn total(&mut self, now: Duration, max_age: Duration) -> EvidenceList {
+        if let Some((_, total)) = self.cached_total.as_ref().filter(|(at, _)| now < *at + max_age) {
+            return total.clone();
         }
-        let word = self.sum(now);
-        self.summed = Some((now, word.clone()));
-        word
+        let total = self.sum(now);
+        self.cached_total = Some((now, total.clone()));
+        total
     }
 
-    fn sum(&mut self, now: Duration) -> Word {
-        self.members.retain(|_, (at, _)| now < *at + MEMBER_COUNTS_FOR);
+    fn sum(&mut self, now: Duration) -> EvidenceList {
+        self.members.retain(|_, (at, _)| now < *at + MEMBER_REPORT_TTL);
         let mut sums: HashMap<LoadKey, Evidence> =
             self.local(now).into_iter().map(|evidence| (evidence.target, evidence)).collect();
-        for evidence in self.members.values().flat_map(|(_, word)| word) {
+        for evidence in self.members.values().flat_map(|(_, reported)| reported) {
             sums.entry(evidence.target).and_modify(|sum| sum.add(evidence)).or_insert(*evidence);
         }
-        let mut word: Word = sums.into_values().collect();
-        if word.len() > MOST_TOLD {
-            word.clear();
+        let mut total: EvidenceList = sums.into_values().collect();
+        if total.len() > MAX_TARGETS {
+            total.clear();
         }
-        word.sort_by_key(|evidence| evidence.target);
-        word
+        total.sort_by_key(|evidence| evidence.target);
+        total
     }
 }
 
 impl Record {
     fn evidence(&self, now: Duration, target: LoadKey) -> Option<Evidence> {
-        let told: Vec<Told> = self.by_gateway.values().map(|told| told.as_of(now)).collect();
-        let failed: f64 = told.iter().map(|told| told.failed).sum();
-        if failed < TOLD_FROM {
+        let tallies: Vec<Tally> =
+            self.by_gateway.values().map(|tally| tally.decayed_to(now)).collect();
+        let failed: f64 = tallies.iter().map(|tally| tally.failed).sum();
+        if failed < MIN_COUNT {
             return None;
         }
-        let answered: f64 = told.iter().map(|told| told.answered).sum();
-        let reporters = told.iter().filter(|told| told.failed >= TOLD_FROM).count();
+        let answered: f64 = tallies.iter().map(|tally| tally.answered).sum();
+        let reporters = tallies.iter().filter(|tally| tally.failed >= MIN_COUNT).count();
         Some(Evidence {
             target,
             failed: failed as f32,
@@ -162,12 +166,12 @@
 }
 
 impl Evidence {
-    /// What came to this since it was `before`, so long ago.
+    /// What was added since this was `before`, the time `ago`.
     pub fn since(&self, before: &Evidence, ago: Duration) -> Evidence {
-        let kept = kept_after(ago) as f32;
+        let factor = decay(ago) as f32;
         Evidence {
-            failed: (self.failed - before.failed * kept).max(0.0),
-            answered: (self.answered - before.answered * kept).max(0.0),
+            failed: (self.failed - before.failed * factor).max(0.0),
+            answered: (self.answered - before.answered * factor).max(0.0),
             ..*self
         }
     }
--- a/src/group/load_totals.rs
+++ b/src/group/load_totals.rs
@@ -6,66 +6,66 @@
 
 use super::loads::{LoadKey, Loads, TargetLoad};
 
-/// What was told, and when.
+/// A load report and the time of its arrival.
 #[derive(Debug)]
-struct Told {
+struct Report {
     at: Duration,
     loads: Loads,
 }
 
-/// Loads as the gateways connected here and the other members tell them.
+/// The last load report of each gateway connected here and of each other member.
 #[derive(Debug, Default)]
 pub(super) struct LoadTotals {
-    gateways: HashMap<String, Told>,
-    members: HashMap<SocketAddr, Told>,
-    /// The last sum over all, for readers that ask at about the same time.
-    summed: Option<Told>,
+    gateways: HashMap<String, Report>,
+    members: HashMap<SocketAddr, Report>,
+    /// The last total, reused for readers that ask shortly after.
+    cached_total: Option<Report>,
 }
 
 impl LoadTotals {
-    /// A gateway connected here tells what it has in flight.
+    /// Replaces the report of a gateway that is connected here.
     pub(super) fn record_gateway(&mut self, now: Duration, gateway: &str, loads: Loads) {
-        self.gateways.insert(gateway.to_owned(), Told { at: now, loads });
+        self.gateways.insert(gateway.to_owned(), Report { at: now, loads });
     }
 
-    /// The connection of a gateway ended.
+    /// Drops the report of a gateway whose connection ended.
     pub(super) fn forget_gateway(&mut self, gateway: &str) {
         self.gateways.remove(gateway);
     }
 
-    /// Another member tells what its gateways have in flight.
+    /// Replaces the report of another member, which covers the gateways connected to it.
     pub(super) fn record_member(&mut self, now: Duration, member: SocketAddr, loads: Loads) {
-        self.members.insert(member, Told { at: now, loads });
+        self.members.insert(member, Report { at: now, loads });
     }
 
-    /// What the gateways connected here have in flight, of words no older than `longest`.
-    pub(super) fn local(&mut self, now: Duration, longest: Duration) -> Loads {
-        self.gateways.retain(|_, told| now < told.at + longest);
+    /// Requests in flight from the gateways connected here, by reports no older than `ttl`.
+    pub(super) fn local(&mut self, now: Duration, ttl: Duration) -> Loads {
+        self.gateways.retain(|_, report| now < report.at + ttl);
         sum(self.gateways.values())
     }
 
-    /// What all gateways have in flight, of words no older than `longest`; may itself be as old as
-    /// `slack`.
-    pub(super) fn total(&mut self, now: Duration, longest: Duration, slack: Duration) -> Loads {
-        if let Some(summed) = self.summed.as_ref().filter(|summed| now < summed.at + slack) {
-            return summed.loads.clone();
+    /// Requests in flight from all gateways, by reports no older than `ttl`. The total itself may be as
+    /// old as `max_age`.
+    pub(super) fn total(&mut self, now: Duration, ttl: Duration, max_age: Duration) -> Loads {
+        if let Some(total) = self.cached_total.as_ref().filter(|total| now < total.at + max_age) {
+            return total.loads.clone();
         }
-        self.gateways.retain(|_, told| now < told.at + longest);
-        self.members.retain(|_, told| now < told.at + longest);
+        self.gateways.retain(|_, report| now < report.at + ttl);
+        self.members.retain(|_, report| now < report.at + ttl);
         let loads = sum(self.gateways.values().chain(self.members.values()));
-        self.summed = Some(Told { at: now, loads: loads.clone() });
+        self.cached_total = Some(Report { at: now, loads: loads.clone() });
         loads
     }
 
-    /// Targets that had anything in flight at the last sum.
+    /// Number of targets with requests in flight in the last total.
     pub(super) fn busy(&self) -> usize {
-        self.summed.as_ref().map_or(0, |summed| summed.loads.len())
+        self.cached_total.as_ref().map_or(0, |total| total.loads.len())
     }
 }
 
-fn sum<'a>(told: impl Iterator<Item = &'a Told>) -> Loads {
+fn sum<'a>(reports: impl Iterator<Item = &'a Report>) -> Loads {
     let mut sums: HashMap<LoadKey, u32> = HashMap::new();
-    for load in told.flat_map(|told| told.loads.all()) {
+    for load in reports.flat_map(|report| report.loads.all()) {
         *sums.entry(load.target).or_default() += load.requests;
     }
     sums.into_iter().map(|(target, requests)| TargetLoad { target, requests }).collect()
--- a/src/group/loads.rs
+++ b/src/group/loads.rs
@@ -1,32 +1,32 @@
-//! Words about what targets have in flight: how they travel, and how often.
+//! Reports of requests in flight at targets: their encoding, and how often they are sent.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Shortest time between two words about loads.
-const SHORTEST_INTERVAL: Duration = Duration::from_millis(100);
-/// Shortest time that a word about loads counts.
-const SHORTEST_COUNT: Duration = Duration::from_millis(2_500);
-/// Time between two words of a member to a gateway, for each gateway alive.
-const INTERVAL_EACH: Duration = Duration::from_millis(4);
-/// Targets up to which that time is enough.
-const TARGETS_OF_ONE_WORD: usize = 750;
-/// Part of that time that words take at least, since each is a frame to be handled.
-const LEAST_PART: f64 = 0.3;
-/// Time between two words of a gateway about its own requests, for each gateway alive: such a word
-/// names few targets.
-const OWN_INTERVAL_EACH: Duration = Duration::from_micros(500);
-/// Bits of a target's hash that travel: two of 800 targets share them in 2 of 100 fleets, and are then
-/// thought to have the load of both.
+/// Minimum time between two load reports.
+const MIN_INTERVAL: Duration = Duration::from_millis(100);
+/// Minimum time for which a load report counts.
+const MIN_TTL: Duration = Duration::from_millis(2_500);
+/// Time between two load reports of a member to a gateway, per gateway alive.
+const INTERVAL_PER_GATEWAY: Duration = Duration::from_millis(4);
+/// Number of busy targets up to which [`INTERVAL_PER_GATEWAY`] is enough; beyond, it grows in proportion.
+const MAX_TARGETS_PER_INTERVAL: usize = 750;
+/// Minimum fraction of that interval when few targets are busy, since each report also costs the handling of a frame.
+const MIN_INTERVAL_FRACTION: f64 = 0.3;
+/// Time between two reports of a gateway on its own requests, per gateway alive. Shorter than
+/// [`INTERVAL_PER_GATEWAY`], since such a report names few targets.
+const OWN_INTERVAL_PER_GATEWAY: Duration = Duration::from_micros(500);
+/// Bits of a target's hash that are sent. In 2 of 100 fleets two of 800 targets share them; each is then
+/// assumed to have the load of both.
 const KEY_BITS: u32 = 24;
 
-/// The part of a target's hash by which loads name it.
+/// The part of a target's hash that identifies the target in load reports.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct LoadKey(u32);
 
 impl LoadKey {
-    /// Of a target with this hash.
+    /// The key of a target with this hash.
     pub fn of(hash: u64) -> Self {
         LoadKey((hash >> (u64::BITS - KEY_BITS)) as u32)
     }
@@ -37,22 +37,22 @@
 pub struct TargetLoad {
     /// The target.
     pub target: LoadKey,
-    /// Requests.
+    /// Number of requests.
     pub requests: u32,
 }
 
 /// Requests in flight at targets that have any.
 ///
-/// Travels in the order of the targets' keys, each as the distance from the one before: some four
-/// bytes a target among 150, where hashes and counts would take twelve.
+/// Encoded in the order of the targets' keys, each key as the difference from the previous one: about
+/// four bytes a target among 150, where hashes and counts would take twelve.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(from = "Vec<Step>", into = "Vec<Step>")]
+#[serde(from = "Vec<EncodedLoad>", into = "Vec<EncodedLoad>")]
 pub struct Loads(Vec<TargetLoad>);
 
-/// A load on its way.
+/// The encoded form of a [`TargetLoad`].
 #[derive(Clone, Copy, Serialize, Deserialize)]
-struct Step {
-    /// Distance from the key before.
+struct EncodedLoad {
+    /// Difference from the previous key.
     gap: u32,
     requests: u32,
 }
@@ -82,50 +82,50 @@
     }
 }
 
-impl From<Loads> for Vec<Step> {
+impl From<Loads> for Vec<EncodedLoad> {
     fn from(loads: Loads) -> Self {
-        let mut before = 0;
-        let step = |load: TargetLoad| {
-            let gap = load.target.0 - before;
-            before = load.target.0;
-            Step { gap, requests: load.requests }
+        let mut previous = 0;
+        let encode = |load: TargetLoad| {
+            let gap = load.target.0 - previous;
+            previous = load.target.0;
+            EncodedLoad { gap, requests: load.requests }
         };
-        loads.0.into_iter().map(step).collect()
+        loads.0.into_iter().map(encode).collect()
     }
 }
 
-impl From<Vec<Step>> for Loads {
-    fn from(steps: Vec<Step>) -> Self {
+impl From<Vec<EncodedLoad>> for Loads {
+    fn from(encoded: Vec<EncodedLoad>) -> Self {
         let mut key = 0_u32;
-        let load = |step: Step| {
-            key = key.saturating_add(step.gap);
-            TargetLoad { target: LoadKey(key), requests: step.requests }
+        let decode = |encoded: EncodedLoad| {
+            key = key.saturating_add(encoded.gap);
+            TargetLoad { target: LoadKey(key), requests: encoded.requests }
         };
-        Loads(steps.into_iter().map(load).collect())
+        Loads(encoded.into_iter().map(decode).collect())
     }
 }
 
-/// Between two words of a member to a gateway, while so many gateways are alive and so many targets
-/// are busy.
+/// Time between two load reports of a member to a gateway, for the numbers of gateways alive and of
+/// busy targets.
 ///
-/// Every gateway hears the loads of all targets, so that the bytes on a member's link grow with the
-/// product; this keeps them about the same.
+/// Every gateway receives the loads of all targets, so the bytes on a member's link would grow with
+/// the product of the two numbers. The interval grows with it to keep them about constant.
 pub fn loads_interval(gateways: u32, targets: usize) -> Duration {
-    let longer = (targets as f64 / TARGETS_OF_ONE_WORD as f64).max(LEAST_PART);
-    SHORTEST_INTERVAL.max((INTERVAL_EACH * gateways).mul_f64(longer))
+    let factor = (targets as f64 / MAX_TARGETS_PER_INTERVAL as f64).max(MIN_INTERVAL_FRACTION);
+    MIN_INTERVAL.max((INTERVAL_PER_GATEWAY * gateways).mul_f64(factor))
 }
 
-/// Between two words of a gateway to its member.
+/// Time between two load reports of a gateway to its member.
 pub fn own_loads_interval(gateways: u32) -> Duration {
-    SHORTEST_INTERVAL.max(OWN_INTERVAL_EACH * gateways)
+    MIN_INTERVAL.max(OWN_INTERVAL_PER_GATEWAY * gateways)
 }
 
-/// Between two words of a member to the others: there are few of them, but each word goes to all.
+/// Time between two load reports of a member to the other members: they are few, but each report is sent to all.
 pub fn member_loads_interval(gateways: u32, targets: usize) -> Duration {
     own_loads_interval(gateways).max(loads_interval(gateways, targets) / 3)
 }
 
-/// How long a word about loads counts, under the same circumstances.
+/// How long a load report counts, for the same numbers.
 pub fn loads_ttl(gateways: u32, targets: usize) -> Duration {
-    SHORTEST_COUNT.max(loads_interval(gateways, targets) * 3)
+    MIN_TTL.max(loads_interval(gateways, targets) * 3)
 }
--- a/src/group/prefix_holders.rs
+++ b/src/group/prefix_holders.rs
@@ -1,10 +1,10 @@
-//! Which targets keep the shared parts of prompts, where that is not the one that everybody expects.
+//! Prefix holders: targets whose cache holds a prompt prefix although they are not the prompt's first home.
 //!
-//! The first home of a prompt follows from its hash and is known to all. When that one is full, left alone or just
-//! came, another target reads the prompt, and only the gateway that sent it there knows. Gateways tell their members
-//! of it with the loads; members pass it on to each other and to all gateways, which then can name a target to fetch
-//! the memory from rather than have the prompt read anew. A word that is wrong or late costs a fetch that brings
-//! nothing.
+//! The first home of a prompt follows from its hash, so every gateway can compute it. When that target is full, ejected
+//! or has just joined, another target processes the prompt, and only the gateway that sent it there knows. Gateways
+//! report such targets to their member along with their loads; members relay the reports to each other and to all
+//! gateways. A gateway can then name a target to fetch the cached prefix from instead of having the prompt processed
+//! again. A wrong or late report costs a fetch that finds nothing.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -13,29 +13,30 @@
 
 use super::loads::LoadKey;
 
-/// Bits of a prompt's hash that travel: of 3,000 prompts in use some hundredth shares them with another.
+/// Bits of a prompt's hash that are sent: of 3,000 prompts in use, about one in a hundred shares them with another.
 const PROMPT_BITS: u32 = 24;
-/// Most entries in a word, eight bytes each: at 300 gateways over five members, each told three times a second, 6% of a
-/// member's link of 6 Mbit/s (by computation).
+/// Maximum number of entries in a message, eight bytes each: with 300 gateways over five members and three messages a
+/// second to each, 6% of a member's link of 6 Mbit/s (by computation).
 pub const MAX_HOLDERS_PER_MESSAGE: usize = 32;
-/// Most entries that a member holds for those that it has not told yet: 32 words, more than go out in the time for which
-/// entries are held where gateways are many.
-const MOST_HELD: usize = 1_024;
-/// How long it holds them: who has not been told by then hears of the next request for the prompt.
-const HELD_FOR: Duration = Duration::from_secs(5);
-
-/// The part of a prompt's hash by which words name it.
+/// Maximum number of entries that a member retains for readers that do not have them yet: 32 messages, more than a
+/// member sends within [`RETENTION`] when there are many gateways.
+const MAX_RETAINED: usize = 1_024;
+/// How long a member retains an entry. A reader that has not received it by then gets the report of the next request for
+/// the prompt.
+const RETENTION: Duration = Duration::from_secs(5);
+
+/// The part of a prompt's hash that identifies the prompt in messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PromptKey(u32);
 
 impl PromptKey {
-    /// Of a prompt whose shared parts have this hash.
+    /// The key of a prompt whose shared prefix has this hash.
     pub fn of(hash: u64) -> Self {
         PromptKey((hash >> (u64::BITS - PROMPT_BITS)) as u32)
     }
 }
 
-/// A target that keeps the shared parts of a prompt.
+/// A target whose cache holds the shared prefix of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PrefixHolder {
     /// The prompt.
@@ -44,93 +45,92 @@
     pub target: LoadKey,
 }
 
-/// Who told a member.
+/// Who reported an entry to a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReportedBy {
-    /// A gateway that is connected to it.
+    /// A gateway connected to this member.
     Gateway,
     /// Another member.
     Member,
 }
 
-/// Up to where a reader has been told.
+/// How far a reader has read the log: the number of entries that it has passed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ReadPosition(u64);
 
-/// An entry, and how it came.
 #[derive(Clone, Copy, Debug)]
 struct Entry {
     at: Duration,
     by: ReportedBy,
-    keeper: PrefixHolder,
+    holder: PrefixHolder,
 }
 
-/// What a member was told lately, in the order in which it came.
+/// Recent reports to a member in the order of arrival. Each reader follows with a [`ReadPosition`] of its own.
 #[derive(Debug, Default)]
 pub struct PrefixHolderLog {
-    /// Entries that were dropped before the first that is held.
+    /// Number of entries dropped so far, all of them before the first in `entries`.
     dropped: u64,
     entries: VecDeque<Entry>,
 }
 
 impl PrefixHolderLog {
-    /// Takes entries; those that are held already are left out.
-    pub fn record(&mut self, now: Duration, by: ReportedBy, word: &[PrefixHolder]) {
-        self.drop_old(now);
-        for keeper in word.iter().take(MAX_HOLDERS_PER_MESSAGE) {
-            if self.entries.iter().any(|entry| entry.keeper == *keeper) {
+    /// Appends the entries of a message, except those that are in the log already.
+    pub fn record(&mut self, now: Duration, by: ReportedBy, holders: &[PrefixHolder]) {
+        self.drop_expired(now);
+        for holder in holders.iter().take(MAX_HOLDERS_PER_MESSAGE) {
+            if self.entries.iter().any(|entry| entry.holder == *holder) {
                 continue;
             }
-            self.entries.push_back(Entry { at: now, by, keeper: *keeper });
+            self.entries.push_back(Entry { at: now, by, holder: *holder });
         }
-        while self.entries.len() > MOST_HELD {
+        while self.entries.len() > MAX_RETAINED {
             self.drop_first();
         }
     }
 
-    /// The next word for a gateway.
+    /// The next entries for a gateway, at most one message.
     pub fn next_for_gateway(
         &mut self,
         now: Duration,
-        told: &mut ReadPosition,
+        position: &mut ReadPosition,
     ) -> Vec<PrefixHolder> {
-        self.next(now, told, |_| true)
+        self.next(now, position, |_| true)
     }
 
-    /// The next word for other members: what gateways told here.
+    /// The next entries for the other members, at most one message: only those that gateways reported here.
     pub fn next_for_members(
         &mut self,
         now: Duration,
-        told: &mut ReadPosition,
+        position: &mut ReadPosition,
     ) -> Vec<PrefixHolder> {
-        self.next(now, told, |by| by == ReportedBy::Gateway)
+        self.next(now, position, |by| by == ReportedBy::Gateway)
     }
 
     fn next(
         &mut self,
         now: Duration,
-        told: &mut ReadPosition,
+        position: &mut ReadPosition,
         wanted: fn(ReportedBy) -> bool,
     ) -> Vec<PrefixHolder> {
-        self.drop_old(now);
-        let from = told.0.saturating_sub(self.dropped) as usize;
-        let mut word = Vec::new();
-        let mut passed = from;
+        self.drop_expired(now);
+        let from = position.0.saturating_sub(self.dropped) as usize;
+        let mut holders = Vec::new();
+        let mut end = from;
         for entry in self.entries.iter().skip(from) {
-            if word.len() == MAX_HOLDERS_PER_MESSAGE {
+            if holders.len() == MAX_HOLDERS_PER_MESSAGE {
                 break;
             }
-            passed += 1;
+            end += 1;
             if wanted(entry.by) {
-                word.push(entry.keeper);
+                holders.push(entry.holder);
             }
         }
-        told.0 = self.dropped + passed as u64;
-        word
+        position.0 = self.dropped + end as u64;
+        holders
     }
 
-    fn drop_old(&mut self, now: Duration) {
-        while self.entries.front().is_some_and(|entry| now >= entry.at + HELD_FOR) {
+    fn drop_expired(&mut self, now: Duration) {
+        while self.entries.front().is_some_and(|entry| now >= entry.at + RETENTION) {
             self.drop_first();
         }
     }
