--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -156,9 +156,9 @@
     /// Last change of those that gateways are to know.
     poison_updates: watch::Sender<u64>,
     /// Wakes who tells the other members what gateways told here.
-    poison_heard: Notify,
+    poison_reported: Notify,
     /// Wakes who writes what is blocked.
-    poison_turned: Notify,
+    poison_blocks_changed: Notify,
     /// Of parcels that are sent along with signs of life.
     small_pacer: Pacer,
     /// Of large parcels that go to one gateway, which passes them on.
@@ -232,8 +232,8 @@
             refused_lines: Mutex::default(),
             poison: Mutex::new(Board::new(Rule::default(), None)),
             poison_updates: watch::Sender::new(0),
-            poison_heard: Notify::new(),
-            poison_turned: Notify::new(),
+            poison_reported: Notify::new(),
+            poison_blocks_changed: Notify::new(),
             small_pacer: Pacer::new(settings.link_mbps, pacer::PART_FOR_SMALL),
             large_pacer: Pacer::new(settings.link_mbps, pacer::PART_FOR_LARGE)
                 .with_burst(pacer::BURST_FOR_LARGE),
@@ -253,8 +253,8 @@
         tokio::spawn(background::tell_presence(shared.clone()));
         tokio::spawn(background::tell_loads(shared.clone()));
         poison_file::load(&shared);
-        tokio::spawn(poison::tell_members(shared.clone()));
-        tokio::spawn(poison_file::keep(shared.clone()));
+        tokio::spawn(poison::send_to_members(shared.clone()));
+        tokio::spawn(poison_file::save_changes(shared.clone()));
         tokio::spawn(background::watch_targets(shared.clone()));
         tokio::spawn(rollout::watch(shared.clone()));
         tokio::spawn(upgrade::watch(shared.clone()));
