--- a/src/group/background.rs
+++ b/src/group/background.rs
@@ -160,7 +160,7 @@
                 shared.propose_here(Command::Settle(due.to_vec())).await;
             }
         }
-        let warm = if leads { shared.warm_again() } else { Vec::new() };
+        let warm = if leads { shared.halls_warm_again() } else { Vec::new() };
         if !warm.is_empty() {
             let told = format!("{warm:?}");
             // Not before: a member that ends here would have said what is in no log.
@@ -192,7 +192,7 @@
         }
         if now.evacuations.revision() != orders {
             orders = now.evacuations.revision();
-            shared.note_orders(&now.evacuations);
+            shared.record_orders(&now.evacuations);
         }
         let newest = now.version();
         if newest != version {
--- a/src/group/endpoints.rs
+++ b/src/group/endpoints.rs
@@ -270,7 +270,7 @@
         Err(error @ OrderError::Overtaken) => {
             (StatusCode::CONFLICT, Fault::new("data_hall", error.to_string()))
         }
-        Err(OrderError::Faulty(fault)) => (StatusCode::BAD_REQUEST, fault),
+        Err(OrderError::Invalid(fault)) => (StatusCode::BAD_REQUEST, fault),
         Err(OrderError::UnknownHall(fault)) => (StatusCode::NOT_FOUND, fault),
     };
     info!(shared.log, "order refused"; "event" => "order_refused", "hall" => data_hall,
--- a/src/group/metrics.rs
+++ b/src/group/metrics.rs
@@ -52,7 +52,7 @@
     /// Configurations on their way to gateways.
     pub(super) in_force: Histogram,
     /// Orders about data halls on their way to gateways.
-    pub(super) obeyed: Histogram,
+    pub(super) evacuation_in_force: Histogram,
     rollout_steps: IntCounterVec,
     announcements_waiting: IntGauge,
     evacuated: IntGauge,
@@ -117,7 +117,7 @@
                 "Time from a configuration's arrival here, or a gateway's if it was later, until the gateway has it.",
                 &SECONDS,
             )?,
-            obeyed: histogram(
+            evacuation_in_force: histogram(
                 "evacuation_in_force_seconds",
                 "Time from an order about a data hall, or a gateway's arrival if it was later, until the gateway obeys.",
                 &SECONDS,
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -64,7 +64,7 @@
 use self::archive::Archive;
 use self::batches::Batches;
 use self::deltas::Deltas;
-use self::evacuation::Returns;
+use self::evacuation::Withdrawals;
 use self::evidence::EvidenceTotals;
 use self::fan_out::FanOut;
 use self::heartbeats::Heard;
@@ -137,7 +137,7 @@
     propagation: Mutex<Propagation>,
     /// Orders about data halls under way to the gateways here.
     orders_propagation: Mutex<Propagation>,
-    returns: Mutex<Returns>,
+    withdrawals: Mutex<Withdrawals>,
     rollouts: Mutex<RolloutWatch>,
     /// Whether this process formed the group.
     formed_here: bool,
@@ -219,7 +219,7 @@
             fan_out: Mutex::default(),
             propagation: Mutex::default(),
             orders_propagation: Mutex::default(),
-            returns: Mutex::default(),
+            withdrawals: Mutex::default(),
             rollouts: Mutex::default(),
             formed_here: blank && founder == Some(store),
             readiness: Mutex::default(),
