--- a/src/group/endpoints.rs
+++ b/src/group/endpoints.rs
@@ -337,7 +337,7 @@
     let (status, faults) = match error {
         RolloutError::Unavailable => return unavailable(shared, "rollout"),
         RolloutError::Upgrading => return upgrading(shared, "rollout"),
-        RolloutError::Faulty(faults) => (StatusCode::BAD_REQUEST, faults.clone()),
+        RolloutError::Invalid(faults) => (StatusCode::BAD_REQUEST, faults.clone()),
         RolloutError::Unknown(fault) => (StatusCode::NOT_FOUND, vec![fault.clone()]),
         RolloutError::UnderWay(fault) => (StatusCode::CONFLICT, vec![fault.clone()]),
     };
--- a/src/group/metrics.rs
+++ b/src/group/metrics.rs
@@ -175,7 +175,7 @@
     }
 
     /// A roll-out takes a stage.
-    pub(super) fn rollout_step(&self, stage: &str) {
+    pub(super) fn count_rollout_step(&self, stage: &str) {
         self.rollout_steps.with_label_values(&[stage]).inc();
     }
 
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -77,7 +77,7 @@
 use self::prefix_holders::PrefixHolderLog;
 use self::presence::Presence;
 use self::propagation::Propagation;
-use self::rollout::RolloutWatch;
+use self::rollout::RolloutTracker;
 use self::settings::MemberSettings;
 use self::upgrade::GatewaysBehind;
 
@@ -138,7 +138,7 @@
     /// Orders about data halls under way to the gateways here.
     orders_propagation: Mutex<Propagation>,
     withdrawals: Mutex<Withdrawals>,
-    rollouts: Mutex<RolloutWatch>,
+    rollouts: Mutex<RolloutTracker>,
     /// Whether this process formed the group.
     formed_here: bool,
     /// Which level each member knows.
