--- a/src/group/background.rs
+++ b/src/group/background.rs
@@ -46,7 +46,7 @@
             }
         }
         for (addr, messages) in batches {
-            let (from, knows) = (shared.own_addr, shared.knows());
+            let (from, knows) = (shared.own_addr, shared.supported_level());
             shared.peers.send(addr, ToMember::Agreement { from, messages, knows });
         }
     }
@@ -152,7 +152,7 @@
         tokio::time::sleep(TARGETS_INTERVAL).await;
         let (now, leads) = (shared.run_clock.ran(), shared.leads());
         let directory = shared.published().directory;
-        let silent = lock(&shared.liveness).silent(now, leads, &directory);
+        let silent = lock(&shared.liveness).unresponsive(now, leads, &directory);
         let due = lock(&shared.liveness).due_for_home(now, leads, &directory);
         if !due.is_empty() {
             info!(shared.log, "targets settled"; "event" => "targets_settled", "ids" => ?due);
--- a/src/group/endpoints.rs
+++ b/src/group/endpoints.rs
@@ -110,7 +110,7 @@
         Door::ListPoison => ("list_poison", list_poison(shared)),
         Door::LiftPoison { fingerprint } => ("lift_poison", lift_poison(shared, fingerprint)),
     };
-    shared.metrics.called(call, answered.status().as_str());
+    shared.metrics.count_call(call, answered.status().as_str());
     answered
 }
 
@@ -217,7 +217,7 @@
 
 fn refuse_announcement(shared: &Shared, id: &str, faults: &[Fault]) -> Answered {
     let faults: Vec<Fault> = faults.iter().map(shortened).collect();
-    shared.metrics.refused_announcement(&faults[0].path);
+    shared.metrics.count_refused_announcement(&faults[0].path);
     if let Some(stands_for) = lock(&shared.refused_lines).keep(shared.now()) {
         let id: String = id.chars().take(LONGEST_ID).collect();
         info!(shared.log, "heartbeat refused"; "event" => "heartbeat_refused",
@@ -381,7 +381,7 @@
 
 /// The group can't do this before every process knows how.
 fn upgrading(shared: &Shared, call: &'static str) -> Answered {
-    let (published, knows) = (shared.published(), shared.knows());
+    let (published, knows) = (shared.published(), shared.supported_level());
     let behind = lock(&shared.readiness).holding_back(&published.members, published.level);
     warn!(shared.log, "call refused during an upgrade"; "event" => "upgrading", "call" => call,
         "level" => %published.level, "knows" => %knows, "gateways_behind" => shared.gateways_behind(),
--- a/src/group/liveness.rs
+++ b/src/group/liveness.rs
@@ -1,48 +1,49 @@
-//! Which targets have not been heard for long, as the leader sees it.
+//! Detection of unresponsive targets by the leader, and of new targets that are due for a home.
 
 use std::collections::{HashMap, HashSet};
 use std::time::Duration;
 
 use crate::directory::{Announcement, Directory, Incarnation, TargetState};
 
-/// Heartbeats that a target may miss before it counts as silent.
-const MISSED: u32 = 4;
-/// Heartbeats for which a target without a home waits for one that leaves.
-const WAITS_FOR_HOME: u32 = 5;
+/// Heartbeats that a target may miss before it counts as unresponsive.
+const MAX_MISSED_HEARTBEATS: u32 = 4;
+/// Heartbeat intervals for which a target without a home waits for the home of a target that shuts down.
+const HOME_WAIT_HEARTBEATS: u32 = 5;
 
-/// When each target was last heard; kept in memory by the leader.
+/// When each target last sent a heartbeat; kept in the leader's memory only.
 #[derive(Debug)]
 pub(super) struct Liveness {
-    patience: Duration,
-    waits_for_home: Duration,
-    /// Since when targets without a home have been seen.
-    unsettled: HashMap<Incarnation, Duration>,
-    heard: HashMap<u64, Duration>,
-    /// When the first target of each service came, if it came here.
+    timeout: Duration,
+    home_wait: Duration,
+    /// Targets without a home, and when each was first seen.
+    without_home: HashMap<Incarnation, Duration>,
+    /// Time of the last heartbeat, by [`Announcement::key`].
+    last_heartbeats: HashMap<u64, Duration>,
+    /// When the first target of each service announced itself; `None` for services that had targets before.
     first_seen: HashMap<String, Option<Duration>>,
-    /// Since when this member leads, without a break.
+    /// Since when this member has led without interruption.
     leading_since: Option<Duration>,
 }
 
 impl Liveness {
     pub(super) fn new(heartbeat: Duration) -> Self {
         Liveness {
-            patience: heartbeat * MISSED,
-            waits_for_home: heartbeat * WAITS_FOR_HOME,
-            unsettled: HashMap::new(),
-            heard: HashMap::new(),
+            timeout: heartbeat * MAX_MISSED_HEARTBEATS,
+            home_wait: heartbeat * HOME_WAIT_HEARTBEATS,
+            without_home: HashMap::new(),
+            last_heartbeats: HashMap::new(),
             first_seen: HashMap::new(),
             leading_since: None,
         }
     }
 
-    /// Notes a heartbeat of a target, by its short form.
+    /// Records a heartbeat of the target with this [`Announcement::key`].
     pub(super) fn record_heartbeat(&mut self, now: Duration, target: u64) {
-        self.heard.insert(target, now);
+        self.last_heartbeats.insert(target, now);
     }
 
-    /// Whether a service has only just had its first target: then newcomers replace nobody, and
-    /// need not wait for a home that somebody leaves.
+    /// Whether the first target of a service has only just announced itself. New targets then replace
+    /// none, and need not wait for the home of one that shuts down.
     pub(super) fn is_forming(
         &mut self,
         now: Duration,
@@ -50,15 +51,15 @@
         directory: &Directory,
     ) -> bool {
         if let Some(first) = self.first_seen.get(service) {
-            return first.is_some_and(|first| now < first + self.waits_for_home);
+            return first.is_some_and(|first| now < first + self.home_wait);
         }
         let first = (!directory.has_service(service)).then_some(now);
         self.first_seen.insert(service.to_owned(), first);
         first.is_some()
     }
 
-    /// Targets that have become silent. A new leader gives every target the whole time.
-    pub(super) fn silent(
+    /// Targets that have become unresponsive. After a change of leader every target has the full timeout again.
+    pub(super) fn unresponsive(
         &mut self,
         now: Duration,
         leads: bool,
@@ -66,21 +67,21 @@
     ) -> Vec<Incarnation> {
         if !leads {
             self.leading_since = None;
-            self.heard.clear();
+            self.last_heartbeats.clear();
             return Vec::new();
         }
         let since = *self.leading_since.get_or_insert(now);
-        let patience = self.patience;
-        // A target that is gone is forgotten once it would count as silent.
-        self.heard.retain(|_, heard| now < *heard + patience);
+        let timeout = self.timeout;
+        // An entry is dropped once its timeout has passed, so that targets that are gone take no memory.
+        self.last_heartbeats.retain(|_, last| now < *last + timeout);
         let overdue = directory.targets().filter(|target| {
-            let heard = self.heard.get(&target.key()).copied().unwrap_or(since).max(since);
-            target.state != TargetState::Silent && now >= heard + patience
+            let last = self.last_heartbeats.get(&target.key()).copied().unwrap_or(since).max(since);
+            target.state != TargetState::Silent && now >= last + timeout
         });
         overdue.map(Announcement::incarnation).collect()
     }
 
-    /// Targets that have waited for a home long enough.
+    /// Targets that have waited long enough to get a home of their own.
     pub(super) fn due_for_home(
         &mut self,
         now: Duration,
@@ -89,11 +90,11 @@
     ) -> Vec<Incarnation> {
         let waiting = directory.unsettled().filter(|_| leads);
         let waiting: HashSet<Incarnation> = waiting.map(Announcement::incarnation).collect();
-        self.unsettled.retain(|target, _| waiting.contains(target));
+        self.without_home.retain(|target, _| waiting.contains(target));
         for target in waiting {
-            self.unsettled.entry(target).or_insert(now);
+            self.without_home.entry(target).or_insert(now);
         }
-        let due = self.unsettled.iter().filter(|(_, since)| now >= **since + self.waits_for_home);
+        let due = self.without_home.iter().filter(|(_, since)| now >= **since + self.home_wait);
         due.map(|(target, _)| target.clone()).collect()
     }
 }
--- a/src/group/metrics.rs
+++ b/src/group/metrics.rs
@@ -1,4 +1,4 @@
-//! Metrics of a member, read off its state at each scrape.
+//! Metrics of a member. Gauges are set from its state at each scrape.
 
 use std::sync::Arc;
 
@@ -12,17 +12,17 @@
 use crate::small_server;
 use crate::sync::lock;
 
-/// Longest name of a field that is told apart.
-const LONGEST_FIELD: usize = 16;
+/// Maximum length of a field name used as a label value.
+const MAX_FIELD_LABEL_BYTES: usize = 16;
 
-/// The way of a large parcel to a gateway.
+/// How a large blob got to a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum BlobDelivery {
-    /// Sent by this member.
+    /// This member sent it.
     Sent,
-    /// To be fetched from another gateway.
+    /// The gateway was told to fetch it from a peer gateway.
     FromPeer,
-    /// Not to be had from the gateway that was named.
+    /// The peer gateway did not provide it.
     PeerFailed,
 }
 
@@ -39,26 +39,26 @@
 /// All metrics of one member.
 pub(super) struct MemberMetrics {
     set: MetricSet,
-    /// Calls of operators and targets, by call and outcome.
+    /// Calls of operators and targets, by call and HTTP status.
     pub(super) calls: IntCounterVec,
     refused: IntCounterVec,
     /// Elections won.
     pub(super) elections: IntCounter,
-    /// Syncs of the log.
+    /// Time that syncs of the log take.
     pub(super) sync: Histogram,
-    /// Proposals at the leader.
+    /// Time from a proposal at the leader to its answer.
     pub(super) commit: Histogram,
-    large_parcels: IntCounterVec,
-    /// Configurations on their way to gateways.
+    large_blobs: IntCounterVec,
+    /// Time until a configuration is in force at a gateway.
     pub(super) in_force: Histogram,
-    /// Orders about data halls on their way to gateways.
+    /// Time until a gateway applies an evacuation order.
     pub(super) evacuation_in_force: Histogram,
     rollout_steps: IntCounterVec,
     announcements_waiting: IntGauge,
     evacuated: IntGauge,
     term: IntGauge,
     leads: IntGauge,
-    fresh: IntGauge,
+    has_leader: IntGauge,
     applied: IntGauge,
     version: IntGauge,
     voters: IntGauge,
@@ -70,12 +70,12 @@
     gateways_behind: IntGauge,
     poison_known: IntGauge,
     poison_blocked: IntGauge,
-    /// Requests under which targets ended, forgotten for want of room.
+    /// Poison requests dropped because too many were remembered.
     pub(super) poison_dropped: IntCounter,
 }
 
 impl MemberMetrics {
-    /// Metrics that start at zero.
+    /// Registers all metrics.
     pub(super) fn new() -> Result<Self, prometheus::Error> {
         let set = MetricSet::default();
         let gauge = |name: &str, help: &str| set.gauge(&format!("latchmount_member_{name}"), help);
@@ -107,7 +107,7 @@
                 "Time from a proposal at the leader to its answer.",
                 &SHORT_SECONDS,
             )?,
-            large_parcels: set.counters(
+            large_blobs: set.counters(
                 "latchmount_member_large_parcels_total",
                 "Large parcels of news: sent to a gateway, named with another that has it, or not passed on.",
                 &["way"],
@@ -134,7 +134,7 @@
             evacuated: gauge("data_halls_evacuated", "Data halls that are evacuated.")?,
             term: gauge("term", "Newest term seen.")?,
             leads: gauge("leads", "Whether this member leads.")?,
-            fresh: gauge("hears_leader", "Whether a leader was heard lately, or leads here.")?,
+            has_leader: gauge("hears_leader", "Whether a leader was heard lately, or leads here.")?,
             applied: gauge("applied_index", "Last entry of the log applied.")?,
             version: gauge("configuration_version", "Version of the configuration held.")?,
             voters: gauge("voters", "Members that vote.")?,
@@ -160,49 +160,49 @@
         })
     }
 
-    /// Counts a call.
-    pub(super) fn called(&self, call: &str, outcome: &str) {
+    /// Counts a call by its HTTP status.
+    pub(super) fn count_call(&self, call: &str, outcome: &str) {
         self.calls.with_label_values(&[call, outcome]).inc();
     }
 
-    /// Counts an announcement that is no target's, by its faulty field. Fields come from outside, so that only the first
-    /// word of each is told, if it is short.
-    pub(super) fn refused_announcement(&self, path: &str) {
+    /// Counts an invalid announcement by the first part of the path of its faulty field. The path comes from the sender, so
+    /// anything but a short plain name is counted as `other`, which bounds the number of label values.
+    pub(super) fn count_refused_announcement(&self, path: &str) {
         let field = path.split(['.', '[']).next().unwrap_or("");
         let plain = field.bytes().all(|byte| byte.is_ascii_lowercase() || byte == b'-');
-        let field = if plain && field.len() <= LONGEST_FIELD { field } else { "other" };
+        let field = if plain && field.len() <= MAX_FIELD_LABEL_BYTES { field } else { "other" };
         self.refused.with_label_values(&[field]).inc();
     }
 
-    /// A roll-out takes a stage.
+    /// Counts a stage that this member proposes for a roll-out.
     pub(super) fn count_rollout_step(&self, stage: &str) {
         self.rollout_steps.with_label_values(&[stage]).inc();
     }
 
-    /// Counts a large parcel by the way that it went.
-    pub(super) fn count_large_blob(&self, way: BlobDelivery) {
-        self.large_parcels.with_label_values(&[way.label()]).inc();
+    /// Counts a large blob by its delivery.
+    pub(super) fn count_large_blob(&self, delivery: BlobDelivery) {
+        self.large_blobs.with_label_values(&[delivery.label()]).inc();
     }
 
     fn render(&self, shared: &Shared) -> Vec<u8> {
         let (published, standing) = (shared.published(), shared.member.standing());
-        let votes = published.members.0.iter().filter(|one| one.standing == Standing::Voter);
+        let voters = published.members.0.iter().filter(|one| one.standing == Standing::Voter);
         let version = published.version();
         let evacuated = published.evacuations.halls().filter(|(_, order)| order.evacuated);
         self.evacuated.set(evacuated.count() as i64);
         self.term.set(standing.term as i64);
         self.leads.set(i64::from(standing.leads));
-        self.fresh.set(i64::from(standing.fresh(Instant::now())));
+        self.has_leader.set(i64::from(standing.fresh(Instant::now())));
         self.applied.set(published.applied as i64);
         self.version.set(version as i64);
-        self.voters.set(votes.count() as i64);
+        self.voters.set(voters.count() as i64);
         self.targets.set(published.directory.targets().count() as i64);
         self.gateways.set(i64::from(shared.gateways_alive()));
         let (known, blocked) = shared.count_poison();
         self.poison_known.set(known as i64);
         self.poison_blocked.set(blocked as i64);
         self.level.set(published.level.0.into());
-        self.level_known.set(shared.knows().0.into());
+        self.level_known.set(shared.supported_level().0.into());
         self.gateways_behind.set(shared.gateways_behind() as i64);
         self.announcements_waiting.set(shared.batches.len() as i64);
         self.followers.set(lock(&shared.propagation).followers() as i64);
@@ -210,7 +210,7 @@
     }
 }
 
-/// Serves metrics for ever.
+/// Serves the metrics over HTTP; never returns.
 pub(super) async fn serve(shared: Arc<Shared>, listener: TcpListener) {
     small_server::serve(listener, move |_| (http::StatusCode::OK, shared.metrics.render(&shared)))
         .await;
--- a/src/group/settings.rs
+++ b/src/group/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of a member of a self-forming group.
+//! Settings of a member of a self-forming control group.
 
 use std::collections::BTreeMap;
 use std::net::{IpAddr, SocketAddr};
@@ -11,52 +11,52 @@
 use crate::jsonc::{Fault, Validate};
 use crate::raft::{Timing, Upkeep};
 
-/// Most losses that a group may be asked to bear.
+/// Maximum value of `bear_losses`.
 const MAX_LOSSES: usize = 4;
 
-/// Settings of a member of a self-forming group.
+/// Settings of a member of a self-forming control group.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MemberSettings {
     /// Name of this host.
     pub host: String,
-    /// Data halls of the system, with their regions.
+    /// Data halls of the system by name, with the region of each.
     pub data_halls: BTreeMap<String, String>,
-    /// Where operators and targets call.
+    /// Address of the API for operators and targets.
     pub listen: Option<SocketAddr>,
-    /// Address at which others reach this host, when that is not the one of `listen`.
+    /// IP address at which others reach this host, if it differs from that of `listen`.
     pub advertise: Option<IpAddr>,
-    /// Address that this host connects from, when the system's choice is not right.
+    /// IP address that outgoing connections are bound to; by default the operating system chooses.
     pub source: Option<IpAddr>,
-    /// Port for members and gateways, the same on every host.
+    /// Port on which members accept other members and gateways, the same on every host.
     pub peer_port: u16,
-    /// Where metrics are served, if anywhere.
+    /// Address that serves metrics, if any.
     pub metrics_listen: Option<SocketAddr>,
-    /// Addresses of some members, as operators reach them.
+    /// API addresses of some members, through which this one finds the group.
     pub seeds: Vec<SocketAddr>,
-    /// Whether the whole system starts for the first time, so that the seeds form the group.
+    /// Whether the seeds form a new group, as at the first start of the whole system.
     pub found: bool,
-    /// Folder for the durable state.
+    /// Folder of the durable state.
     pub data_dir: PathBuf,
-    /// Members that may be lost at once.
+    /// Number of members that the group can lose at the same time; it keeps `2 * bear_losses + 1` voters.
     pub bear_losses: usize,
-    /// Between two heartbeats of the leader.
+    /// Interval of the leader's heartbeats.
     pub heartbeat_ms: u64,
-    /// Shortest silence of the leader before an election.
+    /// Minimum election timeout, counted from the leader's last message.
     pub election_min_ms: u64,
-    /// Longest silence of the leader before an election.
+    /// Maximum election timeout.
     pub election_max_ms: u64,
-    /// Silence after which a voter gives its place to a member that stands by.
+    /// Time without an answer after which a voter is replaced by a standby member.
     pub replace_after_ms: u64,
-    /// Entries in the log before a snapshot takes their place.
+    /// Number of log entries after which the log is compacted into a snapshot.
     pub compact_after_entries: usize,
-    /// Between two heartbeats of a target.
+    /// Interval of each target's heartbeats.
     pub target_heartbeat_ms: u64,
-    /// What this host's link carries, in Mbit/s.
+    /// Bandwidth of this host's network link, in Mbit/s.
     pub link_mbps: f64,
-    /// Part of a service's requests that a bad version may get while it is rolled out, from 0 to 1.
+    /// Maximum fraction of a service's requests that a faulty version may get during its roll-out, from 0 to 1.
     pub expose_share: f64,
-    /// Longest time to answer an operator or a target.
+    /// Timeout for answering a call of an operator or a target.
     pub answer_within_ms: u64,
 }
 
@@ -88,7 +88,7 @@
 }
 
 impl MemberSettings {
-    /// Intervals of the agreement protocol.
+    /// Intervals and timeouts of Raft.
     pub fn timing(&self) -> Timing {
         Timing {
             heartbeat: Duration::from_millis(self.heartbeat_ms),
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Rules for the number of voters.
+    /// Rules by which the leader maintains the number of voters.
     pub fn upkeep(&self) -> Upkeep {
         Upkeep {
             voters: 2 * self.bear_losses + 1,
@@ -106,18 +106,18 @@
         }
     }
 
-    /// Where other members reach this one.
+    /// Address at which other members reach this one.
     pub fn peer_addr(&self) -> Option<SocketAddr> {
         let ip = self.advertise.or(self.listen.map(|listen| listen.ip()))?;
         Some(SocketAddr::new(ip, self.peer_port))
     }
 
-    /// Where this one listens for other members.
+    /// Address on which this member listens for other members.
     pub fn peer_listen(&self) -> Option<SocketAddr> {
         self.listen.map(|listen| SocketAddr::new(listen.ip(), self.peer_port))
     }
 
-    /// Where the seeds are reached by members.
+    /// Addresses at which members reach the seeds.
     pub fn seed_peers(&self) -> Vec<SocketAddr> {
         self.seeds.iter().map(|seed| SocketAddr::new(seed.ip(), self.peer_port)).collect()
     }
@@ -135,12 +135,12 @@
         checks.demand(folder, "data_dir", "must name a folder");
         checks.demand(self.bear_losses <= MAX_LOSSES, "bear_losses", "must be at most 4");
         checks.above_zero(&[("heartbeat_ms", self.heartbeat_ms)]);
-        let twice = self.election_min_ms >= 2 * self.heartbeat_ms;
-        checks.demand(twice, "election_min_ms", "must be at least twice heartbeat_ms");
-        let longer = self.election_max_ms > self.election_min_ms;
-        checks.demand(longer, "election_max_ms", "must be above election_min_ms");
-        let patient = self.replace_after_ms >= self.election_max_ms;
-        checks.demand(patient, "replace_after_ms", "must be at least election_max_ms");
+        let apart = self.election_min_ms >= 2 * self.heartbeat_ms;
+        checks.demand(apart, "election_min_ms", "must be at least twice heartbeat_ms");
+        let ordered = self.election_max_ms > self.election_min_ms;
+        checks.demand(ordered, "election_max_ms", "must be above election_min_ms");
+        let after_election = self.replace_after_ms >= self.election_max_ms;
+        checks.demand(after_election, "replace_after_ms", "must be at least election_max_ms");
         checks.above_zero(&[
             ("compact_after_entries", self.compact_after_entries as u64),
             ("target_heartbeat_ms", self.target_heartbeat_ms),
--- a/src/group/upgrade.rs
+++ b/src/group/upgrade.rs
@@ -1,4 +1,5 @@
-//! The group's level at a member: what it and its gateways know, and when the leader raises it.
+//! The feature level at a member: which level the member and its gateways support, and when the leader raises the level
+//! of the group.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -13,106 +14,108 @@
 use crate::store::Command;
 use crate::sync::lock;
 
-/// Between two looks at whether the level may be raised.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
-/// The same while a group that has just been formed waits for its level.
-const LOOK_SOON: Duration = Duration::from_millis(5);
-/// Time from the start of a process that forms a group within which the group waits for its level, so that nothing is
-/// told twice.
-const FORMED_WITHIN: Duration = Duration::from_secs(2);
-/// How long a gateway of an earlier build counts after its connection ended: it may be on its way to another member.
-const REMEMBERED_FOR: Duration = Duration::from_secs(15);
-
-/// Gateways that know less than this build.
+/// Interval at which the member checks whether the level may be raised.
+const CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// The same while a newly formed group waits for its level.
+const FORMING_INTERVAL: Duration = Duration::from_millis(5);
+/// Time from the start of a process that forms a group during which proposals wait for the group's level, so that nothing
+/// has to be sent again in the form of the new level.
+const FORMING_WAIT: Duration = Duration::from_secs(2);
+/// How long a gateway of an earlier build counts after its connection ended: it may be reconnecting to another member.
+const DISCONNECTED_RETENTION: Duration = Duration::from_secs(15);
+
+/// Gateways connected here, now or recently, that support a lower level than this build.
 #[derive(Debug, Default)]
 pub(super) struct GatewaysBehind(HashMap<String, Gateway>);
 
 #[derive(Debug)]
 struct Gateway {
-    knows: Level,
+    supported: Level,
     connections: usize,
-    left_at: Duration,
+    disconnected_at: Duration,
 }
 
 impl GatewaysBehind {
-    /// A gateway connected.
-    pub(super) fn connect(&mut self, gateway: &str, knows: Level) {
-        if knows >= Level::NEWEST {
+    /// Records the connection of a gateway and the level that it supports.
+    pub(super) fn connect(&mut self, gateway: &str, supported: Level) {
+        if supported >= Level::NEWEST {
             self.0.remove(gateway);
             return;
         }
         let known = self.0.entry(gateway.to_owned());
-        let left_at = Duration::ZERO;
-        let known = known.or_insert(Gateway { knows, connections: 0, left_at });
-        known.knows = knows;
+        let disconnected_at = Duration::ZERO;
+        let known = known.or_insert(Gateway { supported, connections: 0, disconnected_at });
+        known.supported = supported;
         known.connections += 1;
     }
 
-    /// A gateway's connection ended.
+    /// Records the end of a gateway's connection.
     pub(super) fn disconnect(&mut self, now: Duration, gateway: &str) {
         if let Some(gateway) = self.0.get_mut(gateway) {
             gateway.connections = gateway.connections.saturating_sub(1);
-            gateway.left_at = now;
+            gateway.disconnected_at = now;
         }
     }
 
-    /// Level that this build and all of them know.
-    fn lowest(&mut self, now: Duration) -> Level {
-        self.0
-            .retain(|_, gateway| gateway.connections > 0 || now < gateway.left_at + REMEMBERED_FOR);
-        let known = self.0.values().map(|gateway| gateway.knows);
-        known.min().unwrap_or(Level::NEWEST).min(Level::NEWEST)
+    /// Highest level that this build and all these gateways support.
+    fn common_level(&mut self, now: Duration) -> Level {
+        self.0.retain(|_, gateway| {
+            gateway.connections > 0 || now < gateway.disconnected_at + DISCONNECTED_RETENTION
+        });
+        let supported = self.0.values().map(|gateway| gateway.supported);
+        supported.min().unwrap_or(Level::NEWEST).min(Level::NEWEST)
     }
 
-    /// Their number.
+    /// Number of these gateways.
     pub(super) fn len(&self) -> usize {
         self.0.len()
     }
 }
 
 impl Shared {
-    /// What the group may use, as far as this member has applied the log.
+    /// The level of the group, as far as this member has applied the log.
     pub(super) fn level(&self) -> Level {
         self.member.published().borrow().level
     }
 
-    /// Level that this member and the gateways connected to it know.
-    pub(super) fn knows(&self) -> Level {
-        lock(&self.gateways_behind).lowest(self.now())
+    /// Highest level that this member and the gateways connected to it support.
+    pub(super) fn supported_level(&self) -> Level {
+        lock(&self.gateways_behind).common_level(self.now())
     }
 
-    /// Gateways here that know less than this build.
+    /// Number of gateways connected here that support a lower level than this build.
     pub(super) fn gateways_behind(&self) -> usize {
         lock(&self.gateways_behind).len()
     }
 
-    /// Whether a store that knows a level may join the group.
-    pub(super) fn may_join(&self, store: StoreId, knows: Level) -> bool {
+    /// Whether a store whose process supports this level may join the group.
+    pub(super) fn may_join(&self, store: StoreId, supported: Level) -> bool {
         let level = self.level();
-        if knows < level {
-            warn!(self.log, "store refused: its version is too old for the group";
-                "event" => "join_refused", "store" => %store, "knows" => %knows, "level" => %level);
+        if supported < level {
+            warn!(self.log, "join refused: the member does not support the level of the group";
+                "event" => "join_refused", "store" => %store, "knows" => %supported, "level" => %level);
         }
-        knows >= level
+        supported >= level
     }
 
-    /// Whether proposals wait until the group that this process formed has its level.
+    /// Whether proposals have to wait: this process has just formed the group, which may still be raised above the lowest
+    /// level.
     pub(super) fn awaits_level(&self) -> bool {
-        if !self.formed_here || self.now() >= FORMED_WITHIN || self.level() > Level::BASE {
+        if !self.formed_here || self.now() >= FORMING_WAIT || self.level() > Level::BASE {
             return false;
         }
         let published = self.published();
         lock(&self.readiness).open(&published.members, published.level)
     }
 
-    /// The level that the group is due to be raised to.
+    /// The level to which this member, as the leader, has to raise the group now.
     fn due_level(&self) -> Option<Level> {
         if self.level() >= Level::NEWEST {
             return None;
         }
-        let (now, published, knows) = (self.now(), self.published(), self.knows());
+        let (now, published, supported) = (self.now(), self.published(), self.supported_level());
         let mut readiness = lock(&self.readiness);
-        readiness.hear(now, self.store, knows);
+        readiness.hear(now, self.store, supported);
         if !self.leads() {
             return None;
         }
@@ -125,21 +128,23 @@
     }
 }
 
-/// While this member leads, raises the level as soon as all know the next one; logs the level whenever it changes.
+/// While this member leads, raises the level as soon as all processes support the next one. Logs the level whenever it
+/// changes.
 pub(super) async fn watch(shared: Arc<Shared>) {
-    let mut told = None;
+    let mut logged = None;
     loop {
         if let Some(next) = shared.due_level()
             && let Reply::Answer(_) = shared.propose_here(Command::Raise(next)).await
         {
-            info!(shared.log, "level raised"; "event" => "level_raised", "level" => %next);
+            info!(shared.log, "level of the group raised"; "event" => "level_raised", "level" => %next);
         }
         let level = shared.level();
-        if told.replace(level) != Some(level) {
+        if logged.replace(level) != Some(level) {
             info!(shared.log, "level of the group"; "event" => "level",
                 "level" => %level, "knows" => %Level::NEWEST);
         }
-        // A group that has just been formed waits for its level.
-        tokio::time::sleep(if shared.awaits_level() { LOOK_SOON } else { LOOK_INTERVAL }).await;
+        // Proposals to a newly formed group wait for its level, so it is checked more often then.
+        tokio::time::sleep(if shared.awaits_level() { FORMING_INTERVAL } else { CHECK_INTERVAL })
+            .await;
     }
 }
