--- a/src/group/background.rs
+++ b/src/group/background.rs
@@ -1,5 +1,5 @@
-//! What a member does by itself: sends what the agreement wants sent, joins the group, tells the
-//! others of its gateways, and looks after targets.
+//! Background tasks of a member: sends Raft messages, joins the group, reports its gateways and their loads to the other
+//! members, and maintains the targets in the directory.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -18,21 +18,21 @@
 use crate::store::Command;
 use crate::sync::lock;
 
-/// Between two looks at whether this member belongs to the group.
-const JOIN_INTERVAL: Duration = Duration::from_millis(300);
-/// Time without a leader after which a member asks to be taken in again.
-const LOST_AFTER: Duration = Duration::from_millis(1_500);
-/// Longest time for one request to be taken in.
+/// Interval at which the member checks whether it has to join the group.
+const JOIN_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// Time without contact with a leader after which a member joins again.
+const LEADER_LOST_AFTER: Duration = Duration::from_millis(1_500);
+/// Timeout of one join call to one member.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(500);
-/// Between two words about which gateways are connected here.
+/// Interval of the reports to the other members on which gateways are connected here.
 const PRESENCE_INTERVAL: Duration = Duration::from_millis(500);
-/// Most targets that one command gives homes to.
-const SETTLED_AT_ONCE: usize = 100;
-/// Between two looks at the targets.
-const TARGETS_INTERVAL: Duration = Duration::from_millis(400);
+/// Maximum number of targets that one command assigns homes to.
+const MAX_SETTLE_BATCH: usize = 100;
+/// Interval at which the leader checks the targets.
+const TARGETS_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Sends the messages of the agreement.
-pub(super) async fn dispatch(shared: Arc<Shared>, mut outbox: Outbox) {
+/// Sends the Raft messages in the outbox, those to one address together in one frame.
+pub(super) async fn send_raft_messages(shared: Arc<Shared>, mut outbox: Outbox) {
     while let Some(messages) = outbox.recv().await {
         let members = shared.published().members;
         let mut batches: Vec<(SocketAddr, Vec<Envelope>)> = Vec::new();
@@ -52,49 +52,51 @@
     }
 }
 
-/// Where `id` is reached, by the members or else by its own word.
+/// Address of a store: that in the group's list of members, or else the one that the store itself reported.
 fn address(shared: &Shared, members: &Members, id: StoreId) -> Option<SocketAddr> {
     let known = members.get(id).map(|member| member.addr);
     known.or_else(|| lock(&shared.store_addrs).get(&id).copied())
 }
 
-/// Asks to be taken in while this store is no member, or has heard no leader for long.
-pub(super) async fn join(shared: Arc<Shared>) {
-    let mut heard = Instant::now();
+/// Sends join calls while this store is not a member of the group, or has had no contact with a leader for
+/// [`LEADER_LOST_AFTER`].
+pub(super) async fn keep_joined(shared: Arc<Shared>) {
+    let mut last_contact = Instant::now();
     loop {
-        tokio::time::sleep(JOIN_INTERVAL).await;
+        tokio::time::sleep(JOIN_CHECK_INTERVAL).await;
         let now = Instant::now();
         if shared.member.standing().fresh(now) {
-            heard = now;
+            last_contact = now;
         }
         let member = shared.published().members.get(shared.store).is_some();
-        if member && now < heard + LOST_AFTER {
+        if member && now < last_contact + LEADER_LOST_AFTER {
             continue;
         }
-        ask_to_join(&shared).await;
+        join(&shared).await;
     }
 }
 
-async fn ask_to_join(shared: &Shared) {
-    let mut asked: Vec<SocketAddr> = vec![shared.own_addr];
-    let mut waiting = shared.known_members();
-    while let Some(addr) = waiting.pop() {
-        if asked.contains(&addr) {
+/// Calls one known member after the other, and leaders that they name, until a leader accepts this store.
+async fn join(shared: &Shared) {
+    let mut called: Vec<SocketAddr> = vec![shared.own_addr];
+    let mut candidates = shared.known_members();
+    while let Some(addr) = candidates.pop() {
+        if called.contains(&addr) {
             continue;
         }
-        asked.push(addr);
-        let (store, own) = (shared.store, shared.own_addr);
-        let call = Call::Join { store, addr: own, knows: Level::NEWEST };
+        called.push(addr);
+        let (store, own_addr) = (shared.store, shared.own_addr);
+        let call = Call::Join { store, addr: own_addr, knows: Level::NEWEST };
         match shared.peers.call(addr, call, JOIN_TIMEOUT).await {
             Ok(Reply::Done) => return,
-            Ok(Reply::NotLeader(Some(leader))) => waiting.push(leader),
+            Ok(Reply::NotLeader(Some(leader))) => candidates.push(leader),
             _ => {}
         }
     }
 }
 
-/// Tells the others which gateways are connected here.
-pub(super) async fn tell_presence(shared: Arc<Shared>) {
+/// Reports to the other members which gateways are connected here.
+pub(super) async fn send_presence(shared: Arc<Shared>) {
     loop {
         tokio::time::sleep(PRESENCE_INTERVAL).await;
         let gateways = lock(&shared.presence).connected();
@@ -104,94 +106,97 @@
     }
 }
 
-/// Tells the others what the gateways connected here have in flight.
-pub(super) async fn tell_loads(shared: Arc<Shared>) {
-    let mut told = ReadPosition::default();
+/// Reports to the other members what the gateways connected here have reported: requests in flight, outcomes of attempts,
+/// prefix holders, and tallies of roll-outs.
+pub(super) async fn send_loads(shared: Arc<Shared>) {
+    let mut position = ReadPosition::default();
     loop {
-        let busy = lock(&shared.load_totals).busy();
+        let busy = lock(&shared.load_totals).busy_targets();
         tokio::time::sleep(member_loads_interval(shared.gateways_alive(), busy)).await;
-        let longest = shared.loads_ttl();
-        let loads = lock(&shared.load_totals).local(shared.now(), longest);
+        let ttl = shared.loads_ttl();
+        let loads = lock(&shared.load_totals).local(shared.now(), ttl);
         if lock(&shared.presence).any_connected() {
             let evidence = lock(&shared.evidence).local(shared.now());
-            let keepers = lock(&shared.prefix_holders).next_for_members(shared.now(), &mut told);
+            let keepers =
+                lock(&shared.prefix_holders).next_for_members(shared.now(), &mut position);
             let (from, tallies) = (shared.own_addr, lock(&shared.rollouts).local());
-            let word = ToMember::MemberLoads { from, loads, evidence, keepers, tallies };
-            shared.broadcast(&word);
+            let frame = ToMember::MemberLoads { from, loads, evidence, keepers, tallies };
+            shared.broadcast(&frame);
         }
     }
 }
 
 impl Shared {
-    /// Sends a frame to every other member that is known.
+    /// Sends a frame to all other known members.
     pub(super) fn broadcast(&self, frame: &ToMember) {
         let others = self.known_members().into_iter().filter(|addr| *addr != self.own_addr);
         others.for_each(|addr| self.peers.send(addr, frame.clone()));
     }
 
-    /// Time between two words about loads to a gateway.
+    /// Time between two load reports to a gateway.
     pub(super) fn loads_interval(&self) -> Duration {
-        loads_interval(self.gateways_alive(), lock(&self.load_totals).busy())
+        loads_interval(self.gateways_alive(), lock(&self.load_totals).busy_targets())
     }
 
-    /// How long a word about loads counts.
+    /// How long a load report counts.
     pub(super) fn loads_ttl(&self) -> Duration {
-        loads_ttl(self.gateways_alive(), lock(&self.load_totals).busy())
+        loads_ttl(self.gateways_alive(), lock(&self.load_totals).busy_targets())
     }
 
-    /// Gateways that are connected to any member.
+    /// Number of gateways connected to any member.
     pub(super) fn gateways_alive(&self) -> u32 {
         lock(&self.presence).alive(self.run_clock.ran())
     }
 }
 
-/// While this member leads, marks targets that have become silent, settles new ones, and notes halls whose targets are
-/// warm again.
+/// While this member leads, marks unresponsive targets, assigns homes to new ones, and records which data halls are warm
+/// again after an evacuation.
 pub(super) async fn watch_targets(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(TARGETS_INTERVAL).await;
+        tokio::time::sleep(TARGETS_CHECK_INTERVAL).await;
         let (now, leads) = (shared.run_clock.ran(), shared.leads());
         let directory = shared.published().directory;
-        let silent = lock(&shared.liveness).unresponsive(now, leads, &directory);
+        let unresponsive = lock(&shared.liveness).unresponsive(now, leads, &directory);
         let due = lock(&shared.liveness).due_for_home(now, leads, &directory);
         if !due.is_empty() {
-            info!(shared.log, "targets settled"; "event" => "targets_settled", "ids" => ?due);
-            for due in due.chunks(SETTLED_AT_ONCE) {
+            info!(shared.log, "homes assigned to new targets"; "event" => "targets_settled", "ids" => ?due);
+            for due in due.chunks(MAX_SETTLE_BATCH) {
                 shared.propose_here(Command::Settle(due.to_vec())).await;
             }
         }
         let warm = if leads { shared.halls_warm_again() } else { Vec::new() };
         if !warm.is_empty() {
-            let told = format!("{warm:?}");
-            // Not before: a member that ends here would have said what is in no log.
+            let halls = format!("{warm:?}");
+            // Logged only afterwards: a member that crashes before the proposal is committed must not have reported it.
             if let Reply::Answer(_) = shared.propose_here(Command::WarmAgain(warm)).await {
-                info!(shared.log, "halls warm again"; "event" => "halls_warm", "halls" => told);
+                info!(shared.log, "data halls warm again after an evacuation"; "event" => "halls_warm", "halls" => halls);
             }
         }
-        if !silent.is_empty() {
-            info!(shared.log, "targets silent"; "event" => "targets_silent", "ids" => ?silent);
-            shared.propose_here(Command::Silence(silent)).await;
+        if !unresponsive.is_empty() {
+            info!(shared.log, "targets unresponsive"; "event" => "targets_silent", "ids" => ?unresponsive);
+            shared.propose_here(Command::Silence(unresponsive)).await;
         }
     }
 }
 
-/// Logs what the member believes of the group and of the configuration, when that changes.
-pub(super) async fn log_beliefs(shared: Arc<Shared>) {
+/// Follows the published state: counts elections won, records applied evacuation orders and configurations, and logs
+/// changes of the configuration and of the members.
+pub(super) async fn follow_published(shared: Arc<Shared>) {
     let mut published = shared.member.published();
     let mut version = 0;
-    let mut led = 0;
+    let mut last_led_term = 0;
     let mut members = Members::default();
-    let mut orders = 0;
+    let mut evacuations = 0;
     while published.changed().await.is_ok() {
         let now = published.borrow_and_update().clone();
         let standing = shared.member.standing();
         let term = standing.term;
-        if standing.leads && term != led {
-            led = term;
+        if standing.leads && term != last_led_term {
+            last_led_term = term;
             shared.metrics.elections.inc();
         }
-        if now.evacuations.revision() != orders {
-            orders = now.evacuations.revision();
+        if now.evacuations.revision() != evacuations {
+            evacuations = now.evacuations.revision();
             shared.record_orders(&now.evacuations);
         }
         let newest = now.version();
--- a/src/group/load_totals.rs
+++ b/src/group/load_totals.rs
@@ -58,7 +58,7 @@
     }
 
     /// Number of targets with requests in flight in the last total.
-    pub(super) fn busy(&self) -> usize {
+    pub(super) fn busy_targets(&self) -> usize {
         self.cached_total.as_ref().map_or(0, |total| total.loads.len())
     }
 }
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -1,8 +1,9 @@
-//! A control group that forms and mends itself, for configurations sent whole and targets that
-//! announce themselves.
+//! A control group that forms itself and replaces lost voters. It holds whole configurations sent by
+//! operators and a directory of targets that announce themselves.
 //!
-//! The members agree by [`crate::raft`]. Any member takes a call: it passes changes on to the leader
-//! and answers reads from its own store, once that holds all that was acknowledged before the call.
+//! Members replicate their state with [`crate::raft`]. Any member accepts any call: it forwards changes
+//! to the leader, and answers reads from its own store once that has everything that was acknowledged
+//! before the call.
 
 mod archive;
 mod background;
@@ -81,23 +82,23 @@
 use self::settings::MemberSettings;
 use self::upgrade::GatewaysBehind;
 
-/// Longest time to wait for one member before the leader is looked up again.
-const ONE_TRY: Duration = Duration::from_millis(450);
-/// Pause before the leader is looked up again.
-const LOOK_AGAIN: Duration = Duration::from_millis(40);
+/// Timeout of one attempt to call the leader; after it, the leader is looked up again.
+const ATTEMPT_TIMEOUT: Duration = Duration::from_millis(450);
+/// Delay before the leader is looked up again.
+const RETRY_DELAY: Duration = Duration::from_millis(40);
 
-/// A member can't start, or had to stop.
+/// The reason why a member can't start or had to stop.
 #[derive(Debug, thiserror::Error)]
 pub enum GroupError {
-    /// An address can't be used, or the metrics can't be made.
+    /// An address is missing or can't be bound, or the metrics can't be registered.
     #[error(transparent)]
     Start(#[from] StartError),
-    /// The data folder can't be used.
+    /// The data folder can't be opened.
     #[error("data_dir {path}: {source}")]
     Folder {
         /// The folder.
         path: PathBuf,
-        /// Why.
+        /// The error of the file system.
         source: std::io::Error,
     },
     /// The log can't be read or written.
@@ -105,7 +106,7 @@
     Wal(#[from] WalError),
 }
 
-/// The group can't be reached or has no leader; nothing is known of the outcome.
+/// The group can't be reached or has no leader. The outcome of the call is unknown: it may still take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the group has no leader within reach")]
 pub struct Unavailable;
@@ -116,81 +117,86 @@
     shared: Arc<Shared>,
 }
 
-/// What the tasks of a member share.
+/// State shared by the tasks of a member.
 pub(crate) struct Shared {
     settings: MemberSettings,
-    /// Where the seeds are reached by members.
+    /// Addresses at which members reach the seeds.
     seeds: Mutex<Vec<SocketAddr>>,
-    /// Where other members reach this one.
+    /// Address at which other members reach this one.
     own_addr: SocketAddr,
     store: StoreId,
     member: Member,
     peers: Peers,
     dialect: SharedDialect,
-    /// Where stores are reached, by their own word.
+    /// Addresses of stores, as the stores themselves reported them.
     store_addrs: Mutex<HashMap<StoreId, SocketAddr>>,
     presence: Mutex<Presence>,
     liveness: Mutex<Liveness>,
     archive: Mutex<Archive>,
     deltas: Mutex<Deltas>,
     fan_out: Mutex<FanOut>,
+    /// Propagation of configurations to the gateways connected here.
     propagation: Mutex<Propagation>,
-    /// Orders about data halls under way to the gateways here.
+    /// Propagation of evacuation orders to the gateways connected here.
     orders_propagation: Mutex<Propagation>,
     withdrawals: Mutex<Withdrawals>,
     rollouts: Mutex<RolloutTracker>,
     /// Whether this process formed the group.
     formed_here: bool,
-    /// Which level each member knows.
+    /// The level that each member supports, as it reported.
     readiness: Mutex<Readiness>,
-    /// Gateways here that know less than this build.
+    /// Gateways connected here that support a lower level than this build.
     gateways_behind: Mutex<GatewaysBehind>,
     load_totals: Mutex<LoadTotals>,
     evidence: Mutex<EvidenceTotals>,
     prefix_holders: Mutex<PrefixHolderLog>,
     heard: Mutex<Heard>,
     batches: Batches,
+    /// Limits the log lines about refused heartbeats.
     refused_lines: Mutex<Sampler>,
-    /// Requests under which targets ended, as all gateways tell.
+    /// Requests under which targets crashed, as reported by all gateways.
     poison: Mutex<Board>,
-    /// Last change of those that gateways are to know.
+    /// Number of the last change in `poison` that gateways are to know.
     poison_updates: watch::Sender<u64>,
-    /// Wakes who tells the other members what gateways told here.
+    /// Wakes the task that sends poison reports of the gateways here to the other members.
     poison_reported: Notify,
-    /// Wakes who writes what is blocked.
+    /// Wakes the task that saves the blocked requests.
     poison_blocks_changed: Notify,
-    /// Of parcels that are sent along with signs of life.
+    /// Limits the rate of small blobs, which are sent along with keep-alives.
     small_pacer: Pacer,
-    /// Of large parcels that go to one gateway, which passes them on.
+    /// Limits the rate of large blobs, which gateways relay to their peers.
     large_pacer: Pacer,
-    /// Of word of requests under which targets ended.
+    /// Limits the rate of poison reports to gateways.
     poison_pacer: Pacer,
     metrics: MemberMetrics,
     started: Instant,
-    /// Time in which this process ran, by which others' silence counts.
+    /// Time during which this process ran, used for the timeouts of gateways and targets: pauses of this process must
+    /// not make others look unresponsive.
     run_clock: Arc<RunClock>,
     log: Logger,
 }
 
 impl GroupMember {
-    /// Recovers the member, forms the group if this is the first start, and starts to listen.
+    /// Recovers the member from its data folder, forms the group if this is the first start of a founder, and
+    /// starts to listen.
     ///
     /// # Errors
-    /// [`GroupError`] when the data folder or an address can't be used.
+    /// [`GroupError`] when a needed setting is missing, or when the data folder or an address can't be used.
     pub async fn start(
         settings: MemberSettings,
         dialect: SharedDialect,
         log: &Logger,
     ) -> Result<Self, GroupError> {
         let listen = settings.listen.ok_or(StartError::Missing { field: "listen" })?;
-        let own = settings.peer_addr().ok_or(StartError::Missing { field: "peer_port" })?;
+        let own_addr = settings.peer_addr().ok_or(StartError::Missing { field: "peer_port" })?;
         let log = log.new(o!("role" => "member"));
-        let peer_listen = settings.peer_listen().unwrap_or(own);
+        let peer_listen = settings.peer_listen().unwrap_or(own_addr);
         let peer_listener = listen_on(peer_listen).await?;
-        let door_listener = listen_on(listen).await?;
-        let scrapes = listen_if_set(settings.metrics_listen).await?;
+        let api_listener = listen_on(listen).await?;
+        let metrics_listener = listen_if_set(settings.metrics_listen).await?;
         let founders = founders(&settings);
-        let founder = founders.0.iter().find(|member| member.addr == own).map(|member| member.id);
+        let founder =
+            founders.0.iter().find(|member| member.addr == own_addr).map(|member| member.id);
         let metrics = MemberMetrics::new().map_err(StartError::from)?;
         let syncs = metrics.sync.clone();
         let Started { member, outbox, failed } = open(&settings, founder, syncs, &log)?;
@@ -203,10 +209,10 @@
         info!(log, "member started"; "event" => "member_started",
             "version" => env!("CARGO_PKG_VERSION"), "store" => %store, "blank" => blank,
             "log_format" => log_format, "knows" => %Level::NEWEST,
-            "founder" => founder.is_some(), "listen" => %listen, "peer" => %own);
+            "founder" => founder.is_some(), "listen" => %listen, "peer" => %own_addr);
         let heartbeat = Duration::from_millis(settings.target_heartbeat_ms);
         let shared = Arc::new(Shared {
-            own_addr: own,
+            own_addr,
             store,
             member,
             peers: Peers::new(settings.source),
@@ -247,11 +253,11 @@
             log,
         });
         tokio::spawn(incoming::listen(shared.clone(), peer_listener));
-        tokio::spawn(endpoints::listen(shared.clone(), door_listener));
-        tokio::spawn(background::dispatch(shared.clone(), outbox));
-        tokio::spawn(background::join(shared.clone()));
-        tokio::spawn(background::tell_presence(shared.clone()));
-        tokio::spawn(background::tell_loads(shared.clone()));
+        tokio::spawn(endpoints::listen(shared.clone(), api_listener));
+        tokio::spawn(background::send_raft_messages(shared.clone(), outbox));
+        tokio::spawn(background::keep_joined(shared.clone()));
+        tokio::spawn(background::send_presence(shared.clone()));
+        tokio::spawn(background::send_loads(shared.clone()));
         poison_file::load(&shared);
         tokio::spawn(poison::send_to_members(shared.clone()));
         tokio::spawn(poison_file::save_changes(shared.clone()));
@@ -260,23 +266,24 @@
         tokio::spawn(upgrade::watch(shared.clone()));
         tokio::spawn(heartbeats::report(shared.clone()));
         batches::carry(&shared);
-        tokio::spawn(background::log_beliefs(shared.clone()));
-        if let Some(scrapes) = scrapes {
-            tokio::spawn(metrics::serve(shared.clone(), scrapes));
+        tokio::spawn(background::follow_published(shared.clone()));
+        if let Some(metrics_listener) = metrics_listener {
+            tokio::spawn(metrics::serve(shared.clone(), metrics_listener));
         }
         Ok(GroupMember { failed, shared })
     }
 
-    /// Takes changed settings; only the seeds take effect before a restart.
+    /// Applies changed settings. Only `seeds` takes effect without a restart.
     pub fn reload(&self, settings: &MemberSettings) {
         let (seeds, found) = (settings.seeds.clone(), settings.found);
-        let others = MemberSettings { seeds, found, ..self.shared.settings.clone() } != *settings;
+        let restart_needed =
+            MemberSettings { seeds, found, ..self.shared.settings.clone() } != *settings;
         *lock(&self.shared.seeds) = settings.seed_peers();
         info!(self.shared.log, "settings in force"; "event" => "settings_in_force",
-            "seeds" => ?settings.seeds, "restart_needed" => others);
+            "seeds" => ?settings.seeds, "restart_needed" => restart_needed);
     }
 
-    /// Waits until the member had to stop because its disk failed.
+    /// Waits until the member has to stop because its disk failed, and returns the error.
     pub async fn failed(&mut self) -> WalError {
         match (&mut self.failed).await {
             Ok(error) => error,
@@ -311,8 +318,8 @@
     Ok(started?)
 }
 
-/// The first members: the seeds, under identities that follow from their addresses, so that every
-/// seed forms the same group without asking the others.
+/// The initial members: the seeds, with identities derived from their addresses, so that every
+/// seed forms the same group without contact with the others. Empty unless `found` is set.
 fn founders(settings: &MemberSettings) -> Members {
     if !settings.found {
         return Members::default();
@@ -345,13 +352,13 @@
         self.member.published().borrow().clone()
     }
 
-    /// Whether this member leads and surely no other does.
+    /// Whether this member leads and it is certain that no other does.
     fn leads(&self) -> bool {
         let standing = self.member.standing();
         standing.leads && standing.fresh(Instant::now())
     }
 
-    /// Where members are reached: the group's, the seeds and whoever has called.
+    /// Addresses of the members of the group and of the seeds.
     fn known_members(&self) -> Vec<SocketAddr> {
         let mut addrs: Vec<SocketAddr> =
             self.published().members.0.iter().map(|member| member.addr).collect();
@@ -361,21 +368,21 @@
         addrs
     }
 
-    /// Calls the leader, here or elsewhere, until it answers or time is up.
+    /// Calls the leader, which may be this member, until it answers or `answer_within_ms` has passed.
     ///
-    /// Every call may be repeated without harm, so lost replies are answered by calling again.
+    /// Every call is safe to repeat, so a call whose reply is lost is sent again.
     async fn call_leader(&self, call: Call) -> Result<Reply, Unavailable> {
         let deadline = Instant::now() + Duration::from_millis(self.settings.answer_within_ms);
         loop {
-            let left = deadline.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Err(Unavailable);
             }
             let standing = self.member.standing();
             let reply = if standing.leads {
-                tokio::time::timeout(left, self.execute(call.clone())).await.ok()
+                tokio::time::timeout(remaining, self.execute(call.clone())).await.ok()
             } else if let Some(leader) = standing.leader {
-                self.peers.call(leader, call.clone(), left.min(ONE_TRY)).await.ok()
+                self.peers.call(leader, call.clone(), remaining.min(ATTEMPT_TIMEOUT)).await.ok()
             } else {
                 None
             };
@@ -383,11 +390,11 @@
                 Some(Reply::NotLeader(_) | Reply::Unknown) | None => {}
                 Some(reply) => return Ok(reply),
             }
-            tokio::time::sleep(LOOK_AGAIN).await;
+            tokio::time::sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Carries out a call as the leader.
+    /// Executes a call as the leader.
     async fn execute(&self, call: Call) -> Reply {
         let standing = self.member.standing();
         if !standing.leads {
@@ -407,6 +414,7 @@
         }
     }
 
+    /// Proposes a command as the leader, unless the level of the group does not allow it yet.
     async fn propose_here(&self, command: Command) -> Reply {
         let raises = matches!(command, Command::Raise(_));
         if !raises && (command.level() > self.level() || self.awaits_level()) {
@@ -419,6 +427,7 @@
         }
     }
 
+    /// The commit index, if this member's lease as the leader is valid.
     async fn read_index(&self) -> Reply {
         let index = self.member.query(|replica, now| {
             let node = replica.node();
@@ -430,7 +439,7 @@
         }
     }
 
-    /// Puts a command in the log.
+    /// Has the leader commit a command, and returns the store's answer.
     async fn propose(&self, command: Command) -> Result<Answer, Unavailable> {
         match self.call_leader(Call::Propose(command)).await? {
             Reply::Answer(answer) => Ok(answer),
@@ -438,7 +447,7 @@
         }
     }
 
-    /// What is published here once it holds all that was acknowledged before the call.
+    /// The state of this member, once it has everything that was acknowledged before the call.
     async fn read(&self) -> Result<Published, Unavailable> {
         let Reply::ReadIndex(index) = self.call_leader(Call::ReadIndex).await? else {
             return Err(Unavailable);
