--- a/src/group/evacuation.rs
+++ b/src/group/evacuation.rs
@@ -93,8 +93,8 @@
     /// Reads the hall's last order, once for the whole call, and proposes this one as its successor.
     ///
     /// The proposal may be repeated safely, since it only takes effect while the order that it names is still the hall's
-    /// last, see [`crate::evacuations`]. When the caller gives up it closes its connection, which drops this future
-    /// before the read is done.
+    /// last, see [`crate::evacuations`]. A caller that gives up closes its connection, which drops this future: if the read
+    /// is not done by then, the abandoned call proposes nothing, and so can't undo a newer order.
     async fn propose_order(&self, data_hall: String, evacuate: bool) -> Result<(), OrderError> {
         let published = self.read().await?;
         self.check_hall(&published, &data_hall)?;
@@ -110,8 +110,8 @@
                 Ok(())
             }
             Answer::Evacuation(OrderVerdict::Overtaken) => {
-                info!(self.log, "evacuation order superseded by a newer one"; "event" => "order_overtaken",
-                    "hall" => data_hall, "evacuate" => evacuate, "after" => after);
+                info!(self.log, "evacuation order superseded by a newer one";
+                    "event" => "order_overtaken", "hall" => data_hall, "evacuate" => evacuate, "after" => after);
                 Err(OrderError::Overtaken)
             }
             _ => Err(OrderError::Unavailable),
@@ -204,8 +204,8 @@
         let all = lock(&self.orders_propagation).take_everywhere();
         for everywhere in all {
             let last = everywhere.last.as_ref();
-            info!(self.log, "evacuation orders applied by all gateways of this member"; "event" => "evacuations_everywhere",
-                "revision" => everywhere.version - 1, "gateways" => everywhere.reached,
+            info!(self.log, "evacuation orders applied by all gateways of this member";
+                "event" => "evacuations_everywhere", "revision" => everywhere.version - 1, "gateways" => everywhere.reached,
                 "last" => last.map(|last| last.gateway.as_str()),
                 "waited_ms" => last.map(|last| last.waited.as_millis() as u64));
         }
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -292,6 +292,7 @@
     }
 }
 
+/// Opens the disk in the data folder and starts the thread that runs the Raft replica.
 fn open(
     settings: &MemberSettings,
     founder: Option<StoreId>,
@@ -336,6 +337,7 @@
     Members(members)
 }
 
+/// The identity of the group, derived from the addresses of the seeds.
 fn group_id(settings: &MemberSettings) -> GroupId {
     let mut seeds = settings.seed_peers();
     seeds.sort_unstable();
--- a/src/group/poison.rs
+++ b/src/group/poison.rs
@@ -13,8 +13,8 @@
 use crate::poison::{Fingerprint, MOST_IN_WORD, Origin, Report, Reporter, log_turned};
 use crate::sync::lock;
 
-/// Time without a new report after which a message of all that gateways are to know is sent to the other members again:
-/// a member that was unreachable or has just started lacks it.
+/// Time without a new report after which the next part of all that gateways are to know is sent to the other members
+/// again: a member that was unreachable or has just started lacks it.
 const RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
 /// A blocked request, for operators.
--- a/src/group/rollout.rs
+++ b/src/group/rollout.rs
@@ -150,7 +150,7 @@
         }
     }
 
-    /// Whether this member learned of a roll-out so recently that an equal order may be a repetition.
+    /// Whether this member has learned of a roll-out so recently, or not yet, that an equal order may be a repetition.
     fn is_recent(&self, now: Duration, at: Revision) -> bool {
         self.known.get(&at).is_none_or(|known| now < known.since + REPEAT_WINDOW)
     }
--- a/src/group/upgrade.rs
+++ b/src/group/upgrade.rs
@@ -19,7 +19,7 @@
 /// The same while a newly formed group waits for its level.
 const FORMING_INTERVAL: Duration = Duration::from_millis(5);
 /// Time from the start of a process that forms a group during which proposals wait for the group's level, so that nothing
-/// has to be sent again in the form of the new level.
+/// has to be sent twice, before and after the level is raised.
 const FORMING_WAIT: Duration = Duration::from_secs(2);
 /// How long a gateway of an earlier build counts after its connection ended: it may be reconnecting to another member.
 const DISCONNECTED_RETENTION: Duration = Duration::from_secs(15);
@@ -136,7 +136,8 @@
         if let Some(next) = shared.due_level()
             && let Reply::Answer(_) = shared.propose_here(Command::Raise(next)).await
         {
-            info!(shared.log, "level of the group raised"; "event" => "level_raised", "level" => %next);
+            info!(shared.log, "level of the group raised";
+                "event" => "level_raised", "level" => %next);
         }
         let level = shared.level();
         if logged.replace(level) != Some(level) {
