--- a/src/gateway/prefix_holders.rs
+++ b/src/gateway/prefix_holders.rs
@@ -8,8 +8,8 @@
 use super::choice::Choice;
 use super::exchange::Plan;
 use super::mechanism::Mechanism;
-use crate::group::keepers::{Keeper, MOST_IN_WORD, PromptKey};
 use crate::group::loads::LoadKey;
+use crate::group::prefix_holders::{MAX_HOLDERS_PER_MESSAGE, PrefixHolder, PromptKey};
 use crate::sync::lock;
 
 /// Minimum number of shared tokens for which a prefix is reported. In two simulated days these
@@ -42,7 +42,7 @@
 pub struct PrefixHolders {
     /// Holders of each prefix, most recently reported last.
     known: HashMap<PromptKey, Vec<KnownHolder>>,
-    pending: Vec<Keeper>,
+    pending: Vec<PrefixHolder>,
     /// When expired entries were last evicted.
     evicted_at: Option<Duration>,
 }
@@ -50,25 +50,25 @@
 impl PrefixHolders {
     /// Records that a target has processed a prompt although other gateways do not expect it there,
     /// and queues a report unless one was made within [`REPORT_INTERVAL`].
-    pub fn note_prompt_read(&mut self, now: Duration, holder: Keeper) {
+    pub fn note_prompt_read(&mut self, now: Duration, holder: PrefixHolder) {
         let known = self.known.get(&holder.prompt).map_or(&[][..], Vec::as_slice);
         let known = known.iter().find(|known| known.target == holder.target);
         if known.is_some_and(|known| now < known.at + REPORT_INTERVAL) {
             return;
         }
         self.remember(now, holder);
-        if self.pending.len() < MOST_IN_WORD {
+        if self.pending.len() < MAX_HOLDERS_PER_MESSAGE {
             self.pending.push(holder);
         }
     }
 
     /// Records what other gateways reported.
-    pub fn record(&mut self, now: Duration, reports: &[Keeper]) {
+    pub fn record(&mut self, now: Duration, reports: &[PrefixHolder]) {
         reports.iter().for_each(|holder| self.remember(now, *holder));
     }
 
     /// Takes the holders that are not yet reported to a member.
-    pub fn take_pending(&mut self) -> Vec<Keeper> {
+    pub fn take_pending(&mut self) -> Vec<PrefixHolder> {
         std::mem::take(&mut self.pending)
     }
 
@@ -79,7 +79,7 @@
         live.map(|known| known.target)
     }
 
-    fn remember(&mut self, now: Duration, holder: Keeper) {
+    fn remember(&mut self, now: Duration, holder: PrefixHolder) {
         if self.known.len() >= MAX_PROMPTS {
             self.evict_expired(now);
         }
@@ -114,7 +114,7 @@
             return;
         };
         let target = LoadKey::of(choice.target.key);
-        let holder = Keeper { prompt: PromptKey::of(affinity.hash), target };
+        let holder = PrefixHolder { prompt: PromptKey::of(affinity.hash), target };
         lock(&self.keepers).note_prompt_read(self.now(), holder);
     }
 }
--- a/src/gateway/prefix_source.rs
+++ b/src/gateway/prefix_source.rs
@@ -10,8 +10,8 @@
 use super::target::Target;
 use super::targets::Targets;
 use crate::availability::Standing;
-use crate::group::keepers::PromptKey;
 use crate::group::loads::LoadKey;
+use crate::group::prefix_holders::PromptKey;
 use crate::sync::lock;
 
 /// After the evacuation of its data hall was withdrawn, a target is assumed for this long to lack the prefixes that
--- a/src/group/background.rs
+++ b/src/group/background.rs
@@ -1,5 +1,5 @@
-//! What a member does by itself: sends what the agreement wants sent, joins the group, tells the
-//! others of its gateways, and looks after targets.
+//! Background tasks of a member: sends Raft messages, joins the group, reports its gateways and their loads to the other
+//! members, and maintains the targets in the directory.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -8,9 +8,9 @@
 use slog::info;
 
 use super::Shared;
-use super::keepers::Told;
-use super::loads::{loads_count_for, loads_interval, member_loads_interval};
+use super::loads::{loads_interval, loads_ttl, member_loads_interval};
 use super::message::{Call, Reply, ToMember};
+use super::prefix_holders::ReadPosition;
 use crate::clock::Instant;
 use crate::control::member::Outbox;
 use crate::level::Level;
@@ -18,21 +18,21 @@
 use crate::store::Command;
 use crate::sync::lock;
 
-/// Between two looks at whether this member belongs to the group.
-const JOIN_INTERVAL: Duration = Duration::from_millis(300);
-/// Time without a leader after which a member asks to be taken in again.
-const LOST_AFTER: Duration = Duration::from_millis(1_500);
-/// Longest time for one request to be taken in.
+/// Interval at which the member checks whether it has to join the group.
+const JOIN_CHECK_INTERVAL: Duration = Duration::from_millis(300);
+/// Time without contact with a leader after which a member joins again.
+const LEADER_LOST_AFTER: Duration = Duration::from_millis(1_500);
+/// Timeout of one join call to one member.
 const JOIN_TIMEOUT: Duration = Duration::from_millis(500);
-/// Between two words about which gateways are connected here.
+/// Interval of the reports to the other members on which gateways are connected here.
 const PRESENCE_INTERVAL: Duration = Duration::from_millis(500);
-/// Most targets that one command gives homes to.
-const SETTLED_AT_ONCE: usize = 100;
-/// Between two looks at the targets.
-const TARGETS_INTERVAL: Duration = Duration::from_millis(400);
+/// Maximum number of targets that one command assigns homes to.
+const MAX_SETTLE_BATCH: usize = 100;
+/// Interval at which the leader checks the targets.
+const TARGETS_CHECK_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Sends the messages of the agreement.
-pub(super) async fn dispatch(shared: Arc<Shared>, mut outbox: Outbox) {
+/// Sends the Raft messages in the outbox, those to one address together in one frame.
+pub(super) async fn send_raft_messages(shared: Arc<Shared>, mut outbox: Outbox) {
     while let Some(messages) = outbox.recv().await {
         let members = shared.published().members;
         let mut batches: Vec<(SocketAddr, Vec<Envelope>)> = Vec::new();
@@ -46,154 +46,159 @@
             }
         }
         for (addr, messages) in batches {
-            let (from, knows) = (shared.own, shared.knows());
+            let (from, knows) = (shared.own_addr, shared.supported_level());
             shared.peers.send(addr, ToMember::Raft { from, messages, supported_level: knows });
         }
     }
 }
 
-/// Where `id` is reached, by the members or else by its own word.
+/// Address of a store: that in the group's list of members, or else the one that the store itself reported.
 fn address(shared: &Shared, members: &Members, id: StoreId) -> Option<SocketAddr> {
     let known = members.get(id).map(|member| member.addr);
-    known.or_else(|| lock(&shared.book).get(&id).copied())
+    known.or_else(|| lock(&shared.store_addrs).get(&id).copied())
 }
 
-/// Asks to be taken in while this store is no member, or has heard no leader for long.
-pub(super) async fn join(shared: Arc<Shared>) {
-    let mut heard = Instant::now();
+/// Sends join calls while this store is not a member of the group, or has had no contact with a leader for
+/// [`LEADER_LOST_AFTER`].
+pub(super) async fn keep_joined(shared: Arc<Shared>) {
+    let mut last_contact = Instant::now();
     loop {
-        tokio::time::sleep(JOIN_INTERVAL).await;
+        tokio::time::sleep(JOIN_CHECK_INTERVAL).await;
         let now = Instant::now();
         if shared.member.standing().fresh(now) {
-            heard = now;
+            last_contact = now;
         }
         let member = shared.published().members.get(shared.store).is_some();
-        if member && now < heard + LOST_AFTER {
+        if member && now < last_contact + LEADER_LOST_AFTER {
             continue;
         }
-        ask_to_join(&shared).await;
+        join(&shared).await;
     }
 }
 
-async fn ask_to_join(shared: &Shared) {
-    let mut asked: Vec<SocketAddr> = vec![shared.own];
-    let mut waiting = shared.known_members();
-    while let Some(addr) = waiting.pop() {
-        if asked.contains(&addr) {
+/// Calls one known member after the other, and leaders that they name, until a leader accepts this store.
+async fn join(shared: &Shared) {
+    let mut called: Vec<SocketAddr> = vec![shared.own_addr];
+    let mut candidates = shared.known_members();
+    while let Some(addr) = candidates.pop() {
+        if called.contains(&addr) {
             continue;
         }
-        asked.push(addr);
-        let (store, own) = (shared.store, shared.own);
-        let call = Call::Join { store, addr: own, supported_level: Level::NEWEST };
+        called.push(addr);
+        let (store, own_addr) = (shared.store, shared.own_addr);
+        let call = Call::Join { store, addr: own_addr, supported_level: Level::NEWEST };
         match shared.peers.call(addr, call, JOIN_TIMEOUT).await {
             Ok(Reply::Done) => return,
-            Ok(Reply::NotLeader(Some(leader))) => waiting.push(leader),
+            Ok(Reply::NotLeader(Some(leader))) => candidates.push(leader),
             _ => {}
         }
     }
 }
 
-/// Tells the others which gateways are connected here.
-pub(super) async fn tell_presence(shared: Arc<Shared>) {
+/// Reports to the other members which gateways are connected here.
+pub(super) async fn send_presence(shared: Arc<Shared>) {
     loop {
         tokio::time::sleep(PRESENCE_INTERVAL).await;
         let gateways = lock(&shared.presence).connected();
         if !gateways.is_empty() {
-            shared.tell_others(&ToMember::Presence(gateways));
+            shared.broadcast(&ToMember::Presence(gateways));
         }
     }
 }
 
-/// Tells the others what the gateways connected here have in flight.
-pub(super) async fn tell_loads(shared: Arc<Shared>) {
-    let mut told = Told::default();
+/// Reports to the other members what the gateways connected here have reported: requests in flight, outcomes of attempts,
+/// prefix holders, and tallies of roll-outs.
+pub(super) async fn send_loads(shared: Arc<Shared>) {
+    let mut position = ReadPosition::default();
     loop {
-        let busy = lock(&shared.load_totals).busy();
+        let busy = lock(&shared.load_totals).busy_targets();
         tokio::time::sleep(member_loads_interval(shared.gateways_alive(), busy)).await;
-        let longest = shared.loads_count_for();
-        let loads = lock(&shared.load_totals).here(shared.now(), longest);
+        let ttl = shared.loads_ttl();
+        let loads = lock(&shared.load_totals).local(shared.now(), ttl);
         if lock(&shared.presence).any_connected() {
-            let evidence = lock(&shared.evidence).here(shared.now());
-            let keepers = lock(&shared.keepers).next_for_members(shared.now(), &mut told);
-            let (from, tallies) = (shared.own, lock(&shared.rollouts).here());
-            let word =
+            let evidence = lock(&shared.evidence).local(shared.now());
+            let keepers =
+                lock(&shared.prefix_holders).next_for_members(shared.now(), &mut position);
+            let (from, tallies) = (shared.own_addr, lock(&shared.rollouts).local());
+            let frame =
                 ToMember::MemberLoads { from, loads, evidence, prefix_holders: keepers, tallies };
-            shared.tell_others(&word);
+            shared.broadcast(&frame);
         }
     }
 }
 
 impl Shared {
-    /// Sends a frame to every other member that is known.
-    pub(super) fn tell_others(&self, frame: &ToMember) {
-        let others = self.known_members().into_iter().filter(|addr| *addr != self.own);
+    /// Sends a frame to all other known members.
+    pub(super) fn broadcast(&self, frame: &ToMember) {
+        let others = self.known_members().into_iter().filter(|addr| *addr != self.own_addr);
         others.for_each(|addr| self.peers.send(addr, frame.clone()));
     }
 
-    /// Time between two words about loads to a gateway.
+    /// Time between two load reports to a gateway.
     pub(super) fn loads_interval(&self) -> Duration {
-        loads_interval(self.gateways_alive(), lock(&self.load_totals).busy())
+        loads_interval(self.gateways_alive(), lock(&self.load_totals).busy_targets())
     }
 
-    /// How long a word about loads counts.
-    pub(super) fn loads_count_for(&self) -> Duration {
-        loads_count_for(self.gateways_alive(), lock(&self.load_totals).busy())
+    /// How long a load report counts.
+    pub(super) fn loads_ttl(&self) -> Duration {
+        loads_ttl(self.gateways_alive(), lock(&self.load_totals).busy_targets())
     }
 
-    /// Gateways that are connected to any member.
+    /// Number of gateways connected to any member.
     pub(super) fn gateways_alive(&self) -> u32 {
         lock(&self.presence).alive(self.run_clock.ran())
     }
 }
 
-/// While this member leads, marks targets that have become silent, settles new ones, and notes halls whose targets are
-/// warm again.
+/// While this member leads, marks unresponsive targets, assigns homes to new ones, and records which data halls are warm
+/// again after an evacuation.
 pub(super) async fn watch_targets(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(TARGETS_INTERVAL).await;
+        tokio::time::sleep(TARGETS_CHECK_INTERVAL).await;
         let (now, leads) = (shared.run_clock.ran(), shared.leads());
         let directory = shared.published().directory;
-        let silent = lock(&shared.liveness).silent(now, leads, &directory);
+        let unresponsive = lock(&shared.liveness).unresponsive(now, leads, &directory);
         let due = lock(&shared.liveness).due_for_home(now, leads, &directory);
         if !due.is_empty() {
-            info!(shared.log, "targets settled"; "event" => "targets_settled", "ids" => ?due);
-            for due in due.chunks(SETTLED_AT_ONCE) {
+            info!(shared.log, "homes assigned to new targets"; "event" => "targets_settled", "ids" => ?due);
+            for due in due.chunks(MAX_SETTLE_BATCH) {
                 shared.propose_here(Command::Settle(due.to_vec())).await;
             }
         }
-        let warm = if leads { shared.warm_again() } else { Vec::new() };
+        let warm = if leads { shared.halls_warm_again() } else { Vec::new() };
         if !warm.is_empty() {
-            let told = format!("{warm:?}");
-            // Not before: a member that ends here would have said what is in no log.
+            let halls = format!("{warm:?}");
+            // Logged only afterwards: a member that crashes before the proposal is committed must not have reported it.
             if let Reply::Answer(_) = shared.propose_here(Command::WarmAgain(warm)).await {
-                info!(shared.log, "halls warm again"; "event" => "halls_warm", "halls" => told);
+                info!(shared.log, "data halls warm again after an evacuation"; "event" => "halls_warm", "halls" => halls);
             }
         }
-        if !silent.is_empty() {
-            info!(shared.log, "targets silent"; "event" => "targets_silent", "ids" => ?silent);
-            shared.propose_here(Command::Silence(silent)).await;
+        if !unresponsive.is_empty() {
+            info!(shared.log, "targets unresponsive"; "event" => "targets_silent", "ids" => ?unresponsive);
+            shared.propose_here(Command::Silence(unresponsive)).await;
         }
     }
 }
 
-/// Logs what the member believes of the group and of the configuration, when that changes.
-pub(super) async fn log_beliefs(shared: Arc<Shared>) {
+/// Follows the published state: counts elections won, records applied evacuation orders and configurations, and logs
+/// changes of the configuration and of the members.
+pub(super) async fn follow_published(shared: Arc<Shared>) {
     let mut published = shared.member.published();
     let mut version = 0;
-    let mut led = 0;
+    let mut last_led_term = 0;
     let mut members = Members::default();
-    let mut orders = 0;
+    let mut evacuations = 0;
     while published.changed().await.is_ok() {
         let now = published.borrow_and_update().clone();
         let standing = shared.member.standing();
         let term = standing.term;
-        if standing.leads && term != led {
-            led = term;
+        if standing.leads && term != last_led_term {
+            last_led_term = term;
             shared.metrics.elections.inc();
         }
-        if now.evacuations.revision() != orders {
-            orders = now.evacuations.revision();
-            shared.note_orders(&now.evacuations);
+        if now.evacuations.revision() != evacuations {
+            evacuations = now.evacuations.revision();
+            shared.record_orders(&now.evacuations);
         }
         let newest = now.version();
         if newest != version {
--- a/src/group/cursor.rs
+++ b/src/group/cursor.rs
@@ -6,8 +6,8 @@
 use crate::blob::{Blob, BlobId};
 use crate::store::Revision;
 
-use super::keepers::Told;
 use super::message::Subscription;
+use super::prefix_holders::ReadPosition;
 
 /// The state that a gateway reaches by applying a blob.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -48,7 +48,7 @@
     /// When the next update with loads is due.
     pub(super) next_loads_at: Duration,
     /// Position in the list of prefix holders up to which it was sent entries.
-    pub(super) prefix_holders: Told,
+    pub(super) prefix_holders: ReadPosition,
     /// Number of the last change to suspected poison requests that it was sent.
     pub(super) poison: u64,
     /// Whether the last loads that it was sent were empty: no requests in flight at any target.
@@ -67,7 +67,7 @@
             members: Vec::new(),
             fresh: false,
             next_loads_at: Duration::ZERO,
-            prefix_holders: Told::default(),
+            prefix_holders: ReadPosition::default(),
             poison: 0,
             idle: true,
             peer_fetch: None,
--- a/src/group/feed.rs
+++ b/src/group/feed.rs
@@ -4,9 +4,9 @@
 use tokio::sync::mpsc;
 
 use super::Shared;
-use super::evacuation::propagation_number;
-use super::keepers::Teller;
+use super::evacuation::evacuations_version;
 use super::message::{Subscription, ToMember};
+use super::prefix_holders::ReportedBy;
 use super::propagation::ConnectionId;
 use super::update_sender::{BlobReport, UpdateSender};
 use crate::link::{FrameReceiver, FrameSender, LinkError};
@@ -24,10 +24,10 @@
 ) -> Result<(), LinkError> {
     let gateway = subscription.gateway.clone();
     lock(&shared.presence).connect(&gateway);
-    lock(&shared.behind).connect(&gateway, subscription.supported_level);
+    lock(&shared.gateways_behind).connect(&gateway, subscription.supported_level);
     let propagation_id =
         lock(&shared.propagation).connect(shared.now(), &gateway, subscription.version);
-    let evacuations = propagation_number(subscription.evacuations);
+    let evacuations = evacuations_version(subscription.evacuations);
     let orders_propagation_id =
         lock(&shared.orders_propagation).connect(shared.now(), &gateway, evacuations);
     let (blob_reports, queued) = mpsc::channel(BLOB_REPORTS_LEN);
@@ -36,17 +36,17 @@
             let now = shared.now();
             match receiver.receive().await? {
                 ToMember::Loads { loads, outcomes, prefix_holders, tallies } => {
-                    lock(&shared.load_totals).hear_gateway(now, &gateway, loads);
-                    lock(&shared.evidence).hear_gateway(now, &gateway, &outcomes);
-                    lock(&shared.keepers).hear(now, Teller::Gateway, &prefix_holders);
-                    lock(&shared.rollouts).hear_gateway(&tallies);
+                    lock(&shared.load_totals).record_gateway(now, &gateway, loads);
+                    lock(&shared.evidence).record_gateway(now, &gateway, &outcomes);
+                    lock(&shared.prefix_holders).record(now, ReportedBy::Gateway, &prefix_holders);
+                    lock(&shared.rollouts).record_gateway(&tallies);
                 }
-                ToMember::Poison(reports) => shared.hear_poison_of(&gateway, reports)?,
+                ToMember::Poison(reports) => shared.record_gateway_poison(&gateway, reports)?,
                 ToMember::ConfigurationInForce(version) => {
                     note_in_force(shared, propagation_id, version)
                 }
                 ToMember::EvacuationsInForce(revision) => {
-                    shared.note_obeyed(orders_propagation_id, revision)
+                    shared.record_evacuations_in_force(orders_propagation_id, revision)
                 }
                 ToMember::HasBlob(blob) => {
                     report(&blob_reports, BlobReport::Received(blob)).await?
@@ -66,11 +66,11 @@
     updates.close();
     let now = shared.now();
     lock(&shared.presence).disconnect(shared.run_clock.ran(), &gateway);
-    lock(&shared.behind).disconnect(now, &gateway);
+    lock(&shared.gateways_behind).disconnect(now, &gateway);
     lock(&shared.load_totals).forget_gateway(&gateway);
     lock(&shared.propagation).disconnect(propagation_id);
     lock(&shared.orders_propagation).disconnect(orders_propagation_id);
-    shared.tell_obeyed_everywhere();
+    shared.log_evacuations_everywhere();
     log_propagated(shared);
     ended
 }
--- a/src/group/frames/from_member.rs
+++ b/src/group/frames/from_member.rs
@@ -9,8 +9,8 @@
 use crate::compat::parts::{self, Parts};
 use crate::group::evidence::Evidence;
 use crate::group::heartbeats::HeartbeatOutcome;
-use crate::group::keepers::Keeper;
 use crate::group::message::{EvacuationsUpdate, FromMember, Reply, Update};
+use crate::group::prefix_holders::PrefixHolder;
 use crate::link::{LinkError, Message};
 use crate::poison::Report;
 use crate::rollout::RolloutNews;
@@ -31,7 +31,7 @@
     evacuations: Option<Cow<'a, EvacuationsUpdate>>,
     rollouts: Option<Cow<'a, RolloutNews>>,
     evidence: Option<Cow<'a, [Evidence]>>,
-    prefix_holders: Cow<'a, [Keeper]>,
+    prefix_holders: Cow<'a, [PrefixHolder]>,
     mixes: Cow<'a, [RolloutMix]>,
     poison: Cow<'a, [Report]>,
 }
--- a/src/group/frames/to_member.rs
+++ b/src/group/frames/to_member.rs
@@ -11,8 +11,8 @@
 use crate::compat::parts::{self, Parts};
 use crate::directory::Announcement;
 use crate::group::evidence::{Evidence, Outcomes};
-use crate::group::keepers::Keeper;
 use crate::group::message::{Call, Subscription, ToMember};
+use crate::group::prefix_holders::PrefixHolder;
 use crate::level::Level;
 use crate::link::{LinkError, Message};
 use crate::raft::Envelope;
@@ -41,7 +41,7 @@
 #[derive(Serialize, Deserialize)]
 struct MemberReport<'a> {
     evidence: Cow<'a, [Evidence]>,
-    prefix_holders: Cow<'a, [Keeper]>,
+    prefix_holders: Cow<'a, [PrefixHolder]>,
     tallies: Cow<'a, Tallies>,
 }
 
@@ -49,7 +49,7 @@
 #[derive(Serialize, Deserialize)]
 struct GatewayReport<'a> {
     outcomes: Cow<'a, [Outcomes]>,
-    prefix_holders: Cow<'a, [Keeper]>,
+    prefix_holders: Cow<'a, [PrefixHolder]>,
     tallies: Cow<'a, Tallies>,
 }
 
--- a/src/group/heartbeats.rs
+++ b/src/group/heartbeats.rs
@@ -127,7 +127,7 @@
             let mut liveness = lock(&self.liveness);
             for announcement in announcements {
                 let announcement = announcement.at(level);
-                liveness.hear(now, announcement.key());
+                liveness.record_heartbeat(now, announcement.key());
                 let changed = directory.judge(&announcement) == Heartbeat::News;
                 outcomes.push(if changed {
                     HeartbeatOutcome::Changed
@@ -135,7 +135,7 @@
                     HeartbeatOutcome::Unchanged
                 });
                 if changed {
-                    let at_once = liveness.forming(now, &announcement.service, &directory);
+                    let at_once = liveness.is_forming(now, &announcement.service, &directory);
                     sights.push(Sight { announcement, at_once });
                 }
             }
@@ -168,14 +168,14 @@
         }
         let now = self.run_clock.ran();
         let mut liveness = lock(&self.liveness);
-        targets.iter().for_each(|target| liveness.hear(now, *target));
+        targets.iter().for_each(|target| liveness.record_heartbeat(now, *target));
         Reply::Done
     }
 
     /// API address of this member. Targets are told to send their next heartbeat there, since they could reach it.
     pub(super) fn own_api_addr(&self) -> Option<SocketAddr> {
         let port = self.settings.listen?.port();
-        Some(SocketAddr::new(self.own.ip(), port))
+        Some(SocketAddr::new(self.own_addr.ip(), port))
     }
 }
 
--- a/src/group/incoming.rs
+++ b/src/group/incoming.rs
@@ -5,8 +5,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc;
 
-use super::keepers::Teller;
 use super::message::{Call, FromMember, ToMember};
+use super::prefix_holders::ReportedBy;
 use super::{Shared, feed};
 use crate::link::{FrameSender, LinkError, framed};
 use crate::poison::Origin;
@@ -39,7 +39,7 @@
         match receiver.receive().await? {
             ToMember::Raft { from, messages, supported_level } => {
                 if let Some(first) = messages.first() {
-                    lock(&shared.book).insert(first.from, from);
+                    lock(&shared.store_addrs).insert(first.from, from);
                     lock(&shared.readiness).hear(shared.now(), first.from, supported_level);
                 }
                 shared.member.deliver(messages);
@@ -48,13 +48,17 @@
                 lock(&shared.presence).record_remote(shared.run_clock.ran(), gateways);
             }
             ToMember::MemberLoads { from, loads, evidence, prefix_holders, tallies } => {
-                lock(&shared.load_totals).hear_member(shared.now(), from, loads);
-                lock(&shared.evidence).hear_member(shared.now(), from, evidence);
-                lock(&shared.keepers).hear(shared.now(), Teller::Member, &prefix_holders);
-                lock(&shared.rollouts).hear_member(from, tallies);
+                lock(&shared.load_totals).record_member(shared.now(), from, loads);
+                lock(&shared.evidence).record_member(shared.now(), from, evidence);
+                lock(&shared.prefix_holders).record(
+                    shared.now(),
+                    ReportedBy::Member,
+                    &prefix_holders,
+                );
+                lock(&shared.rollouts).record_member(from, tallies);
             }
             ToMember::MemberPoison { reports, .. } => {
-                shared.hear_poison(Origin::Elsewhere, reports)?;
+                shared.record_poison(Origin::Elsewhere, reports)?;
             }
             // Only a gateway sends these, after it has subscribed.
             ToMember::Loads { .. }
@@ -82,7 +86,7 @@
 }
 
 async fn answer(shared: Arc<Shared>, id: u64, call: Call, replies: mpsc::Sender<FromMember>) {
-    let reply = shared.carry_out(call).await;
+    let reply = shared.execute(call).await;
     let _ = replies.send(FromMember::Reply { id, reply }).await;
 }
 
--- a/src/group/message.rs
+++ b/src/group/message.rs
@@ -9,8 +9,8 @@
 
 use super::evidence::{Evidence, Outcomes};
 use super::heartbeats::HeartbeatOutcome;
-use super::keepers::Keeper;
 use super::loads::Loads;
+use super::prefix_holders::PrefixHolder;
 use crate::blob::BlobId;
 use crate::directory::Announcement;
 use crate::level::Level;
@@ -51,7 +51,7 @@
         /// Outcomes of their attempts at targets, for targets with failures.
         evidence: Vec<Evidence>,
         /// Prefix holders that they reported since the previous message.
-        prefix_holders: Vec<Keeper>,
+        prefix_holders: Vec<PrefixHolder>,
         /// Outcomes by version for each roll-out in progress, since it was ordered.
         tallies: Tallies,
     },
@@ -62,7 +62,7 @@
         /// Outcomes of its attempts since its previous report.
         outcomes: Vec<Outcomes>,
         /// Prefix holders that it learned of since its previous report.
-        prefix_holders: Vec<Keeper>,
+        prefix_holders: Vec<PrefixHolder>,
         /// Outcomes by version for each roll-out in progress, since its previous report.
         tallies: Tallies,
     },
@@ -215,7 +215,7 @@
     /// Outcomes of all gateways' attempts, for targets with failures; sent with `loads`.
     pub evidence: Option<Vec<Evidence>>,
     /// Prefix holders reported since the previous update with `loads`; sent with `loads`.
-    pub prefix_holders: Vec<Keeper>,
+    pub prefix_holders: Vec<PrefixHolder>,
     /// Share of a service's requests that each route has, for roll-outs in progress; sent with `loads`.
     pub mixes: Vec<RolloutMix>,
     /// Suspected poison requests that changed since the previous update.
--- a/src/group/update_sender.rs
+++ b/src/group/update_sender.rs
@@ -16,7 +16,7 @@
 use super::fan_out::PeerGateway;
 use super::loads::Loads;
 use super::message::{BlobSource, EvacuationsUpdate, FromMember, Subscription, Update};
-use super::metrics::ParcelWay;
+use super::metrics::BlobDelivery;
 use super::pacer::Turn;
 use crate::blob::BlobId;
 use crate::clock::Instant;
@@ -89,7 +89,7 @@
         mut reports: mpsc::Receiver<BlobReport>,
     ) -> Result<(), LinkError> {
         let mut published = self.shared.member.published();
-        let mut poison = self.shared.poison_news.subscribe();
+        let mut poison = self.shared.poison_updates.subscribe();
         loop {
             let newest_poison = *poison.borrow_and_update();
             let missing = self.missing_now(&published.borrow_and_update())?;
@@ -138,7 +138,7 @@
 
     /// Queues for a turn to send a large blob, or leaves the queue if none is wanted any more.
     fn await_turn(&mut self, wanted: bool) {
-        let pacer = &self.shared.pace_of_large;
+        let pacer = &self.shared.large_pacer;
         match wanted {
             true if self.turn.is_none() => self.turn = Some(Box::pin(pacer.turn())),
             true => {}
@@ -150,7 +150,7 @@
     /// them.
     fn await_poison_turn(&mut self, wanted: bool) {
         if wanted && self.poison_turn.is_none() {
-            self.poison_turn = Some(Box::pin(self.shared.pace_of_poison.turn()));
+            self.poison_turn = Some(Box::pin(self.shared.poison_pacer.turn()));
         }
     }
 
@@ -211,7 +211,7 @@
         if !self.lacks_evacuations() {
             return None;
         }
-        let update = self.shared.hall_news();
+        let update = self.shared.evacuations_update();
         self.cursor.evacuations = Some(update.revision);
         Some(update)
     }
@@ -227,7 +227,7 @@
         if !self.lacks_rollouts() {
             return None;
         }
-        let update = self.shared.rollout_news();
+        let update = self.shared.rollouts_update();
         self.cursor.rollouts = Some(update.revision);
         Some(update)
     }
@@ -251,7 +251,7 @@
         let blob = large.blob.id();
         self.cursor.peer_fetch =
             Some(PeerFetch { blob, source: addr, advances_to: large.advances_to });
-        self.shared.metrics.large_parcel(ParcelWay::Named);
+        self.shared.metrics.count_large_blob(BlobDelivery::FromPeer);
         let blob_source = Some(BlobSource { blob, addr });
         let update = Update { blob_source, ..self.periodic_update() };
         self.send(update).await
@@ -264,7 +264,7 @@
             return Ok(());
         };
         self.cursor.advance(large.advances_to);
-        self.shared.metrics.large_parcel(ParcelWay::Sent);
+        self.shared.metrics.count_large_blob(BlobDelivery::Sent);
         turn.spend(large.blob.bytes().len());
         let blobs = vec![large.blob.bytes().clone()];
         let update = Update { blobs, ..self.periodic_update() };
@@ -273,7 +273,7 @@
 
     /// Waits for a turn, and sends all small blobs that the gateway lacks and the members if they changed.
     async fn send_small(&mut self) -> Result<(), LinkError> {
-        let turn = self.shared.pace_of_small.turn().await;
+        let turn = self.shared.small_pacer.turn().await;
         let published = self.shared.published();
         let small = if self.status_only { Vec::new() } else { self.missing(&published)?.small };
         for missing in &small {
@@ -319,11 +319,10 @@
         let version = self.shared.member.published().borrow().version();
         let (evacuations, rollouts) = (self.next_evacuations(), self.next_rollouts());
         let slack = self.shared.loads_interval() / 4;
-        let evidence = loads.is_some().then(|| lock(&self.shared.evidence).everywhere(now, slack));
+        let evidence = loads.is_some().then(|| lock(&self.shared.evidence).total(now, slack));
         let prefix_holders = match loads {
-            Some(_) => {
-                lock(&self.shared.keepers).next_for_gateway(now, &mut self.cursor.prefix_holders)
-            }
+            Some(_) => lock(&self.shared.prefix_holders)
+                .next_for_gateway(now, &mut self.cursor.prefix_holders),
             None => Vec::new(),
         };
         let mixes = loads.as_ref().map(|_| lock(&self.shared.rollouts).mixes());
@@ -339,9 +338,9 @@
             return None;
         }
         self.cursor.next_loads_at = now + self.shared.loads_interval();
-        let longest = self.shared.loads_count_for();
+        let longest = self.shared.loads_ttl();
         let slack = self.shared.loads_interval() / 4;
-        let loads = lock(&self.shared.load_totals).everywhere(now, longest, slack);
+        let loads = lock(&self.shared.load_totals).total(now, longest, slack);
         self.cursor.idle = loads.is_empty();
         Some(loads)
     }
@@ -360,7 +359,7 @@
                 fan_out.release_upload(blob, fetch.source);
             } else {
                 fan_out.fetch_failed(blob, fetch.source);
-                shared.metrics.large_parcel(ParcelWay::NotPassedOn);
+                shared.metrics.count_large_blob(BlobDelivery::PeerFailed);
                 info!(shared.log, "blob not delivered by peer gateway"; "event" => "not_passed_on",
                     "from" => %fetch.source, "to" => &self.gateway, "brings" => ?fetch.advances_to);
             }
