--- a/src/gateway/answer.rs
+++ b/src/gateway/answer.rs
@@ -9,29 +9,29 @@
 use http::{HeaderValue, Response};
 use http_body::{Body, Frame, SizeHint};
 
-use super::reason::{Outlook, Refusal};
+use super::refusal::{Refusal, RetryHints};
 
 /// The answer broke off; the client's connection is cut, so that it never looks complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("the answer broke off")]
-pub(super) struct BrokenOff;
+pub(super) struct AnswerAborted;
 
 /// Body of an answer to a client.
 pub(super) enum AnswerBody {
     /// All of it.
     Whole(Option<Bytes>),
     /// Pieces as they come.
-    Pieces(BoxStream<'static, Result<Bytes, BrokenOff>>),
+    Pieces(BoxStream<'static, Result<Bytes, AnswerAborted>>),
 }
 
 impl Body for AnswerBody {
     type Data = Bytes;
-    type Error = BrokenOff;
+    type Error = AnswerAborted;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
         match self.get_mut() {
             AnswerBody::Whole(bytes) => {
                 Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
@@ -58,7 +58,7 @@
 }
 
 /// The answer to a request that is refused or given up on.
-pub(super) fn refuse(refusal: Refusal, outlook: Outlook) -> Response<AnswerBody> {
+pub(super) fn refuse(refusal: Refusal, hints: RetryHints) -> Response<AnswerBody> {
     let text = format!(
         "{{\"error\":{{\"code\":\"{}\",\"not_run\":{}}}}}\n",
         refusal.code(),
@@ -68,7 +68,7 @@
     *response.status_mut() = refusal.status();
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
-    if let Some(wait) = refusal.come_back_in(outlook)
+    if let Some(wait) = refusal.retry_after(hints)
         && let Ok(value) = HeaderValue::from_str(&format!("{:.2}", wait.as_secs_f64()))
     {
         headers.insert(RETRY_AFTER, value);
--- a/src/gateway/choice.rs
+++ b/src/gateway/choice.rs
@@ -11,7 +11,7 @@
 use super::balance::{Affinity, Candidate, Wish, choose, expected_keeper};
 use super::exchange::Plan;
 use super::mechanism::Mechanism;
-use super::reason::Refusal;
+use super::refusal::Refusal;
 use super::source::Search;
 use super::target::Target;
 use super::targets::Targets;
@@ -56,7 +56,7 @@
         if !route.sticky {
             return None;
         }
-        let value = headers.get(&self.names().prompt)?.to_str().ok()?;
+        let value = headers.get(&self.header_names().prompt)?.to_str().ok()?;
         let parts = self.dialect.prompt(value);
         let shared = &parts[..parts.len().saturating_sub(1).max(1).min(parts.len())];
         let hash = xxh3_64(shared.last()?.id.as_bytes());
@@ -118,7 +118,7 @@
                 && cold.is_none_or(|limit| limit.may_ask(now, target))
         };
         let usable: Vec<&Arc<Target>> = known.of(&plan.service).iter().filter(usable).collect();
-        let groups = versions.groups(plan.lot, !plan.tried.is_empty());
+        let groups = versions.groups(plan.version_draw, !plan.tried.is_empty());
         if groups == [Group::Any] {
             return (!usable.is_empty()).then_some((Group::Any, usable));
         }
@@ -186,7 +186,7 @@
             return Refusal::NoRoom;
         }
         if there.iter().any(|target| target.standing(now).rest_left(now).is_some()) {
-            return Refusal::Resting;
+            return Refusal::BackingOff;
         }
         if untried.count() > 0 && plan.tried.is_empty() {
             return Refusal::Evacuated;
@@ -208,7 +208,7 @@
     /// Targets that may take the request by their version and region, and that do not leave.
     fn suitable<'a>(&self, known: &'a Targets, plan: &Plan) -> Vec<&'a Arc<Target>> {
         let versions = Versions::of(self.now(), known, plan);
-        let groups = versions.groups(plan.lot, !plan.tried.is_empty());
+        let groups = versions.groups(plan.version_draw, !plan.tried.is_empty());
         let suits = |target: &&Arc<Target>| {
             !target.leaving()
                 && self.region_allows(plan, target)
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -54,7 +54,7 @@
 }
 
 /// An idle connection.
-pub(super) struct Idle {
+pub(super) struct IdleConnection {
     connection: Connection,
     since: Instant,
     keep_for: Duration,
@@ -104,7 +104,7 @@
 
 /// What a new connection tells of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(super) enum Found {
+pub(super) enum ProbeResult {
     /// Nobody listens at its address: it has ended.
     Ended,
     /// It takes connections.
@@ -114,18 +114,21 @@
 }
 
 /// Looks whether a target still takes connections. One that it takes is kept for a later request.
-pub(super) async fn look_at(target: &Arc<Target>, limits: ConnectionLimits<'_>) -> Found {
+pub(super) async fn probe_target(
+    target: &Arc<Target>,
+    limits: ConnectionLimits<'_>,
+) -> ProbeResult {
     match open(target, limits).await {
         Ok(connection) => {
             connection.keep(&HeaderMap::new());
-            Found::Lives
+            ProbeResult::Lives
         }
-        Err(ConnectError::Refused) => Found::Ended,
-        Err(_) => Found::Unknown,
+        Err(ConnectError::Refused) => ProbeResult::Ended,
+        Err(_) => ProbeResult::Unknown,
     }
 }
 
-fn take_idle(target: &Arc<Target>, reuse: Reuse) -> Option<Idle> {
+fn take_idle(target: &Arc<Target>, reuse: Reuse) -> Option<IdleConnection> {
     let mut idle = lock(&target.idle);
     let now = Instant::now();
     idle.retain(|idle| !idle.connection.sender.is_closed() && now < idle.since + idle.keep_for);
@@ -195,7 +198,7 @@
         let target = self.target.clone();
         let mut idle = lock(&target.idle);
         if idle.len() < MAX_IDLE {
-            idle.push(Idle { connection: self, since: Instant::now(), keep_for });
+            idle.push(IdleConnection { connection: self, since: Instant::now(), keep_for });
         }
     }
 }
--- a/src/gateway/disconnect.rs
+++ b/src/gateway/disconnect.rs
@@ -16,13 +16,13 @@
     Leaderless,
     /// It was followed for the first configuration only.
     #[error("it told the first configuration, and another is next")]
-    First,
+    ConfigurationReceived,
     /// This host was suspended: what the member sent meanwhile may be old, and come late.
     #[error("this host was suspended for {0:?}")]
     Suspended(Duration),
     /// One that comes earlier in the gateway's order can be followed again.
     #[error("{0} comes earlier and can be followed")]
-    Earlier(SocketAddr),
+    PreferredMember(SocketAddr),
 }
 
 impl Disconnect {
@@ -31,9 +31,9 @@
         match self {
             Disconnect::Link(error) => error.label(),
             Disconnect::Leaderless => "leaderless",
-            Disconnect::First => "first",
+            Disconnect::ConfigurationReceived => "first",
             Disconnect::Suspended(_) => "suspended",
-            Disconnect::Earlier(_) => "earlier",
+            Disconnect::PreferredMember(_) => "earlier",
         }
     }
 }
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -8,7 +8,7 @@
 /// An event is longer than [`MAX_EVENT_BYTES`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("an event is too long")]
-pub struct TooLong;
+pub struct EventTooLong;
 
 /// Bytes of a stream that do not make a whole event yet.
 #[derive(Clone, Debug, Default)]
@@ -21,14 +21,14 @@
     /// Takes bytes and returns all whole events that are there now; empty when there is none.
     ///
     /// # Errors
-    /// [`TooLong`].
-    pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, TooLong> {
+    /// [`EventTooLong`].
+    pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, EventTooLong> {
         // An end may straddle what was there and what came.
         let from = self.pending.len().saturating_sub(3);
         self.pending.extend_from_slice(bytes);
         let Some(end) = last_end(&self.pending[from..]) else {
             return if self.pending.len() > MAX_EVENT_BYTES {
-                Err(TooLong)
+                Err(EventTooLong)
             } else {
                 Ok(Bytes::new())
             };
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -14,15 +14,15 @@
 use super::attempt::{self, Answer, AttemptError, Supervisor};
 use super::balance::Affinity;
 use super::choice::Choice;
-use super::connection::{ConnectError, Found};
+use super::connection::{ConnectError, ProbeResult};
 use super::health::AttemptOutcome;
 use super::held::Holder;
 use super::outgoing::Outgoing;
 use super::patience::{self, SilenceWatch};
-use super::reason::{Outlook, Refusal};
+use super::refusal::{Refusal, RetryHints};
 use super::relay;
 use super::target::Target;
-use super::trace::{self, Departure, text};
+use super::trace::{self, DisconnectGuard, text};
 use super::{Gateway, Stage};
 use crate::clock::Instant;
 use crate::configuration::{Route, Team};
@@ -62,9 +62,9 @@
     pub(super) arrivals: u32,
     /// What connections that could not be made have cost.
     pub(super) connect_cost: u32,
-    pub(super) departure: Departure,
+    pub(super) disconnect_guard: DisconnectGuard,
     /// Drawn from 0 to 1: decides which version of the service it goes to while one takes the place of another.
-    pub(super) lot: f64,
+    pub(super) version_draw: f64,
     /// What the outcome of the attempt under way is counted under, and when it began, while a roll-out is under way.
     pub(super) counted_under: Option<(Subject, Instant)>,
     /// Connection of the client.
@@ -87,10 +87,10 @@
     let mut response = match prepare(gateway, holder, &head, body, arrived).await {
         Ok(plan) => run(gateway, plan).await,
         Err(refusal) => {
-            let id = text(head.headers.get(&gateway.names().request_id));
+            let id = text(head.headers.get(&gateway.header_names().request_id));
             let host = text(head.headers.get(HOST));
             trace::refused(gateway, id, host, head.uri.path(), refusal);
-            refuse(refusal, Outlook { up_for: gateway.now(), rest_left: None })
+            refuse(refusal, RetryHints { uptime: gateway.now(), backoff_left: None })
         }
     };
     if gateway.stage() != Stage::Serving {
@@ -111,7 +111,7 @@
     if gateway.stage() == Stage::Closed {
         return Err(Refusal::Stopping);
     }
-    let names = gateway.names();
+    let names = gateway.header_names();
     let waits = stated_wait(head.headers.get(&names.deadline_ms))?;
     let table = gateway.table_within(waits).await.ok_or(Refusal::NoConfiguration)?;
     if gateway.refuses_as_stale() {
@@ -137,7 +137,7 @@
     gateway.count_request(&service);
     let outgoing = Outgoing::new(names, head, body, &caller, &route, id, deadline);
     let affinity = gateway.affinity(&route, &head.headers);
-    let departure = Departure::new(gateway, &outgoing.id, arrived);
+    let disconnect_guard = DisconnectGuard::new(gateway, &outgoing.id, arrived);
     Ok(Plan {
         route,
         service,
@@ -153,8 +153,8 @@
         sends: 0,
         arrivals: 0,
         connect_cost: 0,
-        departure,
-        lot: rand::random(),
+        disconnect_guard,
+        version_draw: rand::random(),
         counted_under: None,
         holder: holder.clone(),
         may_have_run: None,
@@ -231,10 +231,10 @@
 }
 
 pub(super) fn give_up(gateway: &Gateway, mut plan: Plan, refusal: Refusal) -> Response<AnswerBody> {
-    let rest_left = (refusal == Refusal::Resting).then(|| gateway.rest_left(&plan)).flatten();
-    trace::given_up(gateway, &plan, refusal, rest_left);
-    plan.departure.finish();
-    refuse(refusal, Outlook { up_for: gateway.now(), rest_left })
+    let backoff_left = (refusal == Refusal::BackingOff).then(|| gateway.rest_left(&plan)).flatten();
+    trace::given_up(gateway, &plan, refusal, backoff_left);
+    plan.disconnect_guard.finish();
+    refuse(refusal, RetryHints { uptime: gateway.now(), backoff_left })
 }
 
 /// Sends the request until a target answers.
@@ -248,7 +248,7 @@
         }
         if gateway.blocks_as_poison(plan) {
             let ran = plan.may_have_run.is_some();
-            return Err(if ran { Refusal::EndedTargets } else { Refusal::EndsTargets });
+            return Err(if ran { Refusal::PoisonAfterSend } else { Refusal::Poison });
         }
         if plan.arrivals > 0 && !gateway.may_send_again(plan) {
             return Err(plan.may_have_run.unwrap_or(Refusal::NotRun));
@@ -366,12 +366,12 @@
     let longest = patience::for_answer(&plan.route);
     let watch = SilenceWatch::begin(gateway, target, longest);
     let supervised = Supervised { gateway, plan, target, watch: &watch };
-    let (from, names) = (choice.fetch_from, gateway.names());
+    let (from, names) = (choice.fetch_from, gateway.header_names());
     let sent =
         attempt::send(target, from, &plan.outgoing, names, limits, longest, &supervised).await;
     let blamed = watch.blamed();
     watch.end();
-    gateway.note_met(target, found(&sent));
+    gateway.note_reachability(target, found(&sent));
     if !matches!(sent, Err(AttemptError::NotSent(_))) {
         plan.arrivals += 1;
     }
@@ -424,11 +424,11 @@
 }
 
 /// What an attempt tells of whether anybody is there.
-fn found(sent: &Result<Answer, AttemptError>) -> Found {
+fn found(sent: &Result<Answer, AttemptError>) -> ProbeResult {
     match sent {
-        Err(AttemptError::NotSent(ConnectError::Refused)) => Found::Ended,
-        Err(AttemptError::NotSent(_)) => Found::Unknown,
-        Ok(_) | Err(_) => Found::Lives,
+        Err(AttemptError::NotSent(ConnectError::Refused)) => ProbeResult::Ended,
+        Err(AttemptError::NotSent(_)) => ProbeResult::Unknown,
+        Ok(_) | Err(_) => ProbeResult::Lives,
     }
 }
 
--- a/src/gateway/feed.rs
+++ b/src/gateway/feed.rs
@@ -61,7 +61,7 @@
         follower.note_left(member, &left);
         follower.learn(follower.order.from_current());
         match left {
-            Disconnect::Earlier(earlier) => follower.order.turn_to(earlier),
+            Disconnect::PreferredMember(earlier) => follower.order.turn_to(earlier),
             // The same member tells all that is new, on a connection that holds nothing old.
             Disconnect::Suspended(_) => {}
             _ => {
@@ -158,7 +158,7 @@
             return (member, self.stay(subscribed, Until::Lost).await);
         }
         match self.stay(subscribed, Until::Configured).await {
-            Disconnect::First => self.follow_current().await,
+            Disconnect::ConfigurationReceived => self.follow_current().await,
             left => (member, left),
         }
     }
@@ -170,7 +170,7 @@
         let naming = bootstrap::first_to_name(self.gateway.settings.source, &known, &subscription);
         let named = tokio::time::timeout(LONGEST_RACE, naming).await;
         let named = named.map_err(|_| LinkError::Timeout)?;
-        self.gateway.heard_member.send_replace(true);
+        self.gateway.member_contact.send_replace(true);
         self.learn(named);
         self.order.turn_to_first();
         Ok(())
@@ -186,7 +186,7 @@
             rollouts: read(&self.gateway.targets).rollouts_revision(),
             data_hall: self.gateway.settings.data_hall.clone(),
             looks: false,
-            passes_on_at: self.gateway.passes_on_at,
+            passes_on_at: self.gateway.blob_addr,
         }
     }
 
@@ -244,12 +244,12 @@
                 }
                 // What is on its way would be lost with the connection.
                 Event::Look(Look::Found(earlier)) if self.news.complete() => {
-                    return Ok(Disconnect::Earlier(earlier));
+                    return Ok(Disconnect::PreferredMember(earlier));
                 }
                 Event::Look(Look::Found(_)) => {}
             }
         }
-        Ok(Disconnect::First)
+        Ok(Disconnect::ConfigurationReceived)
     }
 
     /// Waits for what happens next while a member is followed.
@@ -269,7 +269,7 @@
                     FromMember::Update(update) => Event::Told(update),
                     FromMember::Reply { .. } => return Err(LinkError::Garbled),
                 },
-                () = self.gateway.poison_news.notified() => Event::Poison,
+                () = self.gateway.poison_changed.notified() => Event::Poison,
                 look = self.failback.next() => Event::Look(look),
                 fetched = self.news.fetched() => Event::Fetched(fetched),
                 () = tokio::time::sleep_until(loads_at) => Event::LoadsDue,
@@ -303,7 +303,7 @@
         sender: &mut FrameSender,
     ) -> Result<bool, LinkError> {
         let fresh = update.fresh;
-        self.gateway.heard_member.send_replace(true);
+        self.gateway.member_contact.send_replace(true);
         if fresh {
             *lock(&self.gateway.fresh_at) = Some(Instant::now());
             self.note_found(member);
@@ -323,7 +323,7 @@
     /// Tells the member what this gateway has in flight, if that has changed or is not nothing.
     async fn tell_loads(&mut self, sender: &mut FrameSender) -> Result<(), LinkError> {
         let (loads, outcomes) = (self.gateway.tell_loads(), self.gateway.tell_outcomes());
-        let keepers = lock(&self.gateway.keepers).tell();
+        let keepers = lock(&self.gateway.prefix_holders).tell();
         let tallies = self.gateway.tell_tallies();
         let quiet = outcomes.is_empty() && keepers.is_empty() && tallies.is_empty();
         if loads.is_empty() && quiet && self.told_none {
--- a/src/gateway/keepers.rs
+++ b/src/gateway/keepers.rs
@@ -110,6 +110,6 @@
         };
         let target = LoadKey::of(choice.target.key);
         let keeper = Keeper { prompt: PromptKey::of(affinity.hash), target };
-        lock(&self.keepers).note_read(self.now(), keeper);
+        lock(&self.prefix_holders).note_read(self.now(), keeper);
     }
 }
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -5,8 +5,8 @@
 use http::StatusCode;
 use prometheus::{Gauge, Histogram, HistogramVec, IntCounter, IntCounterVec, IntGauge};
 
-use super::connection::{ConnectError, Found};
-use super::reason::Refusal;
+use super::connection::{ConnectError, ProbeResult};
+use super::refusal::Refusal;
 use crate::link::LinkError;
 use crate::metrics::{MetricSet, SECONDS, SHORT_SECONDS};
 
@@ -350,11 +350,11 @@
     }
 
     /// A target whose answer broke off was looked at.
-    pub(super) fn inquired(&self, service: &str, found: Found) {
+    pub(super) fn inquired(&self, service: &str, found: ProbeResult) {
         let found = match found {
-            Found::Ended => "ended",
-            Found::Lives => "lives",
-            Found::Unknown => "unknown",
+            ProbeResult::Ended => "ended",
+            ProbeResult::Lives => "lives",
+            ProbeResult::Unknown => "unknown",
         };
         self.inquests.with_label_values(&[service, found]).inc();
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -36,7 +36,7 @@
 pub mod patience;
 mod poison;
 mod probe;
-pub mod reason;
+pub mod refusal;
 mod relay;
 pub mod remembered;
 mod retries;
@@ -49,7 +49,7 @@
 mod target;
 mod targets;
 mod trace;
-pub mod unread;
+pub mod unknown_headers;
 pub mod versions;
 
 use std::collections::HashMap;
@@ -77,7 +77,7 @@
 use self::shelf::Shelf;
 use self::target::Target;
 use self::targets::Targets;
-use self::unread::UnreadNames;
+use self::unknown_headers::UnknownHeaders;
 
 use crate::clock::Instant;
 use crate::dialect::{Headers, SharedDialect};
@@ -101,9 +101,9 @@
     table: watch::Sender<Option<Arc<RouteTable>>>,
     targets: RwLock<Targets>,
     /// Whether a member has told anything since the start.
-    heard_member: watch::Sender<bool>,
+    member_contact: watch::Sender<bool>,
     /// Which targets keep which prompts.
-    keepers: Mutex<Keepers>,
+    prefix_holders: Mutex<Keepers>,
     /// Gateways alive, as the members tell; 0 while not told.
     gateways: AtomicU32,
     /// Gateways that share the budgets.
@@ -111,28 +111,28 @@
     /// When a member that hears a leader was last heard.
     fresh_at: Mutex<Option<Instant>>,
     /// Large parcels of news, for other gateways.
-    shelf: Mutex<Shelf>,
+    blob_cache: Mutex<Shelf>,
     /// Where other gateways fetch them, if they can.
-    passes_on_at: Option<SocketAddr>,
+    blob_addr: Option<SocketAddr>,
     budgets: Mutex<HashMap<String, ServiceBudget>>,
     /// What was seen of roll-outs under way, not told to a member yet.
     tallies: Mutex<Tallies>,
     /// What is held for clients.
     holdings: Arc<Holdings>,
     stage: watch::Sender<Stage>,
-    open: AtomicU32,
+    open_requests: AtomicU32,
     /// Connections of clients.
     client_connections: AtomicUsize,
     last_request: Mutex<Instant>,
     /// Requests under which targets ended.
     poison: Mutex<Board>,
     /// Wakes who tells members of them.
-    poison_news: Notify,
-    attempt_lines: Mutex<Sampler>,
-    answer_lines: Mutex<Sampler>,
-    inquest_lines: Mutex<Sampler>,
-    rest_lines: Mutex<Sampler>,
-    unread_names: Mutex<UnreadNames>,
+    poison_changed: Notify,
+    attempt_sampler: Mutex<Sampler>,
+    answer_sampler: Mutex<Sampler>,
+    probe_sampler: Mutex<Sampler>,
+    backoff_sampler: Mutex<Sampler>,
+    unknown_headers: Mutex<UnknownHeaders>,
     started: Instant,
     /// Time in which this process ran, by which others' silence counts.
     run_clock: Arc<RunClock>,
@@ -177,7 +177,7 @@
 
 impl Drop for OpenRequest {
     fn drop(&mut self) {
-        self.0.open.fetch_sub(1, Ordering::Relaxed);
+        self.0.open_requests.fetch_sub(1, Ordering::Relaxed);
         *lock(&self.0.last_request) = Instant::now();
     }
 }
@@ -193,7 +193,7 @@
         self.settings.uses(mechanism)
     }
 
-    fn names(&self) -> &Headers {
+    fn header_names(&self) -> &Headers {
         self.dialect.headers()
     }
 
@@ -223,7 +223,7 @@
     }
 
     fn open_request(self: &Arc<Self>) -> OpenRequest {
-        self.open.fetch_add(1, Ordering::Relaxed);
+        self.open_requests.fetch_add(1, Ordering::Relaxed);
         OpenRequest(self.clone())
     }
 
@@ -237,7 +237,7 @@
     }
 
     /// Most connections of this gateway to a target of the service.
-    fn connections_to(&self, service: &str) -> u32 {
+    fn max_connections_to(&self, service: &str) -> u32 {
         let table = self.table();
         let stated = table.and_then(|table| table.service(service)?.max_connections);
         (stated.unwrap_or(DEFAULT_CONNECTIONS) / self.gateways().max(1)).max(1)
@@ -265,7 +265,7 @@
             source: self.settings.source,
             connect: self.settings.connect_timeout(),
             unacknowledged: Duration::from_millis(self.settings.unacknowledged_ms),
-            most: self.connections_to(service),
+            most: self.max_connections_to(service),
             metrics: &self.metrics,
         }
     }
@@ -276,7 +276,7 @@
     }
 
     /// Time since a member that hears a leader was last heard, in milliseconds; -1 before.
-    fn news_age_ms(&self) -> i64 {
+    fn update_age_ms(&self) -> i64 {
         lock(&self.fresh_at).map_or(-1, |at| at.elapsed().as_millis() as i64)
     }
 
@@ -311,7 +311,7 @@
             None if !word.turned_away => target.answered(self.now()),
             None => {}
         }
-        self.note_unread(target, headers);
+        self.note_unknown_headers(target, headers);
     }
 
     fn note_outcome(&self, target: &Target, outcome: AttemptOutcome) {
@@ -319,7 +319,7 @@
         target.count_outcome(outcome != AttemptOutcome::Answered);
         let others = match outcome {
             AttemptOutcome::Answered | AttemptOutcome::Unreachable => Vec::new(),
-            _ if self.uses(Mechanism::Peers) => self.tallies_of_others(now, target),
+            _ if self.uses(Mechanism::Peers) => self.other_tallies(now, target),
             // As if there were one that never fails.
             _ => vec![Tally::default()],
         };
@@ -332,7 +332,7 @@
     }
 
     /// How attempts went at the targets that could take the work of this one.
-    fn tallies_of_others(&self, now: Duration, target: &Target) -> Vec<Tally> {
+    fn other_tallies(&self, now: Duration, target: &Target) -> Vec<Tally> {
         let targets = read(&self.targets);
         let others = targets.of(&target.announcement.service).iter();
         let others = others.filter(|other| other.key != target.key && !other.leaving());
--- a/src/gateway/neighbours.rs
+++ b/src/gateway/neighbours.rs
@@ -51,7 +51,7 @@
 async fn answer(gateway: &Gateway, stream: TcpStream) -> Result<(), LinkError> {
     let (mut sender, mut receiver) = frames(stream, TIMING)?;
     let ToNeighbour::Fetch(id) = receiver.receive().await?;
-    let kept = lock(&gateway.shelf).get(id).map(|parcel| parcel.bytes().clone());
+    let kept = lock(&gateway.blob_cache).get(id).map(|parcel| parcel.bytes().clone());
     gateway.metrics.asked_for_parcel(kept.is_some());
     sender.send(&kept.map_or(FromNeighbour::Unknown, FromNeighbour::Parcel)).await?;
     // Closed by the other side, once it has all.
--- a/src/gateway/news.rs
+++ b/src/gateway/news.rs
@@ -137,7 +137,7 @@
         }
         if parcel.is_large() {
             let id = parcel.id();
-            lock(&self.gateway.shelf).keep(parcel);
+            lock(&self.gateway.blob_cache).keep(parcel);
             sender.send(&ToMember::Has(id)).await?;
         }
         if self.gateway.version() != version {
@@ -220,7 +220,7 @@
             let mut targets = write(&self.gateway.targets);
             targets.take_mixes(self.gateway.now(), update.mixes.clone());
         }
-        lock(&self.gateway.keepers).hear(self.gateway.now(), &update.keepers);
+        lock(&self.gateway.prefix_holders).hear(self.gateway.now(), &update.keepers);
         self.gateway.take_poison_news(&update.poison);
         if let Some(evidence) = &update.evidence {
             self.gateway.take_evidence(evidence);
--- a/src/gateway/opening.rs
+++ b/src/gateway/opening.rs
@@ -66,7 +66,7 @@
         if !self.reaches_a_member().await {
             return;
         }
-        let mut heard = self.heard_member.subscribe();
+        let mut heard = self.member_contact.subscribe();
         let told = heard.wait_for(|heard| *heard);
         // Past that time it listens whatever the members do.
         let _ = tokio::time::timeout(LISTENS_WITHIN, told).await;
--- a/src/gateway/outflow.rs
+++ b/src/gateway/outflow.rs
@@ -12,10 +12,10 @@
 use futures_util::stream::BoxStream;
 use tokio::sync::mpsc;
 
-use super::answer::BrokenOff;
+use super::answer::AnswerAborted;
 use super::exchange::Plan;
 use super::held::Holder;
-use super::reason::Refusal;
+use super::refusal::Refusal;
 use super::trace::{self, ClientCut};
 use super::{Gateway, OpenRequest};
 use crate::clock::Instant;
@@ -67,7 +67,7 @@
         first: Bytes,
         source: impl Source,
         open: Option<OpenRequest>,
-    ) -> BoxStream<'static, Result<Bytes, BrokenOff>> {
+    ) -> BoxStream<'static, Result<Bytes, AnswerAborted>> {
         let (sender, receiver) = mpsc::unbounded_channel();
         tokio::spawn(self.carry(first, source, sender));
         let pieces = futures_util::stream::unfold(Some((receiver, open)), |state| async move {
@@ -75,7 +75,7 @@
             match receiver.recv().await {
                 Some(Handed::Piece(piece)) => Some((Ok(piece), Some((receiver, open)))),
                 Some(Handed::End) => None,
-                None => Some((Err(BrokenOff), None)),
+                None => Some((Err(AnswerAborted), None)),
             }
         });
         pieces.boxed()
--- a/src/gateway/outgoing.rs
+++ b/src/gateway/outgoing.rs
@@ -58,7 +58,7 @@
         id: HeaderValue,
         deadline: Instant,
     ) -> Self {
-        let mut headers = from_client(&head.headers, names);
+        let mut headers = forwarded_headers(&head.headers, names);
         let has_body = head.headers.contains_key(CONTENT_LENGTH)
             || head.headers.contains_key(TRANSFER_ENCODING);
         if has_body {
@@ -96,7 +96,7 @@
     }
 
     /// Has the next target go on with a stream after the event `last`.
-    pub(super) fn go_on_after(&mut self, names: &Headers, last: HeaderValue) {
+    pub(super) fn resume_after(&mut self, names: &Headers, last: HeaderValue) {
         self.headers.insert(names.last_event_id.clone(), last);
     }
 
@@ -139,7 +139,7 @@
 
 /// What of a client's headers is passed on to a target: all but those that concern one connection,
 /// and those that only gateways set.
-pub fn from_client(client: &HeaderMap, names: &Headers) -> HeaderMap {
+pub fn forwarded_headers(client: &HeaderMap, names: &Headers) -> HeaderMap {
     let mut headers = client.clone();
     strip_hop_by_hop(&mut headers);
     for name in names.set_by_routers().chain([&EXPECT, &CONTENT_LENGTH]) {
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -40,7 +40,7 @@
     pub(super) fn note_end(&self, suspect: Suspect, target: u64) {
         let by = Reporter::of(&self.settings.host);
         lock(&self.poison).note_end(self.now(), suspect, target, by);
-        self.poison_news.notify_one();
+        self.poison_changed.notify_one();
         self.log_poison();
     }
 
@@ -52,7 +52,7 @@
         let cleared = lock(&self.poison).note_ended_well(self.now(), plan.fingerprint());
         if cleared {
             self.metrics.poison_cleared();
-            self.poison_news.notify_one();
+            self.poison_changed.notify_one();
             self.log_poison();
         }
     }
--- a/src/gateway/probe.rs
+++ b/src/gateway/probe.rs
@@ -8,7 +8,7 @@
 use slog::info;
 
 use super::Gateway;
-use super::connection::{Found, look_at};
+use super::connection::{ProbeResult, probe_target};
 use super::exchange::Plan;
 use super::target::Target;
 use super::trace::{millis_since, text};
@@ -18,11 +18,11 @@
 impl Gateway {
     /// Notes whether somebody was met at a target's address. Where nobody was, who is met there next has just started,
     /// and is cold whatever was known before: word of that start may come later than the first requests.
-    pub(super) fn note_met(&self, target: &Target, found: Found) {
+    pub(super) fn note_reachability(&self, target: &Target, found: ProbeResult) {
         match found {
-            Found::Ended => target.warmth().left(),
-            Found::Lives => target.warmth().met(self.now()),
-            Found::Unknown => {}
+            ProbeResult::Ended => target.warmth().left(),
+            ProbeResult::Lives => target.warmth().met(self.now()),
+            ProbeResult::Unknown => {}
         }
     }
 
@@ -37,19 +37,19 @@
         let leaves = target.leaving();
         let began = Instant::now();
         tokio::spawn(async move {
-            let found = look_at(&target, gateway.connection_limits(&service)).await;
+            let found = probe_target(&target, gateway.connection_limits(&service)).await;
             gateway.metrics.inquired(&service, found);
-            gateway.note_met(&target, found);
-            if found == Found::Lives
+            gateway.note_reachability(&target, found);
+            if found == ProbeResult::Lives
                 && let Some(subject) = counted_under
             {
                 // A target that ended, or can't be reached, says nothing of its version.
                 lock(&gateway.tallies).note_failed(subject);
             }
-            if found == Found::Ended && !leaves {
+            if found == ProbeResult::Ended && !leaves {
                 gateway.note_end(suspect, target.key);
             }
-            if let Some(stands_for) = lock(&gateway.inquest_lines).keep(gateway.now()) {
+            if let Some(stands_for) = lock(&gateway.probe_sampler).keep(gateway.now()) {
                 info!(gateway.log, "looked at a target"; "event" => "inquest",
                     "request" => text(Some(&id)), "target" => &target.announcement.id,
                     "found" => ?found, "fingerprint" => %fingerprint, "route" => route,
--- a/src/gateway/reason.rs
+++ b/src/gateway/refusal.rs
@@ -23,11 +23,11 @@
 
 /// What a gateway knows of when a request that it refuses could be served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Outlook {
+pub struct RetryHints {
     /// Time since the gateway started.
-    pub up_for: Duration,
+    pub uptime: Duration,
     /// Time until the first target that has asked for rest can be asked again.
-    pub rest_left: Option<Duration>,
+    pub backoff_left: Option<Duration>,
 }
 
 /// Why a request was refused or given up on.
@@ -60,7 +60,7 @@
     /// All targets that could take the request are slow after a start, and have had what they bear.
     Cold,
     /// The targets that could take the request have asked this gateway for rest.
-    Resting,
+    BackingOff,
     /// No target could be connected to, and nothing was sent.
     ConnectFailed,
     /// A target said that it did not run the request.
@@ -74,9 +74,9 @@
     /// The answer belonged to another request, or was not a target's.
     WrongAnswer,
     /// Targets ended under this request before, and it is sent to none. It was not sent in this try.
-    EndsTargets,
+    Poison,
     /// The same, found when it had been sent in this try.
-    EndedTargets,
+    PoisonAfterSend,
 }
 
 impl Refusal {
@@ -95,15 +95,15 @@
         Refusal::NoTarget,
         Refusal::Evacuated,
         Refusal::Cold,
-        Refusal::Resting,
+        Refusal::BackingOff,
         Refusal::ConnectFailed,
         Refusal::NotRun,
         Refusal::TooLate,
         Refusal::AnswerLost,
         Refusal::AnswerLate,
         Refusal::WrongAnswer,
-        Refusal::EndsTargets,
-        Refusal::EndedTargets,
+        Refusal::Poison,
+        Refusal::PoisonAfterSend,
     ];
 
     /// Stable code for logs, metrics and bodies.
@@ -122,15 +122,15 @@
             Refusal::NoTarget => "no_target",
             Refusal::Evacuated => "evacuated",
             Refusal::Cold => "cold",
-            Refusal::Resting => "resting",
+            Refusal::BackingOff => "resting",
             Refusal::ConnectFailed => "connect_failed",
             Refusal::NotRun => "not_run",
             Refusal::TooLate => "too_late",
             Refusal::AnswerLost => "answer_lost",
             Refusal::AnswerLate => "answer_late",
             Refusal::WrongAnswer => "wrong_answer",
-            Refusal::EndsTargets => "ends_targets",
-            Refusal::EndedTargets => "ended_targets",
+            Refusal::Poison => "ends_targets",
+            Refusal::PoisonAfterSend => "ended_targets",
         }
     }
 
@@ -146,7 +146,7 @@
             Refusal::AnswerLost | Refusal::WrongAnswer => StatusCode::BAD_GATEWAY,
             Refusal::AnswerLate => StatusCode::GATEWAY_TIMEOUT,
             // A fault that stays, unlike those of 503, which would have callers try again elsewhere.
-            Refusal::EndsTargets | Refusal::EndedTargets => StatusCode::INTERNAL_SERVER_ERROR,
+            Refusal::Poison | Refusal::PoisonAfterSend => StatusCode::INTERNAL_SERVER_ERROR,
             Refusal::NoConfiguration
             | Refusal::Stopping
             | Refusal::Stale
@@ -154,7 +154,7 @@
             | Refusal::NoTarget
             | Refusal::Evacuated
             | Refusal::Cold
-            | Refusal::Resting
+            | Refusal::BackingOff
             | Refusal::ConnectFailed
             | Refusal::NotRun
             | Refusal::TooLate => StatusCode::SERVICE_UNAVAILABLE,
@@ -168,17 +168,17 @@
             Refusal::AnswerLost
                 | Refusal::AnswerLate
                 | Refusal::WrongAnswer
-                | Refusal::EndedTargets
+                | Refusal::PoisonAfterSend
         )
     }
 
     /// When the caller should come back, for requests that did not run.
-    pub fn come_back_in(self, outlook: Outlook) -> Option<Duration> {
+    pub fn retry_after(self, hints: RetryHints) -> Option<Duration> {
         match self {
             Refusal::NoConfiguration => {
-                Some(outlook.up_for.clamp(FIRST_NEWS_WITHIN.0, FIRST_NEWS_WITHIN.1))
+                Some(hints.uptime.clamp(FIRST_NEWS_WITHIN.0, FIRST_NEWS_WITHIN.1))
             }
-            Refusal::Resting => Some(outlook.rest_left.unwrap_or(ELSEWHERE)),
+            Refusal::BackingOff => Some(hints.backoff_left.unwrap_or(ELSEWHERE)),
             Refusal::Stale => Some(NEWS_WITHIN),
             Refusal::Evacuated => Some(EVACUATED),
             Refusal::Cold => Some(COLD),
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -20,7 +20,7 @@
 use super::outflow::{Outflow, Source};
 use super::outgoing::strip_hop_by_hop;
 use super::patience::{self, SilenceWatch};
-use super::reason::Refusal;
+use super::refusal::Refusal;
 use super::trace::{self, text};
 
 use crate::clock::Instant;
@@ -70,7 +70,7 @@
                     continue;
                 }
                 trace::answered(gateway, &plan, &target, status);
-                plan.departure.finish();
+                plan.disconnect_guard.finish();
                 let deadline = plan.outgoing.deadline;
                 let (clock, _in_flight) = (gateway.run_clock.clone(), in_flight);
                 let rest = Rest { body, connection, headers, _in_flight, deadline, clock };
@@ -240,7 +240,7 @@
 
     fn cut(&mut self, why: Refusal) {
         trace::cut(&self.gateway, &self.plan, why);
-        self.plan.departure.finish();
+        self.plan.disconnect_guard.finish();
     }
 }
 
@@ -325,7 +325,7 @@
         if let Some(last) = self.splitter.last_id()
             && let Ok(last) = HeaderValue::from_str(last)
         {
-            self.plan.outgoing.go_on_after(gateway.names(), last);
+            self.plan.outgoing.resume_after(gateway.header_names(), last);
         } else if self.begun {
             return Err(refusal);
         }
--- a/src/gateway/running.rs
+++ b/src/gateway/running.rs
@@ -82,7 +82,7 @@
         let ready = listen_if_set(settings.ready_listen).await?;
         let scrapes = listen_if_set(settings.metrics_listen).await?;
         let neighbours = listen_for_neighbours(&settings, &log).await;
-        let passes_on_at = neighbours.as_ref().and_then(|listener| listener.local_addr().ok());
+        let blob_addr = neighbours.as_ref().and_then(|listener| listener.local_addr().ok());
         info!(log, "gateway started"; "event" => "gateway_started",
             "version" => env!("CARGO_PKG_VERSION"), "listen" => %listen,
             "on_stale" => ?settings.on_stale, "load_bound" => settings.load_bound,
@@ -97,26 +97,26 @@
             dialect,
             table: watch::Sender::new(None),
             targets: RwLock::default(),
-            heard_member: watch::Sender::new(false),
-            keepers: Mutex::default(),
+            member_contact: watch::Sender::new(false),
+            prefix_holders: Mutex::default(),
             gateways: AtomicU32::new(0),
             fleet_size: Mutex::new(FleetSize::new(window)),
             fresh_at: Mutex::default(),
-            shelf: Mutex::default(),
-            passes_on_at,
+            blob_cache: Mutex::default(),
+            blob_addr,
             budgets: Mutex::default(),
             tallies: Mutex::default(),
             stage: watch::Sender::new(Stage::Serving),
-            open: AtomicU32::new(0),
+            open_requests: AtomicU32::new(0),
             client_connections: AtomicUsize::new(0),
             last_request: Mutex::new(Instant::now()),
             poison: Mutex::new(Board::new(Rule::default(), Some(reporter))),
-            poison_news: Notify::new(),
-            attempt_lines: Mutex::default(),
-            answer_lines: Mutex::default(),
-            inquest_lines: Mutex::default(),
-            rest_lines: Mutex::default(),
-            unread_names: Mutex::default(),
+            poison_changed: Notify::new(),
+            attempt_sampler: Mutex::default(),
+            answer_sampler: Mutex::default(),
+            probe_sampler: Mutex::default(),
+            backoff_sampler: Mutex::default(),
+            unknown_headers: Mutex::default(),
             started: Instant::now(),
             run_clock: RunClock::start(&log),
             metrics: GatewayMetrics::new()?,
@@ -153,7 +153,7 @@
         let longest = Duration::from_millis(gateway.settings.stop_within_ms);
         loop {
             tokio::time::sleep(STOP_LOOK).await;
-            let open = gateway.open.load(Ordering::Relaxed);
+            let open = gateway.open_requests.load(Ordering::Relaxed);
             let elapsed = began.elapsed();
             if elapsed >= longest.mul_f64(STOP_TAKES_PART) {
                 gateway.stage.send_replace(Stage::Closed);
--- a/src/gateway/source.rs
+++ b/src/gateway/source.rs
@@ -62,7 +62,7 @@
             return Told::Nothing;
         }
         let prompt = PromptKey::of(search.affinity.hash);
-        let told: Vec<LoadKey> = lock(&self.keepers).of(search.now, prompt).collect();
+        let told: Vec<LoadKey> = lock(&self.prefix_holders).of(search.now, prompt).collect();
         let chosen = search.chosen();
         if told.contains(&LoadKey::of(chosen.key)) {
             return Told::Chosen;
--- a/src/gateway/target.rs
+++ b/src/gateway/target.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::cold::Warmth;
-use super::connection::Idle;
+use super::connection::IdleConnection;
 use super::health::Health;
 use super::strain::Strain;
 use crate::availability::{Availability, OwnWord, Standing};
@@ -53,7 +53,7 @@
     bodies: AtomicUsize,
     /// Connections open or being made.
     pub(super) connections: AtomicU32,
-    pub(super) idle: Mutex<Vec<Idle>>,
+    pub(super) idle: Mutex<Vec<IdleConnection>>,
     health: Mutex<Health>,
     warmth: Mutex<Warmth>,
     /// Attempts of this gateway that failed and that were answered, not told to a member yet.
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -10,7 +10,7 @@
 use super::attempt::AttemptError;
 use super::choice::Choice;
 use super::exchange::Plan;
-use super::reason::Refusal;
+use super::refusal::Refusal;
 use super::target::Target;
 use crate::clock::Instant;
 use crate::retry_after::RetryAfter;
@@ -34,7 +34,7 @@
     gateway.metrics.refused(refusal);
     info!(gateway.log, "refused"; "event" => "refused", "id" => id, "reason" => refusal.code(),
         "status" => refusal.status().as_u16(), "request_host" => host, "path" => path,
-        "version" => gateway.version(), "news_age_ms" => gateway.news_age_ms(),
+        "version" => gateway.version(), "news_age_ms" => gateway.update_age_ms(),
         "stage" => ?gateway.stage());
 }
 
@@ -43,7 +43,7 @@
     gateway: &Gateway,
     plan: &Plan,
     refusal: Refusal,
-    rest_left: Option<Duration>,
+    backoff_left: Option<Duration>,
 ) {
     gateway.metrics.refused(refusal);
     info!(gateway.log, "given up"; "event" => "given_up", "id" => text(Some(&plan.outgoing.id)),
@@ -52,9 +52,9 @@
         "sends" => plan.sends, "max_attempts" => plan.route.max_attempts,
         "budget_left" => gateway.budget_left(&plan.service), "gateways" => gateway.gateways(),
         "version" => plan.version, "targets" => gateway.targets_of(&plan.service),
-        "news_age_ms" => gateway.news_age_ms(), "elapsed_ms" => millis_since(plan.arrived),
+        "news_age_ms" => gateway.update_age_ms(), "elapsed_ms" => millis_since(plan.arrived),
         "fingerprint" => plan.known_fingerprint().map(|one| one.to_string()),
-        "rest_left_ms" => rest_left.map(|left| left.as_millis() as u64),
+        "rest_left_ms" => backoff_left.map(|left| left.as_millis() as u64),
         "left_ms" => millis_left(plan));
 }
 
@@ -69,7 +69,7 @@
     let failed = outcome.is_err();
     let code = outcome.as_ref().map_or_else(|(refusal, _)| refusal.code(), StatusCode::as_str);
     gateway.metrics.attempted(&plan.service, code);
-    let kept = lock(&gateway.attempt_lines).keep(gateway.now());
+    let kept = lock(&gateway.attempt_sampler).keep(gateway.now());
     // Attempts at cold targets are few, and what these got in all has to be counted.
     if !failed && kept.is_none() && !choice.cold {
         return;
@@ -97,7 +97,7 @@
 pub(super) fn answered(gateway: &Gateway, plan: &Plan, target: &Target, status: StatusCode) {
     gateway.metrics.answered(status);
     gateway.metrics.took(&plan.service, plan.arrived.elapsed());
-    let kept = lock(&gateway.answer_lines).keep(gateway.now());
+    let kept = lock(&gateway.answer_sampler).keep(gateway.now());
     let Some(stands_for) = kept else {
         return;
     };
@@ -110,7 +110,7 @@
 /// The end of an answer went out.
 pub(super) fn ended(gateway: &Gateway, plan: &mut Plan) {
     gateway.metrics.ended(&plan.service, plan.arrived.elapsed());
-    plan.departure.finish();
+    plan.disconnect_guard.finish();
 }
 
 /// An answer says that its target is about to leave, the `first` of that start of it to do so.
@@ -120,14 +120,14 @@
         info!(gateway.log, "target says that it leaves"; "event" => "target_leaving",
             "target" => &target.announcement.id, "addr" => %target.announcement.addr,
             "service" => &target.announcement.service, "told_by_members" => told,
-            "in_flight" => target.in_flight(), "news_age_ms" => gateway.news_age_ms());
+            "in_flight" => target.in_flight(), "news_age_ms" => gateway.update_age_ms());
     }
 }
 
 /// A target that turned a request away wants nothing more for a while.
 pub(super) fn asks_for_rest(gateway: &Gateway, target: &Target, rest: RetryAfter) {
     gateway.metrics.asked_for_rest(&target.announcement.service);
-    if let Some(stands_for) = lock(&gateway.rest_lines).keep(gateway.now()) {
+    if let Some(stands_for) = lock(&gateway.backoff_sampler).keep(gateway.now()) {
         info!(gateway.log, "target asks for rest"; "event" => "target_rests",
             "target" => &target.announcement.id, "addr" => %target.announcement.addr,
             "service" => &target.announcement.service, "rest" => ?rest,
@@ -198,16 +198,16 @@
 }
 
 /// Notes that a client left, unless its request was finished before.
-pub(super) struct Departure {
+pub(super) struct DisconnectGuard {
     gateway: Arc<Gateway>,
     id: HeaderValue,
     arrived: Instant,
     finished: bool,
 }
 
-impl Departure {
+impl DisconnectGuard {
     pub(super) fn new(gateway: &Arc<Gateway>, id: &HeaderValue, arrived: Instant) -> Self {
-        Departure { gateway: gateway.clone(), id: id.clone(), arrived, finished: false }
+        DisconnectGuard { gateway: gateway.clone(), id: id.clone(), arrived, finished: false }
     }
 
     /// The client has its final answer, or is cut off by this gateway.
@@ -216,7 +216,7 @@
     }
 }
 
-impl Drop for Departure {
+impl Drop for DisconnectGuard {
     fn drop(&mut self) {
         if !self.finished {
             self.gateway.metrics.left();
--- a/src/gateway/unread.rs
+++ b/src/gateway/unknown_headers.rs
@@ -17,9 +17,9 @@
 
 /// Names met so far.
 #[derive(Debug, Default)]
-pub struct UnreadNames(HashSet<HeaderName>);
+pub struct UnknownHeaders(HashSet<HeaderName>);
 
-impl UnreadNames {
+impl UnknownHeaders {
     /// Notes a name: whether it is new, and what it is counted under.
     pub fn note<'a>(&mut self, name: &'a HeaderName) -> (bool, &'a str) {
         if self.0.contains(name) {
@@ -35,9 +35,9 @@
 
 impl Gateway {
     /// Counts headers of an answer that nothing reads, and logs each name once.
-    pub(super) fn note_unread(&self, target: &Target, headers: &HeaderMap) {
-        for name in headers.keys().filter(|name| self.names().unread(name)) {
-            let (new, counted_as) = lock(&self.unread_names).note(name);
+    pub(super) fn note_unknown_headers(&self, target: &Target, headers: &HeaderMap) {
+        for name in headers.keys().filter(|name| self.header_names().unread(name)) {
+            let (new, counted_as) = lock(&self.unknown_headers).note(name);
             self.metrics.unread_header(counted_as);
             if new {
                 info!(self.log, "header of a target that nothing reads"; "event" => "unread_header",
--- a/tests/gateway/first_news.rs
+++ b/tests/gateway/first_news.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use latchmount::gateway::first_news::wait;
-use latchmount::gateway::reason::{Outlook, Refusal};
+use latchmount::gateway::refusal::{Refusal, RetryHints};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 use rstest::rstest;
@@ -59,9 +59,9 @@
                 break None;
             }
             let refused_at = at + waits;
-            let back = Refusal::NoConfiguration.come_back_in(Outlook {
-                up_for: Duration::from_secs_f64(refused_at),
-                rest_left: None,
+            let back = Refusal::NoConfiguration.retry_after(RetryHints {
+                uptime: Duration::from_secs_f64(refused_at),
+                backoff_left: None,
             });
             at = refused_at + back.expect("a time to come back").as_secs_f64();
         };
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -2,8 +2,8 @@
 
 use http::{HeaderMap, HeaderValue};
 use latchmount::dialect::{Dialect, OwnDialect};
-use latchmount::gateway::outgoing::from_client;
-use latchmount::gateway::reason::{Outlook, Refusal};
+use latchmount::gateway::outgoing::forwarded_headers;
+use latchmount::gateway::refusal::{Refusal, RetryHints};
 use latchmount::gateway::reuse::Reuse;
 use rstest::rstest;
 use std::time::Duration;
@@ -14,7 +14,7 @@
         let status = refusal.status().as_u16();
         let promises = matches!(status, 408 | 421 | 429 | 503);
         assert!(!(promises && refusal.may_have_run()), "{refusal:?}");
-        let wait = refusal.come_back_in(Outlook::default());
+        let wait = refusal.retry_after(RetryHints::default());
         assert_eq!(wait.is_some(), status == 503, "{refusal:?}");
     }
 }
@@ -32,7 +32,7 @@
     client.insert("connection", HeaderValue::from_static("X-Hop"));
     client.insert(names.prompt.clone(), HeaderValue::from_static("a:1,b:2"));
     client.insert("x-other", HeaderValue::from_static("kept"));
-    let passed = from_client(&client, names);
+    let passed = forwarded_headers(&client, names);
     let passed: Vec<&str> = passed.keys().map(|name| name.as_str()).collect();
     assert_eq!(passed, ["latchmount-prompt", "x-other"]);
 }
@@ -52,8 +52,8 @@
 
 #[test]
 fn callers_of_a_gateway_that_has_waited_long_for_news_come_back_later() {
-    let up_for = |up_ms| Outlook { up_for: Duration::from_millis(up_ms), rest_left: None };
-    let wait = |up_ms| Refusal::NoConfiguration.come_back_in(up_for(up_ms));
+    let up_for = |up_ms| RetryHints { uptime: Duration::from_millis(up_ms), backoff_left: None };
+    let wait = |up_ms| Refusal::NoConfiguration.retry_after(up_for(up_ms));
     let expected = |ms| Some(Duration::from_millis(ms));
     assert_eq!([wait(0), wait(500), wait(60_000)], [expected(200), expected(500), expected(1_000)]);
 }
--- a/tests/gateway/words.rs
+++ b/tests/gateway/words.rs
@@ -4,7 +4,7 @@
 
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
 use latchmount::dialect::{Dialect, OwnDialect, TargetLoad};
-use latchmount::gateway::unread::UnreadNames;
+use latchmount::gateway::unknown_headers::UnknownHeaders;
 use latchmount::retry_after::RetryAfter;
 use rstest::rstest;
 
@@ -84,7 +84,7 @@
     assert!(dialect.headers().unread(&own("latchmount-mood")));
     assert!(!dialect.headers().unread(&own("latchmount-load")));
     assert!(!dialect.headers().unread(&own("content-type")));
-    let mut names = UnreadNames::default();
+    let mut names = UnknownHeaders::default();
     assert_eq!(names.note(&own("latchmount-mood")), (true, "latchmount-mood"));
     assert_eq!(names.note(&own("latchmount-mood")), (false, "latchmount-mood"));
     for number in 0..1_000 {
