--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -1,4 +1,4 @@
-//! Listens for clients, for the balancer and for scrapes.
+//! The gateway's listeners: for clients, for the load balancer's readiness checks, and for metrics scrapes.
 
 use std::convert::Infallible;
 use std::pin::pin;
@@ -20,33 +20,33 @@
 use crate::link::give_up_after;
 use crate::small_server;
 
-/// Pause after a listener fails, for example without descriptors.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Longest time that bytes sent to a client stay unacknowledged.
-const CLIENT_SILENCE: Duration = Duration::from_secs(10);
-/// Bytes that may wait in the system for a client's window to open. Without a bound megabytes do, and the gateway learns
-/// only after seconds that the client reads.
-const MOST_UNSENT_BYTES: u32 = 128 * 1024;
-/// Smallest buffer that the HTTP library takes, in bytes.
-const MIN_BUFFER: usize = 8 * 1024;
+/// Pause after `accept` fails, e.g. for lack of file descriptors, or while there are too many clients.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+/// Longest time for which bytes sent to a client may stay unacknowledged.
+const CLIENT_ACK_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum unsent bytes in a client socket's send buffer. Without this limit the system buffers megabytes, and the
+/// gateway notices only after seconds that the client reads.
+const MAX_UNSENT_BYTES: u32 = 128 * 1024;
+/// Smallest read buffer that hyper accepts, in bytes.
+const MIN_READ_BUFFER_BYTES: usize = 8 * 1024;
 
-/// Takes connections of clients for ever.
+/// Accepts and serves connections of clients until the planned stop closes the listener.
 pub(super) async fn serve_clients(gateway: Arc<Gateway>, listener: TcpListener) {
-    // Half of the descriptors are for clients, the rest for targets.
-    let most = gateway.settings.max_descriptors / 2;
+    // Half of the file descriptors are for clients, the rest for targets.
+    let max_connections = gateway.settings.max_descriptors / 2;
     let mut stage = gateway.stage.subscribe();
     loop {
-        if gateway.client_connections.load(Ordering::Relaxed) >= most {
-            tokio::time::sleep(PAUSE).await;
+        if gateway.client_connections.load(Ordering::Relaxed) >= max_connections {
+            tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         }
         let accepted = tokio::select! {
             accepted = listener.accept() => accepted,
-            // New connections are refused from here on, so that clients turn elsewhere at once.
+            // From here on new connections are refused, so that clients try another gateway at once.
             _ = stage.wait_for(|stage| *stage == Stage::Closed) => return,
         };
         let Ok((stream, _)) = accepted else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
         let gateway = gateway.clone();
@@ -59,9 +59,9 @@
 }
 
 async fn serve_client(gateway: Arc<Gateway>, stream: TcpStream) {
-    let _ = give_up_after(&stream, CLIENT_SILENCE);
-    // Where the system has no such option, reading shows later.
-    let _ = SockRef::from(&stream).set_tcp_notsent_lowat(MOST_UNSENT_BYTES);
+    let _ = give_up_after(&stream, CLIENT_ACK_TIMEOUT);
+    // On systems without this option the gateway only notices later that the client reads.
+    let _ = SockRef::from(&stream).set_tcp_notsent_lowat(MAX_UNSENT_BYTES);
     let limits = gateway.table().map_or_else(ClientLimits::default, |table| table.limits());
     let holder = gateway.holdings.open();
     let service = service_fn(|request: Request<Incoming>| {
@@ -71,15 +71,15 @@
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .header_read_timeout(limits.idle_timeout)
-        .max_buf_size((limits.max_header_bytes * 2).max(MIN_BUFFER))
+        .max_buf_size((limits.max_header_bytes * 2).max(MIN_READ_BUFFER_BYTES))
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
     let mut stage = gateway.stage.subscribe();
-    // A connection ends with its client; whatever broke it has been dealt with.
+    // Errors of the connection are ignored: the client is gone, and each request logs its own outcome.
     tokio::select! {
         biased;
-        // Closed at rest, or after the answer under way: a client whose request was not read sends it
-        // elsewhere at once, while a refusal has it come back later.
+        // Closes the connection when it is idle, or after the current answer. A client whose request was not read
+        // sends it to another gateway at once, whereas a refusal would make it wait before it retries.
         _ = stage.wait_for(|stage| *stage == Stage::Closed) => {}
         () = holder.cut() => {
             trace::client_cut(&gateway, holder.unread(), ClientCut::NoRoom);
@@ -93,7 +93,7 @@
     let _ = connection.await;
 }
 
-/// Tells the balancer whether new clients are welcome.
+/// Answers the load balancer's readiness checks.
 pub(super) async fn serve_ready(gateway: Arc<Gateway>, listener: TcpListener) {
     small_server::serve(listener, move |request| {
         let known = request.uri().path() == gateway.dialect.paths().ready;
@@ -107,7 +107,7 @@
     .await;
 }
 
-/// Serves metrics.
+/// Serves the metrics to scrapers.
 pub(super) async fn serve_metrics(gateway: Arc<Gateway>, listener: TcpListener) {
     small_server::serve(listener, move |_| (StatusCode::OK, gateway.render_metrics())).await;
 }
--- a/src/gateway/mechanism.rs
+++ b/src/gateway/mechanism.rs
@@ -1,45 +1,46 @@
-//! Mechanisms of a gateway's decisions that can be left out, one by one, to see what each is worth.
+//! Mechanisms of the gateway that can be turned off one by one, to measure the effect of each.
 
 use serde::{Deserialize, Serialize};
 
-/// A mechanism that the setting `without` leaves out.
+/// A mechanism that the setting `without` can turn off.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Mechanism {
-    /// Affinities are hashed to numbers that a successor takes over, rather than to identities.
+    /// Hash affinities to homes (hash slots that a target's successor takes over) instead of to target identities.
     Homes,
-    /// No target gets more than a multiple of the mean load.
+    /// Limit each target's load to a multiple of the mean load.
     LoadBound,
-    /// Requests that share little leave a full home before those that share much.
+    /// When a home is full, divert requests that share few prompt tokens with others before those that share many.
     CheapFirst,
-    /// Targets fetch what they lack of a prompt from the likely keeper.
+    /// Let targets fetch the cached parts of a prompt that they lack from the likely prefix holder.
     Fetch,
-    /// Gateways tell each other which targets keep a prompt where that is not the one that everybody expects.
+    /// Exchange among gateways which targets hold a prompt prefix, where that is not the expected target.
     Keepers,
-    /// Targets fetch from those of an evacuated hall, and those of a hall that returns from whoever stood in.
+    /// Let targets fetch prompt parts from targets in an evacuated data hall and, once the hall is back in use, from the
+    /// targets that replaced them.
     FetchOut,
-    /// Failing and unreachable targets are left alone for a while.
+    /// Eject failing and unreachable targets for a while.
     Pauses,
-    /// Failures are held against those of other targets.
+    /// Judge a target's failures relative to those of the other targets.
     Peers,
-    /// What other gateways saw of targets counts too.
+    /// Take into account the failures of targets that other gateways observed.
     Evidence,
-    /// A repeatable request turns from a silent target to another.
+    /// Send an idempotent request to another target when its target stalls.
     Silence,
-    /// Loads of all gateways, told by the members.
+    /// Use the load of all gateways as reported by the members.
     MemberLoads,
-    /// Loads told by targets in their answers.
+    /// Use the load that targets report in their answers.
     TargetLoads,
-    /// How long work takes at targets, told in their answers.
+    /// Use the slowdown that targets report in their answers.
     TargetStrain,
-    /// Requests without affinity prefer the gateway's own data hall.
+    /// Prefer targets in the gateway's own data hall for requests without affinity.
     Near,
-    /// Requests that come before the first configuration wait for it.
+    /// Let requests that arrive before the first configuration wait for it.
     FirstNewsWait,
-    /// Every member is asked at a start, not one after the other.
+    /// Ask all members at once for the first configuration, instead of one after the other.
     Race,
-    /// Gateways pass large pieces of news on to each other.
+    /// Relay large blobs of updates between peer gateways.
     PassOn,
-    /// A part of the budget of retries stays unused.
+    /// Leave a part of the retry budget unused.
     BudgetCaution,
 }
--- a/src/gateway/outgoing.rs
+++ b/src/gateway/outgoing.rs
@@ -1,4 +1,4 @@
-//! A request as it goes out: what of a client's head reaches a target, and what this gateway adds.
+//! The request that is sent to targets: which of the client's headers are forwarded, and which the gateway sets.
 
 use std::net::SocketAddr;
 
@@ -19,12 +19,12 @@
 use crate::poison::Identity;
 use crate::route_table::Caller;
 
-/// Most urgent rank is 0; routes have three ranks within each of a team.
-const RANKS_OF_A_TEAM: u32 = 3;
+/// Ranks that the routes of one team priority share; rank 0 is the most urgent.
+const RANKS_PER_TEAM_PRIORITY: u32 = 3;
 /// Least urgent rank.
-const LAST_RANK: u32 = 9;
+const MAX_RANK: u32 = 9;
 
-/// Headers that concern one connection only, besides those that `Connection` names.
+/// Hop-by-hop headers, besides those that `Connection` names.
 const HOP_BY_HOP: [HeaderName; 7] = [
     CONNECTION,
     TRANSFER_ENCODING,
@@ -35,20 +35,20 @@
     http::header::PROXY_AUTHORIZATION,
 ];
 
-/// A request as it goes out, whatever the target.
+/// A client's request in the form in which it is sent to any target.
 pub(super) struct Outgoing {
     method: Method,
     uri: Uri,
     headers: HeaderMap,
     body: Bytes,
     pub(super) id: HeaderValue,
-    /// When the client or the route gives the request up.
+    /// When the request expires, by the client's deadline or the route's timeout.
     pub(super) deadline: Instant,
     pub(super) reuse: Reuse,
 }
 
 impl Outgoing {
-    /// Takes a client's request, whose body has been read.
+    /// Builds the request from the client's head and its body, which has been read completely.
     pub(super) fn new(
         names: &Headers,
         head: &Parts,
@@ -89,18 +89,19 @@
         self.body.len()
     }
 
-    /// What identifies the request of this team across its tries.
+    /// What identifies the team's request across attempts.
     pub(super) fn identity<'a>(&'a self, team: Option<&'a str>) -> Identity<'a> {
         let path = self.uri.path_and_query().map_or("", |path| path.as_str());
         Identity { team, host: text(self.headers.get(HOST)), path, body: &self.body }
     }
 
-    /// Has the next target go on with a stream after the event `last`.
+    /// Sets the `Last-Event-ID` header, so that the next target resumes a stream after the event `last`.
     pub(super) fn resume_after(&mut self, names: &Headers, last: HeaderValue) {
         self.headers.insert(names.last_event_id.clone(), last);
     }
 
-    /// The request to one target, which may fetch what it lacks of the prompt from another.
+    /// Builds the request for one target. `fetch_from` is another target from which it may fetch cached parts of the
+    /// prompt that it lacks.
     pub(super) fn to_target(
         &self,
         target: &Target,
@@ -125,20 +126,20 @@
     }
 }
 
-/// Rank of a request, 0 first: that of its team, and within the team that of its route.
+/// Rank of a request, 0 being the most urgent: ordered by the team's priority, then by the route's.
 fn rank(caller: &Caller, route: &Route) -> u32 {
     let rank = match caller {
         Caller::Team(team) => team
             .priority
-            .saturating_mul(RANKS_OF_A_TEAM)
-            .saturating_add(route.priority.min(RANKS_OF_A_TEAM - 1)),
+            .saturating_mul(RANKS_PER_TEAM_PRIORITY)
+            .saturating_add(route.priority.min(RANKS_PER_TEAM_PRIORITY - 1)),
         _ => route.priority,
     };
-    rank.min(LAST_RANK)
+    rank.min(MAX_RANK)
 }
 
-/// What of a client's headers is passed on to a target: all but those that concern one connection,
-/// and those that only gateways set.
+/// The client's headers that are forwarded to a target: all except hop-by-hop headers and those that only gateways may
+/// set.
 pub fn forwarded_headers(client: &HeaderMap, names: &Headers) -> HeaderMap {
     let mut headers = client.clone();
     strip_hop_by_hop(&mut headers);
@@ -148,7 +149,7 @@
     headers
 }
 
-/// Removes the headers that concern one connection only.
+/// Removes the hop-by-hop headers.
 pub(super) fn strip_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/src/gateway/probe.rs
+++ b/src/gateway/probe.rs
@@ -1,7 +1,7 @@
-//! Looks at a target whose answer broke off: whether it has ended, or only a connection was lost.
+//! Probes a target whose answer broke off, to find out whether the target has ended or only a connection was lost.
 //!
-//! A lost answer alone does not tell: targets lose answers and reset connections while they run well. One whose
-//! process has ended refuses connections at once, until it or another starts there again.
+//! A lost answer alone does not show that: targets also lose answers and reset connections while they run well. If a
+//! target's process has ended, its address refuses connections at once, until a process is started there again.
 
 use std::sync::Arc;
 
@@ -16,8 +16,9 @@
 use crate::sync::lock;
 
 impl Gateway {
-    /// Notes whether somebody was met at a target's address. Where nobody was, who is met there next has just started,
-    /// and is cold whatever was known before: word of that start may come later than the first requests.
+    /// Records whether a target accepts connections. If its address refused them, the process that accepts the next one
+    /// has just started and is cold, even if the members have not announced that start yet: the first requests may be
+    /// sent before they do.
     pub(super) fn note_reachability(&self, target: &Target, found: ProbeResult) {
         match found {
             ProbeResult::Ended => target.warmth().left(),
@@ -26,33 +27,34 @@
         }
     }
 
-    /// Finds out, beside the request, what became of the target that lost its answer.
+    /// Probes the target that lost its answer in a separate task, and records the result.
     pub(super) fn probe(self: &Arc<Self>, plan: &Plan, target: &Arc<Target>) {
         let (gateway, target) = (self.clone(), target.clone());
         let (id, service) = (plan.outgoing.id.clone(), plan.service.clone());
         let (fingerprint, suspect) = (plan.fingerprint(), plan.suspect());
         let route = plan.route.name.clone();
         let counted_under = plan.counted_under.map(|(subject, _)| subject);
-        // Where it leaves as planned, its end is no request's doing.
+        // If the target is shutting down as planned, its end is not caused by a request.
         let leaves = target.leaving();
         let began = Instant::now();
         tokio::spawn(async move {
-            let found = probe_target(&target, gateway.connection_limits(&service)).await;
-            gateway.metrics.inquired(&service, found);
-            gateway.note_reachability(&target, found);
-            if found == ProbeResult::Lives
+            let result = probe_target(&target, gateway.connection_limits(&service)).await;
+            gateway.metrics.inquired(&service, result);
+            gateway.note_reachability(&target, result);
+            if result == ProbeResult::Lives
                 && let Some(subject) = counted_under
             {
-                // A target that ended, or can't be reached, says nothing of its version.
+                // The failure counts for the version only if the target still runs: one that has ended, or can't be
+                // reached, shows nothing about its version.
                 lock(&gateway.tallies).note_failed(subject);
             }
-            if found == ProbeResult::Ended && !leaves {
+            if result == ProbeResult::Ended && !leaves {
                 gateway.note_end(suspect, target.key);
             }
             if let Some(stands_for) = lock(&gateway.probe_sampler).keep(gateway.now()) {
-                info!(gateway.log, "looked at a target"; "event" => "inquest",
+                info!(gateway.log, "probed target after its answer broke off"; "event" => "inquest",
                     "request" => text(Some(&id)), "target" => &target.announcement.id,
-                    "found" => ?found, "fingerprint" => %fingerprint, "route" => route,
+                    "found" => ?result, "fingerprint" => %fingerprint, "route" => route,
                     "service" => service, "leaves" => leaves,
                     "took_ms" => millis_since(began), "stands_for" => stands_for);
             }
--- a/src/gateway/refusal.rs
+++ b/src/gateway/refusal.rs
@@ -1,81 +1,82 @@
-//! Why a request was refused or given up on.
+//! Reasons for which requests are refused or given up on, with the status and Retry-After that clients get.
 
 use std::time::Duration;
 
 use http::StatusCode;
 
-/// When a gateway that starts may have its first news: the sooner the shorter it has waited, since one that has waited
-/// for long will likely wait as long again.
-const FIRST_NEWS_WITHIN: (Duration, Duration) =
+/// Bounds of Retry-After while the gateway has no configuration. The value is the gateway's uptime: one that has waited
+/// long for its first update will likely wait as long again.
+const STARTING_RETRY_AFTER: (Duration, Duration) =
     (Duration::from_millis(200), Duration::from_secs(1));
-/// When a gateway that lost touch may have news again: it turns to another member after about a second.
-const NEWS_WITHIN: Duration = Duration::from_millis(400);
-/// Time for a caller to come back for another gateway or target.
-const ELSEWHERE: Duration = Duration::from_millis(60);
+/// Retry-After while the configuration is stale: the gateway switches to another member after about a second.
+const STALE_RETRY_AFTER: Duration = Duration::from_millis(400);
+/// Retry-After if another gateway or target can likely serve the request right away.
+const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(60);
 
-/// Time for a caller to come back when all targets stand in evacuated data halls: operators withdraw such an
-/// order after seconds at the least, and a caller that comes sooner is refused again.
-const EVACUATED: Duration = Duration::from_secs(1);
+/// Retry-After if all targets are in evacuated data halls. Operators withdraw an evacuation after seconds at the
+/// earliest, so a client that retried sooner would be refused again.
+const EVACUATED_RETRY_AFTER: Duration = Duration::from_secs(1);
 
-/// Time for a caller to come back when all targets are cold and have had what they bear: another gateway may have
-/// a turn at one of them meanwhile.
-const COLD: Duration = Duration::from_millis(250);
+/// Retry-After if all targets are cold and this gateway has used up its share of the requests that they may be sent:
+/// another gateway may still have some of its own.
+const COLD_RETRY_AFTER: Duration = Duration::from_millis(250);
 
-/// What a gateway knows of when a request that it refuses could be served.
+/// What the gateway knows about when a refused request could be served.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct RetryHints {
     /// Time since the gateway started.
     pub uptime: Duration,
-    /// Time until the first target that has asked for rest can be asked again.
+    /// Time until the first back-off of a target ends.
     pub backoff_left: Option<Duration>,
 }
 
 /// Why a request was refused or given up on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Refusal {
-    /// No configuration is known yet.
+    /// The gateway has no configuration yet.
     NoConfiguration,
-    /// The gateway is about to end.
+    /// The gateway is shutting down.
     Stopping,
-    /// The configuration is stale, and the settings say to refuse then.
+    /// The configuration may be stale, and the setting `on_stale` is `refuse`.
     Stale,
-    /// No route fits.
+    /// No route matches the host and path.
     NoRoute,
     /// The key is missing or unknown.
     UnknownKey,
-    /// The request has no id or a faulty header.
+    /// The request has no id, an invalid deadline, or a body that can't be read.
     BadRequest,
-    /// The head is too large.
+    /// The head is larger than the configured limit.
     HeadTooLarge,
-    /// The body is too large.
+    /// The body is larger than the configured limit.
     BodyTooLarge,
-    /// The body came too slowly.
+    /// The body did not arrive in time, or its connection was closed to free memory for other clients.
     BodyTooSlow,
-    /// There is no room to hold the request here, or at any target that could take it.
+    /// The memory for clients' requests at this gateway, or for request bodies at every suitable target, is used up.
     NoRoom,
-    /// No target of the service is known.
+    /// The service has no target that could take the request.
     NoTarget,
-    /// All targets of the service that could take the request stand in evacuated data halls.
+    /// All targets of the service that could take the request are in evacuated data halls.
     Evacuated,
-    /// All targets that could take the request are slow after a start, and have had what they bear.
+    /// All targets that could take the request are cold (slow right after start-up), and this gateway may not send them
+    /// another request yet.
     Cold,
-    /// The targets that could take the request have asked this gateway for rest.
+    /// The targets that could take the request have asked this gateway to back off.
     BackingOff,
-    /// No target could be connected to, and nothing was sent.
+    /// No target accepted a connection, so nothing was sent.
     ConnectFailed,
-    /// A target said that it did not run the request.
+    /// A target answered that it did not run the request.
     NotRun,
-    /// The time was over before the request was sent.
+    /// The deadline passed before the request was sent.
     TooLate,
-    /// The request was sent, and the connection broke before there was an answer.
+    /// The request was sent, and the connection broke before the answer was complete.
     AnswerLost,
-    /// The request was sent, and there was no answer in time.
+    /// The request was sent, and the answer did not come in time.
     AnswerLate,
-    /// The answer belonged to another request, or was not a target's.
+    /// The answer belonged to another request, or did not come from a target.
     WrongAnswer,
-    /// Targets ended under this request before, and it is sent to none. It was not sent in this try.
+    /// The request is blocked as poison, since targets ended while running it. This time it was not sent.
     Poison,
-    /// The same, found when it had been sent in this try.
+    /// The request was found to be poison after it had been sent.
     PoisonAfterSend,
 }
 
@@ -106,7 +107,7 @@
         Refusal::PoisonAfterSend,
     ];
 
-    /// Stable code for logs, metrics and bodies.
+    /// Code used in logs, metrics and response bodies; it never changes.
     pub fn code(self) -> &'static str {
         match self {
             Refusal::NoConfiguration => "no_configuration",
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Status of the answer.
+    /// HTTP status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             Refusal::NoRoute => StatusCode::NOT_FOUND,
@@ -145,7 +146,7 @@
             Refusal::BodyTooSlow => StatusCode::REQUEST_TIMEOUT,
             Refusal::AnswerLost | Refusal::WrongAnswer => StatusCode::BAD_GATEWAY,
             Refusal::AnswerLate => StatusCode::GATEWAY_TIMEOUT,
-            // A fault that stays, unlike those of 503, which would have callers try again elsewhere.
+            // Not 503, which would make clients retry elsewhere: a retry of a poison request is blocked as well.
             Refusal::Poison | Refusal::PoisonAfterSend => StatusCode::INTERNAL_SERVER_ERROR,
             Refusal::NoConfiguration
             | Refusal::Stopping
@@ -172,22 +173,22 @@
         )
     }
 
-    /// When the caller should come back, for requests that did not run.
+    /// Time after which the client should retry; `None` if it should not.
     pub fn retry_after(self, hints: RetryHints) -> Option<Duration> {
         match self {
             Refusal::NoConfiguration => {
-                Some(hints.uptime.clamp(FIRST_NEWS_WITHIN.0, FIRST_NEWS_WITHIN.1))
+                Some(hints.uptime.clamp(STARTING_RETRY_AFTER.0, STARTING_RETRY_AFTER.1))
             }
-            Refusal::BackingOff => Some(hints.backoff_left.unwrap_or(ELSEWHERE)),
-            Refusal::Stale => Some(NEWS_WITHIN),
-            Refusal::Evacuated => Some(EVACUATED),
-            Refusal::Cold => Some(COLD),
+            Refusal::BackingOff => Some(hints.backoff_left.unwrap_or(DEFAULT_RETRY_AFTER)),
+            Refusal::Stale => Some(STALE_RETRY_AFTER),
+            Refusal::Evacuated => Some(EVACUATED_RETRY_AFTER),
+            Refusal::Cold => Some(COLD_RETRY_AFTER),
             Refusal::Stopping
             | Refusal::NoRoom
             | Refusal::NoTarget
             | Refusal::ConnectFailed
             | Refusal::NotRun
-            | Refusal::TooLate => Some(ELSEWHERE),
+            | Refusal::TooLate => Some(DEFAULT_RETRY_AFTER),
             _ => None,
         }
     }
--- a/src/gateway/unknown_headers.rs
+++ b/src/gateway/unknown_headers.rs
@@ -1,5 +1,7 @@
-//! Headers of targets' answers that are the dialect's own and that nothing reads: words that came with a newer release
-//! of the targets would otherwise go by unseen.
+//! Counts and logs headers in targets' answers that belong to the dialect but that this gateway does not know.
+//!
+//! A newer release of the targets may add such headers, and without this nobody would notice that the gateway ignores
+//! them.
 
 use std::collections::HashSet;
 
@@ -10,22 +12,22 @@
 use super::target::Target;
 use crate::sync::lock;
 
-/// Names that are told apart; targets choose them, so that there may be any number.
-const MOST_NAMES: usize = 32;
-/// Stands for the names beyond those.
+/// Maximum names that are counted separately; the names come from targets, so their number is unlimited.
+const MAX_NAMES: usize = 32;
+/// Label under which all further names are counted.
 const OTHERS: &str = "others";
 
-/// Names met so far.
+/// Names of unknown headers seen so far.
 #[derive(Debug, Default)]
 pub struct UnknownHeaders(HashSet<HeaderName>);
 
 impl UnknownHeaders {
-    /// Notes a name: whether it is new, and what it is counted under.
+    /// Records a name. Returns whether it is new, and the label under which it is counted.
     pub fn note<'a>(&mut self, name: &'a HeaderName) -> (bool, &'a str) {
         if self.0.contains(name) {
             return (false, name.as_str());
         }
-        if self.0.len() >= MOST_NAMES {
+        if self.0.len() >= MAX_NAMES {
             return (false, OTHERS);
         }
         self.0.insert(name.clone());
@@ -34,13 +36,13 @@
 }
 
 impl Gateway {
-    /// Counts headers of an answer that nothing reads, and logs each name once.
+    /// Counts the unknown headers of an answer, and logs each new name once.
     pub(super) fn note_unknown_headers(&self, target: &Target, headers: &HeaderMap) {
         for name in headers.keys().filter(|name| self.header_names().unread(name)) {
             let (new, counted_as) = lock(&self.unknown_headers).note(name);
             self.metrics.unread_header(counted_as);
             if new {
-                info!(self.log, "header of a target that nothing reads"; "event" => "unread_header",
+                info!(self.log, "unknown header in the answer of a target"; "event" => "unread_header",
                     "name" => name.as_str(), "target" => &target.announcement.id,
                     "service" => &target.announcement.service);
             }
