--- a/src/gateway/answer.rs
+++ b/src/gateway/answer.rs
@@ -1,4 +1,4 @@
-//! Bodies of answers to clients.
+//! Response bodies for clients, and the responses to requests that are refused or given up on.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -11,17 +11,18 @@
 
 use super::refusal::{Refusal, RetryHints};
 
-/// The answer broke off; the client's connection is cut, so that it never looks complete.
+/// The answer can't be completed. As an error of the body it makes hyper close the client's connection, so that the
+/// answer never looks complete.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-#[error("the answer broke off")]
+#[error("answer aborted before its end")]
 pub(super) struct AnswerAborted;
 
-/// Body of an answer to a client.
+/// Body of a response to a client.
 pub(super) enum AnswerBody {
-    /// All of it.
-    Whole(Option<Bytes>),
-    /// Pieces as they come.
-    Pieces(BoxStream<'static, Result<Bytes, AnswerAborted>>),
+    /// The complete body; `None` once it is sent, or if it is empty.
+    Buffered(Option<Bytes>),
+    /// Chunks as they arrive from the target.
+    Streamed(BoxStream<'static, Result<Bytes, AnswerAborted>>),
 }
 
 impl Body for AnswerBody {
@@ -33,38 +34,38 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, AnswerAborted>>> {
         match self.get_mut() {
-            AnswerBody::Whole(bytes) => {
+            AnswerBody::Buffered(bytes) => {
                 Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes))))
             }
-            AnswerBody::Pieces(pieces) => pieces
+            AnswerBody::Streamed(chunks) => chunks
                 .as_mut()
                 .poll_next(context)
-                .map(|piece| piece.map(|piece| piece.map(Frame::data))),
+                .map(|chunk| chunk.map(|chunk| chunk.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
-        matches!(self, AnswerBody::Whole(None))
+        matches!(self, AnswerBody::Buffered(None))
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Whole(bytes) => {
+            AnswerBody::Buffered(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, |bytes| bytes.len() as u64))
             }
-            AnswerBody::Pieces(_) => SizeHint::default(),
+            AnswerBody::Streamed(_) => SizeHint::default(),
         }
     }
 }
 
-/// The answer to a request that is refused or given up on.
+/// The response to a request that is refused or given up on.
 pub(super) fn refuse(refusal: Refusal, hints: RetryHints) -> Response<AnswerBody> {
     let text = format!(
         "{{\"error\":{{\"code\":\"{}\",\"not_run\":{}}}}}\n",
         refusal.code(),
         !refusal.may_have_run()
     );
-    let mut response = Response::new(AnswerBody::Whole(Some(text.into())));
+    let mut response = Response::new(AnswerBody::Buffered(Some(text.into())));
     *response.status_mut() = refusal.status();
     let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -1,4 +1,4 @@
-//! Connections to targets: made, kept for a while, and used for one request at a time.
+//! HTTP/1 connections to targets, with a pool of idle connections per target.
 
 use std::io::ErrorKind;
 use std::net::IpAddr;
@@ -19,48 +19,48 @@
 use crate::link::{connect_from, give_up_after};
 use crate::sync::lock;
 
-/// How long a target is taken to keep an idle connection when it does not say.
-const KEPT_BY_DEFAULT: Duration = Duration::from_secs(4);
-/// Longest time that a connection is kept, whatever its target says.
-const LONGEST_KEPT: Duration = Duration::from_secs(3_600);
-/// Part of the stated time for which a connection is used again.
-const KEPT_PART: f64 = 0.6;
-/// Longest wait for a kept connection to become ready again.
-const READY_WITHIN: Duration = Duration::from_millis(5);
-/// Idle connections kept for one target.
+/// Keep-alive time assumed for a target whose answers do not state one.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
+/// Upper limit on the keep-alive time that a target states.
+const MAX_KEEP_ALIVE: Duration = Duration::from_secs(3_600);
+/// Fraction of the target's keep-alive time during which an idle connection is reused.
+const KEEP_ALIVE_FRACTION: f64 = 0.6;
+/// Longest wait for an idle connection to become ready for the next request.
+const READY_TIMEOUT: Duration = Duration::from_millis(5);
+/// Maximum idle connections kept per target.
 const MAX_IDLE: usize = 64;
 
-/// No connection could be made; nothing was sent.
+/// Why no connection could be used; nothing was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(super) enum ConnectError {
-    /// Nobody answered in time.
-    #[error("no connection in time")]
+    /// The connect timeout expired.
+    #[error("connect to target timed out")]
     Timeout,
-    /// Nobody listens at the target's address.
-    #[error("connection refused")]
+    /// No process listens at the target's address.
+    #[error("target refused the connection")]
     Refused,
-    /// The connection broke at once, or could not be made for another reason.
-    #[error("the connection broke at once")]
+    /// The connection failed for another reason, or broke right after it was opened.
+    #[error("connection to target failed or broke right after it was opened")]
     Broke,
-    /// This gateway has as many connections to the target as it may.
-    #[error("too many connections")]
+    /// This gateway has the maximum number of connections to the target.
+    #[error("too many connections to target")]
     TooMany,
-    /// Word came meanwhile that the target is to be sent nothing more.
-    #[error("the target is to be sent nothing more")]
+    /// While connecting, the gateway learned that the target takes no more requests.
+    #[error("target takes no more requests")]
     NotWanted,
-    /// The request's time was over first.
-    #[error("the request's time is over")]
+    /// The request's deadline passed first.
+    #[error("request deadline passed before a connection was ready")]
     TooLate,
 }
 
-/// An idle connection.
+/// An idle connection in the pool.
 pub(super) struct IdleConnection {
     connection: Connection,
     since: Instant,
     keep_for: Duration,
 }
 
-/// An open connection to a target; closes when dropped.
+/// An open connection to a target, closed when dropped.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Full<Bytes>>,
     target: Arc<Target>,
@@ -72,29 +72,27 @@
     }
 }
 
-/// Limits on connections to a target.
+/// Limits on connections to a target, and the metrics that count them.
 #[derive(Clone, Copy)]
 pub(super) struct ConnectionLimits<'a> {
-    /// Address to connect from, where one is set.
+    /// Local address to connect from, if one is set.
     pub(super) source: Option<IpAddr>,
-    /// Longest time to connect.
-    pub(super) connect: Duration,
-    /// Longest time that sent bytes stay unacknowledged.
-    pub(super) unacknowledged: Duration,
-    /// Most connections of this gateway to the target.
-    pub(super) most: u32,
-    /// Where connections are counted.
+    pub(super) connect_timeout: Duration,
+    /// Longest time for which sent bytes may stay unacknowledged.
+    pub(super) ack_timeout: Duration,
+    /// Maximum connections of this gateway to the target.
+    pub(super) max_connections: u32,
     pub(super) metrics: &'a GatewayMetrics,
 }
 
-/// A kept connection, or a new one.
+/// Takes an idle connection from the pool, or opens a new one.
 pub(super) async fn connect(
     target: &Arc<Target>,
     reuse: Reuse,
     limits: ConnectionLimits<'_>,
 ) -> Result<Connection, ConnectError> {
     while let Some(mut idle) = take_idle(target, reuse) {
-        let ready = tokio::time::timeout(READY_WITHIN, idle.connection.sender.ready()).await;
+        let ready = tokio::time::timeout(READY_TIMEOUT, idle.connection.sender.ready()).await;
         if matches!(ready, Ok(Ok(()))) {
             return Ok(idle.connection);
         }
@@ -102,18 +100,18 @@
     open(target, limits).await
 }
 
-/// What a new connection tells of a target.
+/// What a new connection shows about a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ProbeResult {
-    /// Nobody listens at its address: it has ended.
+    /// The connection was refused: the target's process has ended.
     Ended,
-    /// It takes connections.
+    /// The target accepts connections.
     Lives,
-    /// Neither can be told.
+    /// Connecting failed in another way, which shows neither.
     Unknown,
 }
 
-/// Looks whether a target still takes connections. One that it takes is kept for a later request.
+/// Checks whether a target still accepts connections. The new connection is kept for a later request.
 pub(super) async fn probe_target(
     target: &Arc<Target>,
     limits: ConnectionLimits<'_>,
@@ -144,7 +142,9 @@
     target: &Arc<Target>,
     limits: ConnectionLimits<'_>,
 ) -> Result<Connection, ConnectError> {
-    if target.connections.load(Ordering::Relaxed) >= limits.most && !drop_one_idle(target) {
+    if target.connections.load(Ordering::Relaxed) >= limits.max_connections
+        && !close_oldest_idle(target)
+    {
         limits.metrics.connected(Err(ConnectError::TooMany), Duration::ZERO);
         return Err(ConnectError::TooMany);
     }
@@ -159,8 +159,8 @@
     opened
 }
 
-/// Closes the connection that has been idle the longest, to make room for a new one.
-fn drop_one_idle(target: &Arc<Target>) -> bool {
+/// Closes the connection that was put into the pool first, to make room for a new one. Returns false if none is idle.
+fn close_oldest_idle(target: &Arc<Target>) -> bool {
     let mut idle = lock(&target.idle);
     if idle.is_empty() {
         return false;
@@ -169,18 +169,19 @@
     true
 }
 
+/// Connects to the target; the caller has already counted the connection.
 async fn open_counted(
     target: &Arc<Target>,
     limits: ConnectionLimits<'_>,
 ) -> Result<Connection, ConnectError> {
     let connecting = connect_from(limits.source, target.announcement.addr);
-    let connected = tokio::time::timeout(limits.connect, connecting).await;
+    let connected = tokio::time::timeout(limits.connect_timeout, connecting).await;
     let stream = connected.map_err(|_| ConnectError::Timeout)?;
     let stream = stream.map_err(|error| match error.kind() {
         ErrorKind::ConnectionRefused => ConnectError::Refused,
         _ => ConnectError::Broke,
     })?;
-    give_up_after(&stream, limits.unacknowledged).map_err(|_| ConnectError::Broke)?;
+    give_up_after(&stream, limits.ack_timeout).map_err(|_| ConnectError::Broke)?;
     let (sender, driver) =
         handshake(TokioIo::new(stream)).await.map_err(|_| ConnectError::Broke)?;
     tokio::spawn(driver);
@@ -188,13 +189,14 @@
 }
 
 impl Connection {
-    /// Keeps the connection for a later request, if the answer's head allows it.
+    /// Puts the connection into the pool for a later request, unless the headers of the last answer or the state of the
+    /// target rule that out.
     pub(super) fn keep(self, answer: &HeaderMap) {
         if self.sender.is_closed() || closes(answer) || !self.target.in_service() {
             return;
         }
-        let stated = stated_keep(answer).unwrap_or(KEPT_BY_DEFAULT);
-        let keep_for = stated.min(LONGEST_KEPT).mul_f64(KEPT_PART);
+        let keep_alive = stated_keep_alive(answer).unwrap_or(DEFAULT_KEEP_ALIVE);
+        let keep_for = keep_alive.min(MAX_KEEP_ALIVE).mul_f64(KEEP_ALIVE_FRACTION);
         let target = self.target.clone();
         let mut idle = lock(&target.idle);
         if idle.len() < MAX_IDLE {
@@ -203,13 +205,14 @@
     }
 }
 
+/// Whether the answer has `Connection: close`.
 fn closes(answer: &HeaderMap) -> bool {
     let values = answer.get_all(CONNECTION).into_iter().filter_map(|value| value.to_str().ok());
     values.flat_map(|value| value.split(',')).any(|word| word.trim().eq_ignore_ascii_case("close"))
 }
 
-/// How long the target says that it keeps an idle connection.
-fn stated_keep(answer: &HeaderMap) -> Option<Duration> {
+/// The time-out in the answer's `Keep-Alive` header.
+fn stated_keep_alive(answer: &HeaderMap) -> Option<Duration> {
     let value = answer.get("keep-alive")?.to_str().ok()?;
     let mut words = value.split(',').map(str::trim);
     let seconds = words.find_map(|word| word.strip_prefix("timeout="))?;
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -1,4 +1,6 @@
-//! One request of a client, from its head to the head of its answer.
+//! Serves one client request: finds its route, reads its body, and sends it to targets until one of them answers.
+//!
+//! The answer's body is then passed to the client by [`relay`].
 
 use std::sync::{Arc, OnceLock};
 use std::time::Duration;
@@ -31,51 +33,52 @@
 use crate::route_table::Caller;
 use crate::run_clock::RunClock;
 
-/// What connections that could not be made may cost a request before it is given up on: four that hang, or sixteen that
-/// are refused, which takes some milliseconds each. Where many targets crash at once the next homes of a prompt are often
-/// down too, while others are well.
-const MOST_CONNECT_COST: u32 = 16;
-/// What a connection costs that hangs until it times out.
-const HANG_COST: u32 = 4;
-/// Longest time for a client's body.
+/// Cost of failed connection attempts at which a request is given up on. A refused connection costs 1 and takes a few
+/// milliseconds, one that times out costs [`CONNECT_TIMEOUT_COST`]: 16 refusals or 4 time-outs. Many tries are needed
+/// because, when many targets crash at once, the next homes of a prompt are often down too while other targets work.
+const MAX_CONNECT_COST: u32 = 16;
+/// Cost of a connection attempt that times out.
+const CONNECT_TIMEOUT_COST: u32 = 4;
+/// Longest time to read a client's request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Longest time that a request of a client that names none may take.
+/// Time limit of a request whose client sends no deadline.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
-/// What is known of a request once its head has been read.
+/// A client's request, where it may go, and the attempts made so far.
 pub(super) struct Plan {
     pub(super) route: Arc<Route>,
-    /// Service that the route's weights drew.
+    /// Service drawn by the route's weights.
     pub(super) service: String,
     pub(super) outgoing: Outgoing,
     pub(super) affinity: Option<Affinity>,
-    /// Team that sends it, if one does.
+    /// Team whose key the client sent, if any.
     pub(super) team: Option<Arc<Team>>,
-    /// Version of the configuration that decided.
+    /// Version of the configuration by which the request is routed.
     pub(super) version: u64,
     pub(super) arrived: Instant,
-    /// Targets that the request was sent to, or that could not be reached.
+    /// Keys of the targets that were chosen for an attempt, whether or not they could be reached.
     pub(super) tried: Vec<u64>,
-    /// Targets of the service that the request was sent to.
+    /// Number of attempts at targets of the service that received the request.
     pub(super) sends: u32,
-    /// Times that it arrived anywhere, as the budget counts.
+    /// Number of attempts in which the request was sent at all, also to a target that had taken over the address; the
+    /// retry budget counts these.
     pub(super) arrivals: u32,
-    /// What connections that could not be made have cost.
+    /// Cost of failed connection attempts, up to [`MAX_CONNECT_COST`].
     pub(super) connect_cost: u32,
     pub(super) disconnect_guard: DisconnectGuard,
-    /// Drawn from 0 to 1: decides which version of the service it goes to while one takes the place of another.
+    /// Random number from 0 to 1 that selects the version of the service during a roll-out.
     pub(super) version_draw: f64,
-    /// What the outcome of the attempt under way is counted under, and when it began, while a roll-out is under way.
+    /// During a roll-out: what the current attempt's outcome is counted for, and when the attempt began.
     pub(super) counted_under: Option<(Subject, Instant)>,
-    /// Connection of the client.
+    /// The client's connection, to which buffered bytes are charged.
     pub(super) holder: Arc<Holder>,
     /// The first failure after which a target may have run the request.
     may_have_run: Option<Refusal>,
-    /// Its fingerprint, once that was needed.
+    /// Fingerprint of the request, computed on first use.
     fingerprint: OnceLock<Fingerprint>,
 }
 
-/// Serves one request.
+/// Serves one request and returns the answer for the client.
 pub(super) async fn serve(
     gateway: &Arc<Gateway>,
     holder: &Arc<Holder>,
@@ -100,7 +103,7 @@
     response
 }
 
-/// Finds the route and the caller, and reads the body.
+/// Finds the request's route, checks the client's key and the limits, and reads the body.
 async fn prepare(
     gateway: &Arc<Gateway>,
     holder: &Arc<Holder>,
@@ -112,8 +115,8 @@
         return Err(Refusal::Stopping);
     }
     let names = gateway.header_names();
-    let waits = stated_wait(head.headers.get(&names.deadline_ms))?;
-    let table = gateway.table_within(waits).await.ok_or(Refusal::NoConfiguration)?;
+    let timeout = client_timeout(head.headers.get(&names.deadline_ms))?;
+    let table = gateway.table_within(timeout).await.ok_or(Refusal::NoConfiguration)?;
     if gateway.refuses_as_stale() {
         return Err(Refusal::Stale);
     }
@@ -131,7 +134,7 @@
     if head_bytes > limits.max_header_bytes {
         return Err(Refusal::HeadTooLarge);
     }
-    let deadline = arrived + waits.min(route.timeout);
+    let deadline = arrived + timeout.min(route.timeout);
     let body = read_body(gateway, holder, body, limits.max_body_bytes, deadline).await?;
     let service = draw_service(&route);
     gateway.count_request(&service);
@@ -162,43 +165,47 @@
     })
 }
 
-/// How long a caller says that it waits.
-fn stated_wait(stated: Option<&HeaderValue>) -> Result<Duration, Refusal> {
-    let Some(stated) = stated else {
+/// How long the client waits, from its deadline header.
+fn client_timeout(header: Option<&HeaderValue>) -> Result<Duration, Refusal> {
+    let Some(header) = header else {
         return Ok(DEFAULT_DEADLINE);
     };
-    let ms = text(Some(stated)).parse().map_err(|_| Refusal::BadRequest)?;
+    let ms = text(Some(header)).parse().map_err(|_| Refusal::BadRequest)?;
     Ok(Duration::from_millis(ms))
 }
 
-/// Reads a client's body, which is held until it is sent nowhere any more.
+/// Reads a client's body into memory, where it is kept until no further attempt needs it.
 async fn read_body(
     gateway: &Gateway,
     holder: &Arc<Holder>,
     body: Incoming,
-    most: usize,
+    max_bytes: usize,
     deadline: Instant,
 ) -> Result<Bytes, Refusal> {
     let _waiting = holder.wait_to_send();
-    let gathering = gather(holder, body, most);
+    let gathering = gather(holder, body, max_bytes);
     tokio::select! {
         read = gateway.run_clock.within(BODY_TIMEOUT, deadline, gathering) => {
             read.unwrap_or(Err(Refusal::BodyTooSlow))
         }
-        // Others need the room.
+        // The memory is needed for other clients.
         () = holder.cut() => Err(Refusal::BodyTooSlow),
     }
 }
 
-async fn gather(holder: &Arc<Holder>, mut body: Incoming, most: usize) -> Result<Bytes, Refusal> {
+async fn gather(
+    holder: &Arc<Holder>,
+    mut body: Incoming,
+    max_bytes: usize,
+) -> Result<Bytes, Refusal> {
     let mut gathered = holder.gather();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| Refusal::BadRequest)?;
-        let piece = frame.into_data().unwrap_or_default();
-        if gathered.length() + piece.len() > most {
+        let chunk = frame.into_data().unwrap_or_default();
+        if gathered.length() + chunk.len() > max_bytes {
             return Err(Refusal::BodyTooLarge);
         }
-        gathered.push(piece).map_err(|_| Refusal::NoRoom)?;
+        gathered.push(chunk).map_err(|_| Refusal::NoRoom)?;
     }
     Ok(gathered.into_body())
 }
@@ -215,21 +222,22 @@
     route.services.last().map_or_else(String::new, |last| last.service.clone())
 }
 
-/// Sends the request until there is an answer to pass on, or nothing more may be tried.
+/// Sends the request until there is an answer for the client or no further attempt is allowed.
 async fn run(gateway: &Arc<Gateway>, mut plan: Plan) -> Response<AnswerBody> {
     loop {
         let answer = match next_answer(gateway, &mut plan).await {
             Ok(answer) => answer,
             Err(refusal) => return give_up(gateway, plan, refusal),
         };
-        let retried = match relay::pass_on(gateway, plan, answer).await {
-            relay::PassedOn::Answer(response) => return response,
-            relay::PassedOn::Retry(retried) => *retried,
+        let retried = match relay::relay(gateway, plan, answer).await {
+            relay::Relayed::Response(response) => return response,
+            relay::Relayed::Retry(retried) => *retried,
         };
         plan = retried;
     }
 }
 
+/// Logs that the request is given up on, and returns the error response for the client.
 pub(super) fn give_up(gateway: &Gateway, mut plan: Plan, refusal: Refusal) -> Response<AnswerBody> {
     let backoff_left = (refusal == Refusal::BackingOff).then(|| gateway.rest_left(&plan)).flatten();
     trace::given_up(gateway, &plan, refusal, backoff_left);
@@ -237,7 +245,7 @@
     refuse(refusal, RetryHints { uptime: gateway.now(), backoff_left })
 }
 
-/// Sends the request until a target answers.
+/// Sends the request to one target after the other until one answers.
 pub(super) async fn next_answer(
     gateway: &Arc<Gateway>,
     plan: &mut Plan,
@@ -264,17 +272,18 @@
     }
 }
 
-/// Decides whether a request whose attempt failed goes on.
-fn after_failure(plan: &mut Plan, failed: Failed) -> Result<(), Refusal> {
-    let Failed { refusal, error } = failed;
+/// Decides whether a request may be tried again after a failed attempt.
+fn after_failure(plan: &mut Plan, failed: FailedAttempt) -> Result<(), Refusal> {
+    let FailedAttempt { refusal, error } = failed;
     if refusal == Refusal::ConnectFailed {
         plan.connect_cost += match error {
-            AttemptError::NotSent(ConnectError::Timeout) => HANG_COST,
-            // A word that came while it connected is nobody's fault, and many may come at once.
+            AttemptError::NotSent(ConnectError::Timeout) => CONNECT_TIMEOUT_COST,
+            // The target was withdrawn, or the deadline passed, while the gateway connected. Neither is a failure to
+            // connect, and a withdrawal may affect many targets at once.
             AttemptError::NotSent(ConnectError::NotWanted | ConnectError::TooLate) => 0,
             _ => 1,
         };
-        if plan.connect_cost >= MOST_CONNECT_COST {
+        if plan.connect_cost >= MAX_CONNECT_COST {
             return Err(plan.may_have_run.unwrap_or(refusal));
         }
         return Ok(());
@@ -289,47 +298,47 @@
 }
 
 impl Plan {
-    /// What identifies the request across its tries.
+    /// What identifies the request across attempts, also of the client's own retries.
     pub(super) fn identity(&self) -> Identity<'_> {
         self.outgoing.identity(self.team.as_ref().map(|team| team.name.as_str()))
     }
 
-    /// The request as it is told of when targets end under it.
+    /// The request as it is reported when a target ends while running it.
     pub(super) fn suspect(&self) -> Suspect {
         Suspect::new(&self.identity(), self.fingerprint(), &self.route.name)
     }
 
-    /// Digest of what identifies the request, made when it is first needed: it reads the whole body.
+    /// Digest of the request's identity. It reads the whole body, so it is computed only when first needed.
     pub(super) fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| self.identity().fingerprint())
     }
 
-    /// The same if it was needed, for logs.
+    /// The fingerprint if it was computed before, for logs.
     pub(super) fn known_fingerprint(&self) -> Option<Fingerprint> {
         self.fingerprint.get().copied()
     }
 
-    /// Notes that a target ran the request, at least in part, and failed.
-    pub(super) fn note_ran(&mut self, refusal: Refusal) {
+    /// Notes a failure after which the target may have run the request, at least in part.
+    pub(super) fn note_may_have_run(&mut self, refusal: Refusal) {
         self.may_have_run = self.may_have_run.or(Some(refusal));
     }
 }
 
-/// An attempt that gave no answer, and what that means for the request.
-struct Failed {
+/// An attempt without an answer: the error, and the code with which the request ends if it is not tried again.
+struct FailedAttempt {
     refusal: Refusal,
     error: AttemptError,
 }
 
-/// An attempt under way.
-struct Supervised<'a> {
+/// Supervises one attempt: decides whether it may go on, and records what the target reports.
+struct AttemptSupervisor<'a> {
     gateway: &'a Gateway,
     plan: &'a Plan,
     target: &'a Target,
     watch: &'a SilenceWatch,
 }
 
-impl Supervisor for Supervised<'_> {
+impl Supervisor for AttemptSupervisor<'_> {
     fn may_send(&self) -> bool {
         let takes_work = self.target.standing(self.gateway.now()).takes_work();
         takes_work && self.gateway.version_serves(self.target)
@@ -348,30 +357,31 @@
     }
 
     fn hear(&self, status: StatusCode, headers: &HeaderMap) {
-        self.gateway.hear(self.target, status, headers);
+        self.gateway.record_target_report(self.target, status, headers);
     }
 }
 
+/// Makes one attempt at the chosen target and records its outcome.
 async fn attempt_at(
     gateway: &Arc<Gateway>,
     plan: &mut Plan,
     choice: &Choice,
-) -> Result<Answer, Failed> {
+) -> Result<Answer, FailedAttempt> {
     let target = &choice.target;
     plan.tried.push(target.key);
     gateway.note_asked(target);
     let limits = gateway.connection_limits(&plan.service);
     let began = Instant::now();
     plan.counted_under = choice.counted_under.map(|subject| (subject, began));
-    let longest = patience::for_answer(&plan.route);
-    let watch = SilenceWatch::begin(gateway, target, longest);
-    let supervised = Supervised { gateway, plan, target, watch: &watch };
+    let timeout = patience::for_answer(&plan.route);
+    let watch = SilenceWatch::begin(gateway, target, timeout);
+    let supervisor = AttemptSupervisor { gateway, plan, target, watch: &watch };
     let (from, names) = (choice.fetch_from, gateway.header_names());
     let sent =
-        attempt::send(target, from, &plan.outgoing, names, limits, longest, &supervised).await;
+        attempt::send(target, from, &plan.outgoing, names, limits, timeout, &supervisor).await;
     let blamed = watch.blamed();
     watch.end();
-    gateway.note_reachability(target, found(&sent));
+    gateway.note_reachability(target, reachability(&sent));
     if !matches!(sent, Err(AttemptError::NotSent(_))) {
         plan.arrivals += 1;
     }
@@ -380,7 +390,7 @@
     }
     match sent {
         Ok(answer) => {
-            gateway.note_outcome(target, answered(answer.status));
+            gateway.note_outcome(target, outcome_of(answer.status));
             if answer.status.is_server_error() {
                 gateway.note_version_failed(plan);
             }
@@ -391,7 +401,7 @@
             Ok(answer)
         }
         Err(error) => {
-            let (refusal, outcome) = blame(error);
+            let (refusal, outcome) = classify(error);
             if outcome == Some(AttemptOutcome::Failed) && error != AttemptError::Lost {
                 gateway.note_version_failed(plan);
             }
@@ -403,13 +413,14 @@
             if error == AttemptError::Lost {
                 gateway.probe(plan, target);
             }
-            Err(Failed { refusal, error })
+            Err(FailedAttempt { refusal, error })
         }
     }
 }
 
-/// What a failed attempt means for the request, and what for the target's health.
-fn blame(error: AttemptError) -> (Refusal, Option<AttemptOutcome>) {
+/// The refusal that a failed attempt leads to, and the outcome that counts for the target's health; `None` if the
+/// target is not at fault.
+fn classify(error: AttemptError) -> (Refusal, Option<AttemptOutcome>) {
     match error {
         AttemptError::NotSent(
             ConnectError::TooMany | ConnectError::NotWanted | ConnectError::TooLate,
@@ -423,8 +434,8 @@
     }
 }
 
-/// What an attempt tells of whether anybody is there.
-fn found(sent: &Result<Answer, AttemptError>) -> ProbeResult {
+/// What an attempt shows about whether the target accepts connections.
+fn reachability(sent: &Result<Answer, AttemptError>) -> ProbeResult {
     match sent {
         Err(AttemptError::NotSent(ConnectError::Refused)) => ProbeResult::Ended,
         Err(AttemptError::NotSent(_)) => ProbeResult::Unknown,
@@ -432,6 +443,6 @@
     }
 }
 
-fn answered(status: StatusCode) -> AttemptOutcome {
+fn outcome_of(status: StatusCode) -> AttemptOutcome {
     if status.is_server_error() { AttemptOutcome::Failed } else { AttemptOutcome::Answered }
 }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -1,11 +1,12 @@
-//! A gateway: takes requests by host and path, and gives each to a target of its route's service.
+//! The gateway: routes clients' HTTP requests by host and path, and forwards each to a target of the route's service.
 //!
-//! A gateway decides on what the members of a control group tell it (the configuration and the
-//! directory of targets) and on what it has itself seen of the targets.
+//! It decides from the state that members of the control group push to it (the configuration and the directory of
+//! targets) and from what it observes of the targets itself.
 
 mod answer;
 mod attempt;
 pub mod balance;
+mod body_forwarder;
 mod bootstrap;
 pub mod budget;
 mod choice;
@@ -29,9 +30,7 @@
 mod metrics;
 mod neighbours;
 mod news;
-mod opening;
 pub mod order;
-mod outflow;
 pub mod outgoing;
 pub mod patience;
 mod poison;
@@ -45,6 +44,7 @@
 pub mod settings;
 pub mod shelf;
 mod source;
+mod startup;
 pub mod strain;
 mod target;
 mod targets;
@@ -88,45 +88,44 @@
 use crate::sampler::Sampler;
 use crate::sync::{lock, read};
 
-/// Connections to one target where its service states no bound, for all gateways together.
-const DEFAULT_CONNECTIONS: u32 = 512;
+/// Maximum connections to one target, from all gateways together, if its service sets no limit.
+const DEFAULT_MAX_CONNECTIONS: u32 = 512;
 
-/// What the tasks of a gateway share.
+/// State that all tasks of a gateway share.
 pub(crate) struct Gateway {
     settings: GatewaySettings,
     dialect: SharedDialect,
-    /// Where the members of the settings are reached.
+    /// Addresses at which gateways reach the members that the settings list.
     seeds: Mutex<Vec<SocketAddr>>,
-    /// The configuration in force; `None` before the first.
+    /// The configuration in force; `None` until the first one arrives.
     table: watch::Sender<Option<Arc<RouteTable>>>,
     targets: RwLock<Targets>,
-    /// Whether a member has told anything since the start.
+    /// Whether any member has sent anything since the start.
     member_contact: watch::Sender<bool>,
-    /// Which targets keep which prompts.
+    /// Targets whose caches are known to hold prompt prefixes.
     prefix_holders: Mutex<Keepers>,
-    /// Gateways alive, as the members tell; 0 while not told.
+    /// Number of live gateways as reported by the members; 0 until they report it.
     gateways: AtomicU32,
-    /// Gateways that share the budgets.
+    /// Number of gateways that share the budgets.
     fleet_size: Mutex<FleetSize>,
-    /// When a member that hears a leader was last heard.
+    /// When a member that has contact with a leader last sent an update.
     fresh_at: Mutex<Option<Instant>>,
-    /// Large parcels of news, for other gateways.
+    /// Large blobs received from members, kept for peer gateways to fetch.
     blob_cache: Mutex<Shelf>,
-    /// Where other gateways fetch them, if they can.
+    /// Address at which peer gateways fetch blobs; `None` if this gateway does not serve them.
     blob_addr: Option<SocketAddr>,
     budgets: Mutex<HashMap<String, ServiceBudget>>,
-    /// What was seen of roll-outs under way, not told to a member yet.
+    /// Outcomes of requests to services with a roll-out under way that are not yet reported to a member.
     tallies: Mutex<Tallies>,
-    /// What is held for clients.
+    /// Memory used to buffer clients' requests and answers.
     holdings: Arc<Holdings>,
     stage: watch::Sender<Stage>,
     open_requests: AtomicU32,
-    /// Connections of clients.
     client_connections: AtomicUsize,
     last_request: Mutex<Instant>,
-    /// Requests under which targets ended.
+    /// Requests during which targets ended (suspected poison requests).
     poison: Mutex<Board>,
-    /// Wakes who tells members of them.
+    /// Wakes the task that reports changes of `poison` to a member.
     poison_changed: Notify,
     attempt_sampler: Mutex<Sampler>,
     answer_sampler: Mutex<Sampler>,
@@ -134,45 +133,46 @@
     backoff_sampler: Mutex<Sampler>,
     unknown_headers: Mutex<UnknownHeaders>,
     started: Instant,
-    /// Time in which this process ran, by which others' silence counts.
+    /// Time during which this process was running. Timeouts on members and targets use it, so that they do not fire
+    /// because this process was paused.
     run_clock: Arc<RunClock>,
     metrics: GatewayMetrics,
     log: Logger,
 }
 
-/// How far a planned stop has come.
+/// Progress of a planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Stage {
-    /// There is none.
+    /// No stop is under way.
     Serving,
-    /// Not ready, but serving all that comes; every answer closes its connection.
+    /// The readiness check fails, but all requests are still served; each answer closes its connection.
     Leaving,
-    /// No new connections, and new requests are refused as not run; what is open ends.
+    /// New connections are refused and new requests are answered as not run; open requests finish.
     Closed,
 }
 
-/// How one gateway keeps its part of what cold targets of a service may get.
+/// This gateway's share of the requests that cold targets of a service may be sent.
 #[derive(Clone, Copy, Debug)]
 struct ColdLimit {
-    /// How long a target may stay cold.
+    /// Longest time for which a target stays cold after a start.
     cold_start: Duration,
-    /// Time between two requests to one cold target.
+    /// Minimum time between two requests to the same cold target.
     gap: Duration,
 }
 
 impl ColdLimit {
-    /// Whether a target is cold, or may be.
+    /// Whether a target is or may be cold.
     fn cold(self, now: Duration, target: &Target) -> bool {
         target.warmth().cold(now, self.cold_start)
     }
 
-    /// Whether a target may be asked now.
+    /// Whether a target may be sent a request now.
     fn may_ask(self, now: Duration, target: &Target) -> bool {
         target.warmth().may_ask(now, self.cold_start, self.gap, rand::random)
     }
 }
 
-/// Counts a request of a client until dropped.
+/// Counts a client's request as open until dropped.
 pub(crate) struct OpenRequest(Arc<Gateway>);
 
 impl Drop for OpenRequest {
@@ -188,7 +188,7 @@
         self.started.elapsed()
     }
 
-    /// Whether the settings leave the mechanism in.
+    /// Whether the mechanism is in use, i.e. the setting `without` does not turn it off.
     fn uses(&self, mechanism: Mechanism) -> bool {
         self.settings.uses(mechanism)
     }
@@ -201,7 +201,7 @@
         self.table.borrow().clone()
     }
 
-    /// Version of the configuration in force here; 0 for none.
+    /// Version of the configuration in force; 0 without one.
     fn version(&self) -> u64 {
         self.table().map_or(0, |table| table.version())
     }
@@ -210,15 +210,16 @@
         *self.stage.borrow()
     }
 
-    /// Whether new clients are welcome.
+    /// Result of the readiness check: whether the load balancer should send new clients.
     fn ready(&self) -> bool {
         self.stage() == Stage::Serving && self.table().is_some() && !self.refuses_as_stale()
     }
 
-    /// Whether the settings demand that requests are refused for want of news.
+    /// Whether requests are refused because the configuration may be stale: the settings ask for it, and no member
+    /// with contact to a leader has sent an update for `stale_after_ms`.
     fn refuses_as_stale(&self) -> bool {
-        let longest = Duration::from_millis(self.settings.stale_after_ms);
-        let stale = lock(&self.fresh_at).is_none_or(|at| at.elapsed() >= longest);
+        let max_age = Duration::from_millis(self.settings.stale_after_ms);
+        let stale = lock(&self.fresh_at).is_none_or(|at| at.elapsed() >= max_age);
         self.settings.on_stale == OnStale::Refuse && stale
     }
 
@@ -231,19 +232,19 @@
         self.gateways.load(Ordering::Relaxed)
     }
 
-    /// Gateways that budgets are shared with.
+    /// Number of gateways among which the budgets are divided.
     fn sharing_gateways(&self) -> u32 {
         lock(&self.fleet_size).largest(self.now())
     }
 
-    /// Most connections of this gateway to a target of the service.
+    /// Maximum connections of this gateway to one target of the service.
     fn max_connections_to(&self, service: &str) -> u32 {
         let table = self.table();
-        let stated = table.and_then(|table| table.service(service)?.max_connections);
-        (stated.unwrap_or(DEFAULT_CONNECTIONS) / self.gateways().max(1)).max(1)
+        let configured = table.and_then(|table| table.service(service)?.max_connections);
+        (configured.unwrap_or(DEFAULT_MAX_CONNECTIONS) / self.gateways().max(1)).max(1)
     }
 
-    /// What targets of a service may get while they are cold; `None` where no rate is stated.
+    /// Limit on requests to cold targets of a service; `None` if the service sets no rate.
     fn cold_limit(&self, service: &str) -> Option<ColdLimit> {
         let table = self.table()?;
         let service = table.service(service)?;
@@ -263,24 +264,24 @@
     fn connection_limits(&self, service: &str) -> ConnectionLimits<'_> {
         ConnectionLimits {
             source: self.settings.source,
-            connect: self.settings.connect_timeout(),
-            unacknowledged: Duration::from_millis(self.settings.unacknowledged_ms),
-            most: self.max_connections_to(service),
+            connect_timeout: self.settings.connect_timeout(),
+            ack_timeout: Duration::from_millis(self.settings.unacknowledged_ms),
+            max_connections: self.max_connections_to(service),
             metrics: &self.metrics,
         }
     }
 
-    /// Targets of a service that are known, whatever their state.
-    fn targets_of(&self, service: &str) -> usize {
+    /// Number of known targets of a service, in any state.
+    fn target_count(&self, service: &str) -> usize {
         read(&self.targets).of(service).len()
     }
 
-    /// Time since a member that hears a leader was last heard, in milliseconds; -1 before.
+    /// Milliseconds since the last update from a member with contact to a leader; -1 before the first.
     fn update_age_ms(&self) -> i64 {
         lock(&self.fresh_at).map_or(-1, |at| at.elapsed().as_millis() as i64)
     }
 
-    /// The text for a scrape.
+    /// Brings the gauges up to date and returns the metrics as text.
     fn render_metrics(&self) -> Vec<u8> {
         let age = lock(&self.fresh_at).map_or(-1.0, |at| at.elapsed().as_secs_f64());
         self.metrics.news_age.set(age);
@@ -293,45 +294,46 @@
         self.metrics.render()
     }
 
-    /// Takes what the head of an answer says of its target.
-    fn hear(&self, target: &Target, status: StatusCode, headers: &HeaderMap) {
-        let word = self.dialect.word(status, headers);
-        if let Some(load) = word.load.filter(|_| self.uses(Mechanism::TargetLoads)) {
+    /// Records what the head of an answer reports about its target: load, shutdown, and a request to back off.
+    fn record_target_report(&self, target: &Target, status: StatusCode, headers: &HeaderMap) {
+        let report = self.dialect.word(status, headers);
+        if let Some(load) = report.load.filter(|_| self.uses(Mechanism::TargetLoads)) {
             target.note_load(self.now(), load);
         }
-        if word.leaving {
-            let told = target.leaving();
-            trace::says_leaving(self, target, target.says_leaving(), told);
+        if report.leaving {
+            let known = target.leaving();
+            trace::target_shutting_down(self, target, target.says_leaving(), known);
         }
-        match word.rest {
-            Some(rest) => {
-                target.rests(self.now(), rest, spread(self.gateways()));
-                trace::asks_for_rest(self, target, rest);
+        match report.rest {
+            Some(backoff) => {
+                target.rests(self.now(), backoff, spread(self.gateways()));
+                trace::backoff_requested(self, target, backoff);
             }
-            None if !word.turned_away => target.answered(self.now()),
+            None if !report.turned_away => target.answered(self.now()),
             None => {}
         }
         self.note_unknown_headers(target, headers);
     }
 
+    /// Counts the outcome of an attempt for the target's health, which may eject the target for a while.
     fn note_outcome(&self, target: &Target, outcome: AttemptOutcome) {
         let now = self.now();
         target.count_outcome(outcome != AttemptOutcome::Answered);
         let others = match outcome {
             AttemptOutcome::Answered | AttemptOutcome::Unreachable => Vec::new(),
             _ if self.uses(Mechanism::Peers) => self.other_tallies(now, target),
-            // As if there were one that never fails.
+            // Compares with one imaginary target that never fails.
             _ => vec![Tally::default()],
         };
         let mut health = target.health();
         if health.note(now, outcome, &others) {
-            info!(self.log, "target left alone"; "event" => "target_paused",
+            info!(self.log, "target ejected for a while"; "event" => "target_paused",
                 "target" => &target.announcement.id, "service" => &target.announcement.service,
                 "outcome" => ?outcome, "tally" => ?health.tally(now), "others" => others.len());
         }
     }
 
-    /// How attempts went at the targets that could take the work of this one.
+    /// Outcomes at the targets that could take over this target's work.
     fn other_tallies(&self, now: Duration, target: &Target) -> Vec<Tally> {
         let targets = read(&self.targets);
         let others = targets.of(&target.announcement.service).iter();
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -1,4 +1,8 @@
-//! Passes an answer on to the client: whole, or event by event.
+//! Relays a target's answer to the client.
+//!
+//! An answer of up to 256 KiB is read completely before the client gets any of it; a longer one is streamed. Streams of
+//! server-sent events are relayed event by event and, where the route allows it, resumed at another target when they
+//! break.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -13,11 +17,11 @@
 use super::Gateway;
 use super::answer::AnswerBody;
 use super::attempt::Answer;
+use super::body_forwarder::{BodyForwarder, BodySource};
 use super::events::EventSplitter;
 use super::exchange::{Plan, give_up, next_answer};
 use super::health::AttemptOutcome;
 use super::mechanism::Mechanism;
-use super::outflow::{Outflow, Source};
 use super::outgoing::strip_hop_by_hop;
 use super::patience::{self, SilenceWatch};
 use super::refusal::Refusal;
@@ -26,57 +30,57 @@
 use crate::clock::Instant;
 use crate::run_clock::RunClock;
 
-/// Answers in one piece that are longer are passed on as they come.
-const WHOLE_UP_TO: usize = 256 * 1024;
+/// Longest answer, in bytes, that is buffered completely; longer ones are streamed.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// Time for which a client must have kept a target waiting for a break to be the client's doing: targets cut answers
-/// that nobody reads for some seconds.
-const PATIENCE_OF_TARGETS: Duration = Duration::from_secs(1);
+/// If the client has made its target wait this long, a break of the stream is put down to the client: targets close
+/// answers that nobody reads for a few seconds.
+const CLIENT_STALL: Duration = Duration::from_secs(1);
 
-/// What became of an answer.
-pub(super) enum PassedOn {
-    /// This goes to the client.
-    Answer(Response<AnswerBody>),
-    /// The request is sent again.
+/// Result of relaying an answer.
+pub(super) enum Relayed {
+    /// The response for the client.
+    Response(Response<AnswerBody>),
+    /// The request is to be sent again.
     Retry(Box<Plan>),
 }
 
-/// Passes an answer on, or finds that the request had better be sent again.
-pub(super) async fn pass_on(gateway: &Arc<Gateway>, mut plan: Plan, answer: Answer) -> PassedOn {
+/// Relays an answer to the client, or decides that the request is sent again.
+pub(super) async fn relay(gateway: &Arc<Gateway>, mut plan: Plan, answer: Answer) -> Relayed {
     let again = plan.route.kind.idempotent() && answer.status.is_server_error();
     if again && gateway.could_send_again(&plan) {
-        plan.note_ran(Refusal::AnswerLost);
-        return PassedOn::Retry(Box::new(plan));
+        plan.note_may_have_run(Refusal::AnswerLost);
+        return Relayed::Retry(Box::new(plan));
     }
     let events = answer.headers.get(CONTENT_TYPE);
     let events = text(events).starts_with("text/event-stream") && answer.status == StatusCode::OK;
     if events && plan.route.kind.streams() {
         return start_stream(gateway, plan, answer).await;
     }
-    whole(gateway, plan, answer).await
+    relay_buffered(gateway, plan, answer).await
 }
 
-/// Reads the whole answer before the client gets a byte, so that a broken one never looks complete.
-async fn whole(gateway: &Arc<Gateway>, mut plan: Plan, answer: Answer) -> PassedOn {
+/// Reads the complete answer before the client gets any of it, so that a broken one never looks complete.
+async fn relay_buffered(gateway: &Arc<Gateway>, mut plan: Plan, answer: Answer) -> Relayed {
     let Answer { target, status, headers, mut body, connection, in_flight } = answer;
     let mut gathered = plan.holder.gather();
     loop {
         let frame = gateway.run_clock.before(plan.outgoing.deadline, body.frame()).await;
         let refusal = match frame {
             Some(Some(Ok(frame))) => {
-                let piece = frame.into_data().unwrap_or_default();
-                let pushed = gathered.push(piece);
-                if pushed.is_ok() && gathered.length() <= WHOLE_UP_TO {
+                let chunk = frame.into_data().unwrap_or_default();
+                let pushed = gathered.push(chunk);
+                if pushed.is_ok() && gathered.length() <= MAX_BUFFERED_BYTES {
                     continue;
                 }
                 trace::answered(gateway, &plan, &target, status);
                 plan.disconnect_guard.finish();
                 let deadline = plan.outgoing.deadline;
                 let (clock, _in_flight) = (gateway.run_clock.clone(), in_flight);
-                let rest = Rest { body, connection, headers, _in_flight, deadline, clock };
-                let flow = Outflow::new(gateway, &plan);
+                let rest = AnswerRest { body, connection, headers, _in_flight, deadline, clock };
+                let forwarder = BodyForwarder::new(gateway, &plan);
                 let first = gathered.into_bytes(pushed.err());
-                return PassedOn::Answer(long(status, flow, first, rest));
+                return Relayed::Response(stream_long(status, forwarder, first, rest));
             }
             Some(None) => break,
             Some(Some(Err(_))) => Refusal::AnswerLost,
@@ -88,16 +92,17 @@
             Refusal::AnswerLost => gateway.probe(&plan, &target),
             _ => gateway.note_version_failed(&plan),
         }
-        plan.note_ran(refusal);
+        plan.note_may_have_run(refusal);
         if plan.route.kind.idempotent() && gateway.could_send_again(&plan) {
-            return PassedOn::Retry(Box::new(plan));
+            return Relayed::Retry(Box::new(plan));
         }
-        return PassedOn::Answer(give_up(gateway, plan, refusal));
+        return Relayed::Response(give_up(gateway, plan, refusal));
     }
     connection.keep(&headers);
-    if promises_not_run(status) {
-        // The target did not say that it has not run the request; that must not be promised.
-        return PassedOn::Answer(give_up(gateway, plan, Refusal::WrongAnswer));
+    if implies_not_run(status) {
+        // The answer lacks the header by which a target states that it did not run the request, so the client must
+        // not get a status that says so.
+        return Relayed::Response(give_up(gateway, plan, Refusal::WrongAnswer));
     }
     trace::answered(gateway, &plan, &target, status);
     if status.is_success() {
@@ -105,14 +110,14 @@
         gateway.note_ended_well(&plan);
     }
     trace::ended(gateway, &mut plan);
-    let mut response = Response::new(AnswerBody::Whole(Some(gathered.into_answer())));
+    let mut response = Response::new(AnswerBody::Buffered(Some(gathered.into_answer())));
     *response.status_mut() = status;
-    *response.headers_mut() = passed_headers(headers);
-    PassedOn::Answer(response)
+    *response.headers_mut() = client_headers(headers);
+    Relayed::Response(response)
 }
 
-/// Statuses that tell a client that its request has not run.
-fn promises_not_run(status: StatusCode) -> bool {
+/// Whether clients take the status to mean that the request was not run.
+fn implies_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::TOO_MANY_REQUESTS
@@ -122,14 +127,15 @@
     )
 }
 
-fn passed_headers(mut headers: HeaderMap) -> HeaderMap {
+/// The headers of a target's answer that are passed to the client.
+fn client_headers(mut headers: HeaderMap) -> HeaderMap {
     strip_hop_by_hop(&mut headers);
     headers.remove(CONTENT_LENGTH);
     headers
 }
 
-/// What is left of a long answer.
-struct Rest {
+/// The part of a long answer that is still to be read from the target.
+struct AnswerRest {
     body: hyper::body::Incoming,
     connection: super::connection::Connection,
     headers: HeaderMap,
@@ -138,7 +144,7 @@
     clock: Arc<RunClock>,
 }
 
-impl Source for Rest {
+impl BodySource for AnswerRest {
     async fn next(&mut self) -> Result<Option<Bytes>, Refusal> {
         match self.clock.before(self.deadline, self.body.frame()).await {
             Some(Some(Ok(frame))) => Ok(Some(frame.into_data().unwrap_or_default())),
@@ -152,164 +158,174 @@
         self.connection.keep(&self.headers);
     }
 
-    fn note_waited(&mut self, _waited: Duration) {}
+    fn note_client_delay(&mut self, _delay: Duration) {}
 
-    fn cut(&mut self, _why: Refusal) {}
+    fn abort(&mut self, _why: Refusal) {}
 }
 
-/// Passes a long answer on as it comes.
-fn long(status: StatusCode, flow: Outflow, first: Bytes, rest: Rest) -> Response<AnswerBody> {
+/// Streams a long answer to the client as it arrives.
+fn stream_long(
+    status: StatusCode,
+    forwarder: BodyForwarder,
+    first: Bytes,
+    rest: AnswerRest,
+) -> Response<AnswerBody> {
     let headers = rest.headers.clone();
-    let pieces = flow.start(first, rest, None);
-    let mut response = Response::new(AnswerBody::Pieces(pieces));
+    let chunks = forwarder.start(first, rest, None);
+    let mut response = Response::new(AnswerBody::Streamed(chunks));
     *response.status_mut() = status;
     let length = headers.get(CONTENT_LENGTH).cloned();
-    *response.headers_mut() = passed_headers(headers);
+    *response.headers_mut() = client_headers(headers);
     if let Some(length) = length {
         response.headers_mut().insert(CONTENT_LENGTH, length);
     }
     response
 }
 
-/// A stream on its way to the client.
-struct Relay {
+/// A stream of server-sent events that is being relayed to the client.
+struct EventRelay {
     gateway: Arc<Gateway>,
     plan: Plan,
     answer: Answer,
     splitter: EventSplitter,
-    /// Whether the client has any event.
+    /// Whether any event was forwarded to the client.
     begun: bool,
-    /// Whether the target had to wait for the client, so that a break may be the client's doing.
-    unread: bool,
+    /// Whether the client has made the target wait for [`CLIENT_STALL`], which may be why the stream breaks.
+    client_stalled: bool,
 }
 
-/// A piece of an answer, or how it broke.
-type Piece = Result<Frame<Bytes>, hyper::Error>;
+/// A frame of an answer's body, or the error with which the body broke off.
+type FrameResult = Result<Frame<Bytes>, hyper::Error>;
 
 /// Why a stream stopped before its end.
-enum Stopped {
-    Broke,
-    Late,
+enum Interrupted {
+    /// The connection broke, the stream ended within an event, or an event was too long.
+    Broken,
+    /// Nothing came from the target in time.
+    TimedOut,
 }
 
-/// Waits for the first event, since until then nothing has been promised to the client.
-async fn start_stream(gateway: &Arc<Gateway>, plan: Plan, answer: Answer) -> PassedOn {
-    let (status, headers) = (answer.status, passed_headers(answer.headers.clone()));
-    let mut relay = Relay {
+/// Starts to relay a stream. The response head is sent only once the first event has arrived, so that the request can
+/// still be retried or refused until then.
+async fn start_stream(gateway: &Arc<Gateway>, plan: Plan, answer: Answer) -> Relayed {
+    let (status, headers) = (answer.status, client_headers(answer.headers.clone()));
+    let mut relay = EventRelay {
         gateway: gateway.clone(),
         plan,
         answer,
         splitter: EventSplitter::default(),
         begun: false,
-        unread: false,
+        client_stalled: false,
     };
     let first = match relay.next_events().await {
         Ok(first) => first,
-        Err(refusal) => return PassedOn::Answer(give_up(gateway, relay.plan, refusal)),
+        Err(refusal) => return Relayed::Response(give_up(gateway, relay.plan, refusal)),
     };
     gateway.note_version_answered(&relay.plan);
     trace::answered(gateway, &relay.plan, &relay.answer.target, status);
     let Some(first) = first else {
-        relay.keep_connection();
-        let mut response = Response::new(AnswerBody::Whole(None));
+        relay.finish();
+        let mut response = Response::new(AnswerBody::Buffered(None));
         *response.status_mut() = status;
         *response.headers_mut() = headers;
-        return PassedOn::Answer(response);
+        return Relayed::Response(response);
     };
     let open = gateway.open_request();
-    let flow = Outflow::new(gateway, &relay.plan);
-    let pieces = flow.start(first, relay, Some(open));
-    let mut response = Response::new(AnswerBody::Pieces(pieces));
+    let forwarder = BodyForwarder::new(gateway, &relay.plan);
+    let chunks = forwarder.start(first, relay, Some(open));
+    let mut response = Response::new(AnswerBody::Streamed(chunks));
     *response.status_mut() = status;
     *response.headers_mut() = headers;
-    PassedOn::Answer(response)
+    Relayed::Response(response)
 }
 
-impl Source for Relay {
+impl BodySource for EventRelay {
     async fn next(&mut self) -> Result<Option<Bytes>, Refusal> {
         self.next_events().await
     }
 
     fn end(self) {
-        self.keep_connection();
+        self.finish();
     }
 
-    fn note_waited(&mut self, waited: Duration) {
-        self.unread = waited >= PATIENCE_OF_TARGETS;
+    fn note_client_delay(&mut self, delay: Duration) {
+        self.client_stalled = delay >= CLIENT_STALL;
     }
 
-    fn cut(&mut self, why: Refusal) {
-        trace::cut(&self.gateway, &self.plan, why);
+    fn abort(&mut self, why: Refusal) {
+        trace::stream_cut(&self.gateway, &self.plan, why);
         self.plan.disconnect_guard.finish();
     }
 }
 
-impl Relay {
-    /// The next whole events, or `None` at the end; goes on at another target where that is allowed.
+impl EventRelay {
+    /// The next complete events, or `None` at the end of the stream. If the stream breaks, resumes it at another target
+    /// where that is allowed.
     async fn next_events(&mut self) -> Result<Option<Bytes>, Refusal> {
         loop {
-            match self.next_here().await {
+            match self.next_from_target().await {
                 Ok(events) => {
                     self.begun |= events.is_some();
                     return Ok(events);
                 }
-                Err(stopped) => self.resume(stopped).await?,
+                Err(interrupted) => self.resume(interrupted).await?,
             }
         }
     }
 
-    async fn next_here(&mut self) -> Result<Option<Bytes>, Stopped> {
+    /// The next complete events from the current target, or `None` at the end of the stream.
+    async fn next_from_target(&mut self) -> Result<Option<Bytes>, Interrupted> {
         loop {
             let frame = self.next_frame().await?;
             match frame {
                 Some(Ok(frame)) => {
                     let bytes = frame.into_data().unwrap_or_default();
-                    let whole = self.splitter.push(&bytes).map_err(|_| Stopped::Broke)?;
-                    if !whole.is_empty() {
-                        return Ok(Some(whole));
+                    let events = self.splitter.push(&bytes).map_err(|_| Interrupted::Broken)?;
+                    if !events.is_empty() {
+                        return Ok(Some(events));
                     }
                 }
                 None if self.splitter.at_boundary() => return Ok(None),
-                None | Some(Err(_)) => return Err(Stopped::Broke),
+                None | Some(Err(_)) => return Err(Interrupted::Broken),
             }
         }
     }
 
-    /// Waits for the next piece until the deadline, or, where another target may go on, for as long
-    /// as patience lasts.
-    async fn next_frame(&mut self) -> Result<Option<Piece>, Stopped> {
+    /// Waits for the next frame: until the stall timeout if another target could take over the stream, else until the
+    /// deadline.
+    async fn next_frame(&mut self) -> Result<Option<FrameResult>, Interrupted> {
         let route = &self.plan.route;
-        let longest = match self.begun {
+        let timeout = match self.begun {
             true => patience::for_next_event(route),
             false => patience::for_answer(route),
         };
-        let watch = SilenceWatch::begin(&self.gateway, &self.answer.target, longest);
+        let watch = SilenceWatch::begin(&self.gateway, &self.answer.target, timeout);
         let (deadline, clock) = (self.plan.outgoing.deadline, &self.gateway.run_clock);
         let mut frame = pin!(self.answer.body.frame());
-        let mut waited = clock.within(longest, deadline, &mut frame).await;
-        let may_turn = || {
+        let mut received = clock.within(timeout, deadline, &mut frame).await;
+        let may_switch = || {
             self.gateway.uses(Mechanism::Silence)
                 && route.kind.idempotent()
                 && self.gateway.could_send_again(&self.plan)
         };
-        if waited.is_none() && !may_turn() {
+        if received.is_none() && !may_switch() {
             watch.blame_if_silent();
-            waited = clock.before(deadline, frame).await;
+            received = clock.before(deadline, frame).await;
         }
         watch.end();
-        waited.ok_or(Stopped::Late)
+        received.ok_or(Interrupted::TimedOut)
     }
 
-    /// Goes on with the stream at another target, after the last whole event.
-    async fn resume(&mut self, stopped: Stopped) -> Result<(), Refusal> {
-        let refusal = match stopped {
-            Stopped::Broke => Refusal::AnswerLost,
-            Stopped::Late => Refusal::AnswerLate,
+    /// Resumes the stream at another target, after the last complete event.
+    async fn resume(&mut self, interrupted: Interrupted) -> Result<(), Refusal> {
+        let refusal = match interrupted {
+            Interrupted::Broken => Refusal::AnswerLost,
+            Interrupted::TimedOut => Refusal::AnswerLate,
         };
         let gateway = self.gateway.clone();
         let last = self.splitter.last_id().unwrap_or("");
         trace::broke_off(&gateway, &self.plan, &self.answer.target, refusal, last);
-        if self.unread {
+        if self.client_stalled {
             return Err(refusal);
         }
         gateway.note_outcome(&self.answer.target, AttemptOutcome::Failed);
@@ -317,7 +333,7 @@
             Refusal::AnswerLost => gateway.probe(&self.plan, &self.answer.target),
             _ => gateway.note_version_failed(&self.plan),
         }
-        self.plan.note_ran(refusal);
+        self.plan.note_may_have_run(refusal);
         if !self.plan.route.kind.idempotent() {
             return Err(refusal);
         }
@@ -330,8 +346,8 @@
             return Err(refusal);
         }
         let answer = next_answer(&gateway, &mut self.plan).await?;
-        let kind = text(answer.headers.get(CONTENT_TYPE));
-        if answer.status != StatusCode::OK || !kind.starts_with("text/event-stream") {
+        let content_type = text(answer.headers.get(CONTENT_TYPE));
+        if answer.status != StatusCode::OK || !content_type.starts_with("text/event-stream") {
             return Err(refusal);
         }
         let last = self.splitter.last_id().unwrap_or("");
@@ -340,8 +356,8 @@
         Ok(())
     }
 
-    /// Keeps the connection of a stream that has ended.
-    fn keep_connection(mut self) {
+    /// Records that the stream was relayed to its end, and keeps the target's connection for later requests.
+    fn finish(mut self) {
         self.gateway.note_ended_well(&self.plan);
         trace::ended(&self.gateway, &mut self.plan);
         self.answer.connection.keep(&self.answer.headers);
--- a/src/gateway/running.rs
+++ b/src/gateway/running.rs
@@ -1,4 +1,4 @@
-//! Starts a gateway, and stops it as planned.
+//! Starting a gateway, reloading its settings, and stopping it gracefully.
 
 use std::sync::atomic::{AtomicU32, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex, RwLock};
@@ -12,8 +12,8 @@
 use super::held::Holdings;
 use super::mechanism::Mechanism;
 use super::metrics::GatewayMetrics;
-use super::opening::Reserved;
 use super::settings::GatewaySettings;
+use super::startup::BoundAddress;
 use super::{Gateway, Stage, feed, listener, neighbours};
 use crate::clock::Instant;
 use crate::dialect::SharedDialect;
@@ -22,42 +22,43 @@
 use crate::start::{StartError, listen_if_set, listen_on};
 use crate::sync::lock;
 
-/// How often a planned stop looks whether it may end.
-const STOP_LOOK: Duration = Duration::from_millis(50);
-/// Shortest time from the notice of a planned stop to its end: the balancer must have noticed.
-const STOP_NOTICE: Duration = Duration::from_millis(2_500);
-/// Part of a planned stop's longest time in which new work is taken.
-const STOP_TAKES_PART: f64 = 0.35;
-/// Part of a planned stop's longest time after which it ends whatever is left.
-const STOP_ENDS_PART: f64 = 0.95;
-/// Time without a request after which a planned stop ends.
-const STOP_QUIET: Duration = Duration::from_millis(300);
+/// How often a planned stop checks whether it is finished.
+const STOP_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+/// Time that the load balancer needs to notice that the gateway is not ready; until then even an idle gateway keeps
+/// accepting connections.
+const STOP_NOTICE_TIME: Duration = Duration::from_millis(2_500);
+/// Fraction of `stop_within_ms` after which no new requests are accepted.
+const STOP_ACCEPT_FRACTION: f64 = 0.35;
+/// Fraction of `stop_within_ms` after which the stop ends even if requests are still open.
+const STOP_END_FRACTION: f64 = 0.95;
+/// Time without any request after which a planned stop stops accepting new ones.
+const STOP_IDLE_TIME: Duration = Duration::from_millis(300);
 
-/// Listens for other gateways, unless that is left out. One that can't, for example because a member on
-/// the same host has the port, gets all its news from members.
-async fn listen_for_neighbours(settings: &GatewaySettings, log: &Logger) -> Option<TcpListener> {
+/// Listens for peer gateways, unless the settings turn peer-to-peer distribution off. A gateway that can't listen, e.g.
+/// because a member on the same host uses the port, gets all its updates from members.
+async fn listen_for_peers(settings: &GatewaySettings, log: &Logger) -> Option<TcpListener> {
     let addr = settings.neighbour_listen().filter(|_| settings.uses(Mechanism::PassOn))?;
     match listen_on(addr).await {
         Ok(listener) => Some(listener),
         Err(error) => {
-            warn!(log, "news are not passed on"; "event" => "passes_on_nothing",
+            warn!(log, "can't listen for peer gateways; blobs are not relayed to them"; "event" => "passes_on_nothing",
                 "error" => %error);
             None
         }
     }
 }
 
-/// Takes connections of clients for ever, once that is of use to them.
-async fn open_to_clients(gateway: Arc<Gateway>, reserved: Reserved) {
-    gateway.may_listen().await;
-    match reserved.listen() {
+/// Waits until the gateway should accept clients, then listens and serves them.
+async fn serve_clients(gateway: Arc<Gateway>, address: BoundAddress) {
+    gateway.wait_before_listening().await;
+    match address.listen() {
         Ok(clients) => {
-            info!(gateway.log, "clients are taken"; "event" => "listening",
+            info!(gateway.log, "listening for clients"; "event" => "listening",
                 "after_ms" => gateway.now().as_millis() as u64, "version" => gateway.version());
             listener::serve_clients(gateway, clients).await;
         }
         Err(error) => {
-            error!(gateway.log, "clients can't be taken"; "event" => "not_listening",
+            error!(gateway.log, "can't listen for clients"; "event" => "not_listening",
                 "error" => %error);
         }
     }
@@ -67,10 +68,10 @@
 pub struct RunningGateway(Arc<Gateway>);
 
 impl RunningGateway {
-    /// Starts to listen, and to follow the members.
+    /// Starts the gateway's listeners and follows the members.
     ///
     /// # Errors
-    /// [`StartError`] when an address can't be used.
+    /// [`StartError`] if an address can't be used.
     pub async fn start(
         settings: GatewaySettings,
         dialect: SharedDialect,
@@ -78,11 +79,11 @@
     ) -> Result<Self, StartError> {
         let listen = settings.listen.ok_or(StartError::Missing { field: "listen" })?;
         let log = log.new(o!("role" => "gateway"));
-        let clients = Reserved::take(listen)?;
+        let clients = BoundAddress::bind(listen)?;
         let ready = listen_if_set(settings.ready_listen).await?;
         let scrapes = listen_if_set(settings.metrics_listen).await?;
-        let neighbours = listen_for_neighbours(&settings, &log).await;
-        let blob_addr = neighbours.as_ref().and_then(|listener| listener.local_addr().ok());
+        let peers = listen_for_peers(&settings, &log).await;
+        let blob_addr = peers.as_ref().and_then(|listener| listener.local_addr().ok());
         info!(log, "gateway started"; "event" => "gateway_started",
             "version" => env!("CARGO_PKG_VERSION"), "listen" => %listen,
             "on_stale" => ?settings.on_stale, "load_bound" => settings.load_bound,
@@ -123,9 +124,9 @@
             log,
         });
         tokio::spawn(feed::follow(gateway.clone()));
-        tokio::spawn(open_to_clients(gateway.clone(), clients));
-        if let Some(neighbours) = neighbours {
-            tokio::spawn(neighbours::serve(gateway.clone(), neighbours));
+        tokio::spawn(serve_clients(gateway.clone(), clients));
+        if let Some(peers) = peers {
+            tokio::spawn(neighbours::serve(gateway.clone(), peers));
         }
         if let Some(ready) = ready {
             tokio::spawn(listener::serve_ready(gateway.clone(), ready));
@@ -136,39 +137,40 @@
         Ok(RunningGateway(gateway))
     }
 
-    /// Takes changed settings; only the members take effect before a restart.
+    /// Applies changed settings. Only the list of members takes effect without a restart.
     pub fn reload(&self, settings: &GatewaySettings) {
         let members = settings.members.clone();
         let others = GatewaySettings { members, ..self.0.settings.clone() } != *settings;
         *lock(&self.0.seeds) = settings.member_peers();
-        info!(self.0.log, "settings in force"; "event" => "settings_in_force",
+        info!(self.0.log, "settings reloaded"; "event" => "settings_in_force",
             "members" => ?settings.members, "restart_needed" => others);
     }
 
-    /// Stops as planned: not ready at once, serving on until nothing comes and nothing is left.
+    /// Stops the gateway gracefully. It fails readiness checks at once, but serves until no new requests come and all
+    /// open ones are finished, or until `stop_within_ms` has nearly passed.
     pub async fn stop(self) {
         let gateway = self.0;
         gateway.stage.send_replace(Stage::Leaving);
         let began = Instant::now();
-        let longest = Duration::from_millis(gateway.settings.stop_within_ms);
+        let timeout = Duration::from_millis(gateway.settings.stop_within_ms);
         loop {
-            tokio::time::sleep(STOP_LOOK).await;
+            tokio::time::sleep(STOP_CHECK_INTERVAL).await;
             let open = gateway.open_requests.load(Ordering::Relaxed);
             let elapsed = began.elapsed();
-            if elapsed >= longest.mul_f64(STOP_TAKES_PART) {
+            if elapsed >= timeout.mul_f64(STOP_ACCEPT_FRACTION) {
                 gateway.stage.send_replace(Stage::Closed);
             }
-            let quiet = open == 0 && lock(&gateway.last_request).elapsed() >= STOP_QUIET;
-            let over = elapsed >= longest.mul_f64(STOP_ENDS_PART);
-            if quiet && elapsed >= STOP_NOTICE.min(longest) {
+            let idle = open == 0 && lock(&gateway.last_request).elapsed() >= STOP_IDLE_TIME;
+            let over = elapsed >= timeout.mul_f64(STOP_END_FRACTION);
+            if idle && elapsed >= STOP_NOTICE_TIME.min(timeout) {
                 gateway.stage.send_replace(Stage::Closed);
             }
-            // An answer that has left the gateway may still be on its way to a slow client: its connection closes
-            // once all is sent.
+            // An answer that the gateway has finished may still be in the buffers of a slow client's connection, which
+            // closes once all is sent.
             let connections = gateway.client_connections.load(Ordering::Relaxed);
             let closed = gateway.stage() == Stage::Closed && open == 0 && connections == 0;
             if over || closed {
-                info!(gateway.log, "stopped"; "event" => "stopped", "open" => open,
+                info!(gateway.log, "gateway stopped"; "event" => "stopped", "open" => open,
                     "connections" => connections,
                     "took_ms" => began.elapsed().as_millis() as u64);
                 return;
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -1,4 +1,4 @@
-//! The log lines of a request: one for each decision, with what decided it.
+//! Log lines and metrics of the decisions about a request, with the values on which each decision is based.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use crate::retry_after::RetryAfter;
 use crate::sync::lock;
 
-/// The text of a header's value; empty when there is none.
+/// A header's value as text; empty if it is missing or not visible ASCII.
 pub(super) fn text(value: Option<&HeaderValue>) -> &str {
     value.and_then(|value| value.to_str().ok()).unwrap_or("")
 }
@@ -29,16 +29,16 @@
     plan.outgoing.deadline.saturating_duration_since(Instant::now()).as_millis() as u64
 }
 
-/// A request was refused before it had a plan.
+/// A request was refused before it was sent to any target.
 pub(super) fn refused(gateway: &Gateway, id: &str, host: &str, path: &str, refusal: Refusal) {
     gateway.metrics.refused(refusal);
-    info!(gateway.log, "refused"; "event" => "refused", "id" => id, "reason" => refusal.code(),
+    info!(gateway.log, "request refused"; "event" => "refused", "id" => id, "reason" => refusal.code(),
         "status" => refusal.status().as_u16(), "request_host" => host, "path" => path,
         "version" => gateway.version(), "news_age_ms" => gateway.update_age_ms(),
         "stage" => ?gateway.stage());
 }
 
-/// A request was given up on.
+/// A request was given up on after its route was found.
 pub(super) fn given_up(
     gateway: &Gateway,
     plan: &Plan,
@@ -46,19 +46,19 @@
     backoff_left: Option<Duration>,
 ) {
     gateway.metrics.refused(refusal);
-    info!(gateway.log, "given up"; "event" => "given_up", "id" => text(Some(&plan.outgoing.id)),
+    info!(gateway.log, "request given up"; "event" => "given_up", "id" => text(Some(&plan.outgoing.id)),
         "reason" => refusal.code(), "status" => refusal.status().as_u16(),
         "route" => &plan.route.name, "service" => &plan.service, "kind" => ?plan.route.kind,
         "sends" => plan.sends, "max_attempts" => plan.route.max_attempts,
         "budget_left" => gateway.budget_left(&plan.service), "gateways" => gateway.gateways(),
-        "version" => plan.version, "targets" => gateway.targets_of(&plan.service),
+        "version" => plan.version, "targets" => gateway.target_count(&plan.service),
         "news_age_ms" => gateway.update_age_ms(), "elapsed_ms" => millis_since(plan.arrived),
         "fingerprint" => plan.known_fingerprint().map(|one| one.to_string()),
         "rest_left_ms" => backoff_left.map(|left| left.as_millis() as u64),
         "left_ms" => millis_left(plan));
 }
 
-/// An attempt ended with an answer's head, or without.
+/// An attempt ended, with the head of an answer or with an error.
 pub(super) fn attempt(
     gateway: &Gateway,
     plan: &Plan,
@@ -70,7 +70,8 @@
     let code = outcome.as_ref().map_or_else(|(refusal, _)| refusal.code(), StatusCode::as_str);
     gateway.metrics.attempted(&plan.service, code);
     let kept = lock(&gateway.attempt_sampler).keep(gateway.now());
-    // Attempts at cold targets are few, and what these got in all has to be counted.
+    // Attempts at cold targets are always logged: they are few, and logs have to show all requests that such a target
+    // got.
     if !failed && kept.is_none() && !choice.cold {
         return;
     }
@@ -93,7 +94,7 @@
         "left_ms" => millis_left(plan), "stands_for" => kept.unwrap_or(1));
 }
 
-/// An answer went to the client, or, for a stream, its first event did.
+/// An answer is being sent to the client; of a stream, at least the first event has arrived.
 pub(super) fn answered(gateway: &Gateway, plan: &Plan, target: &Target, status: StatusCode) {
     gateway.metrics.answered(status);
     gateway.metrics.took(&plan.service, plan.arrived.elapsed());
@@ -101,41 +102,42 @@
     let Some(stands_for) = kept else {
         return;
     };
-    info!(gateway.log, "answered"; "event" => "answered", "id" => text(Some(&plan.outgoing.id)),
+    info!(gateway.log, "request answered"; "event" => "answered", "id" => text(Some(&plan.outgoing.id)),
         "status" => status.as_u16(), "target" => &target.announcement.id,
         "route" => &plan.route.name, "sends" => plan.sends, "version" => plan.version,
         "elapsed_ms" => millis_since(plan.arrived), "stands_for" => stands_for);
 }
 
-/// The end of an answer went out.
+/// An answer was relayed to its end.
 pub(super) fn ended(gateway: &Gateway, plan: &mut Plan) {
     gateway.metrics.ended(&plan.service, plan.arrived.elapsed());
     plan.disconnect_guard.finish();
 }
 
-/// An answer says that its target is about to leave, the `first` of that start of it to do so.
-pub(super) fn says_leaving(gateway: &Gateway, target: &Target, first: bool, told: bool) {
+/// An answer states that its target is shutting down. `first`: no earlier answer of this incarnation of the target did.
+/// `known`: the gateway already knew it, from the members or from an earlier answer.
+pub(super) fn target_shutting_down(gateway: &Gateway, target: &Target, first: bool, known: bool) {
     gateway.metrics.said_leaving(&target.announcement.service);
     if first {
-        info!(gateway.log, "target says that it leaves"; "event" => "target_leaving",
+        info!(gateway.log, "target is shutting down"; "event" => "target_leaving",
             "target" => &target.announcement.id, "addr" => %target.announcement.addr,
-            "service" => &target.announcement.service, "told_by_members" => told,
+            "service" => &target.announcement.service, "told_by_members" => known,
             "in_flight" => target.in_flight(), "news_age_ms" => gateway.update_age_ms());
     }
 }
 
-/// A target that turned a request away wants nothing more for a while.
-pub(super) fn asks_for_rest(gateway: &Gateway, target: &Target, rest: RetryAfter) {
+/// A target turned a request away and asked the gateway to back off.
+pub(super) fn backoff_requested(gateway: &Gateway, target: &Target, backoff: RetryAfter) {
     gateway.metrics.asked_for_rest(&target.announcement.service);
     if let Some(stands_for) = lock(&gateway.backoff_sampler).keep(gateway.now()) {
-        info!(gateway.log, "target asks for rest"; "event" => "target_rests",
+        info!(gateway.log, "target asked to back off"; "event" => "target_rests",
             "target" => &target.announcement.id, "addr" => %target.announcement.addr,
-            "service" => &target.announcement.service, "rest" => ?rest,
+            "service" => &target.announcement.service, "rest" => ?backoff,
             "in_flight" => target.in_flight(), "stands_for" => stands_for);
     }
 }
 
-/// An answer or a stream broke off on its way from the target.
+/// An answer or stream from a target broke off or stalled.
 pub(super) fn broke_off(
     gateway: &Gateway,
     plan: &Plan,
@@ -144,7 +146,7 @@
     last_event: &str,
 ) {
     gateway.metrics.attempt_failed(refusal);
-    info!(gateway.log, "answer broke off"; "event" => "broke_off",
+    info!(gateway.log, "answer from target broke off"; "event" => "broke_off",
         "id" => text(Some(&plan.outgoing.id)), "reason" => refusal.code(),
         "target" => &target.announcement.id, "route" => &plan.route.name,
         "kind" => ?plan.route.kind, "last_event" => last_event, "sends" => plan.sends,
@@ -153,35 +155,35 @@
         "elapsed_ms" => millis_since(plan.arrived), "left_ms" => millis_left(plan));
 }
 
-/// A stream that had begun was cut, since it could not go on.
-pub(super) fn cut(gateway: &Gateway, plan: &Plan, refusal: Refusal) {
+/// The stream to a client was cut, since it could not be continued.
+pub(super) fn stream_cut(gateway: &Gateway, plan: &Plan, refusal: Refusal) {
     gateway.metrics.cut(refusal);
-    info!(gateway.log, "stream cut"; "event" => "stream_cut",
+    info!(gateway.log, "stream to client cut"; "event" => "stream_cut",
         "id" => text(Some(&plan.outgoing.id)), "reason" => refusal.code(),
         "route" => &plan.route.name, "sends" => plan.sends, "version" => plan.version,
         "elapsed_ms" => millis_since(plan.arrived), "left_ms" => millis_left(plan));
 }
 
-/// A stream went on at another target.
+/// A stream was resumed at another target.
 pub(super) fn resumed(gateway: &Gateway, plan: &Plan, target: &Target, last_event: &str) {
     gateway.metrics.resumed();
-    info!(gateway.log, "stream resumed"; "event" => "resumed",
+    info!(gateway.log, "stream resumed at another target"; "event" => "resumed",
         "id" => text(Some(&plan.outgoing.id)), "target" => &target.announcement.id,
         "last_event" => last_event, "sends" => plan.sends,
         "elapsed_ms" => millis_since(plan.arrived), "left_ms" => millis_left(plan));
 }
 
-/// Why the connection of a client that sends or reads slowly was cut.
+/// Why the gateway closed the connection of a client that sends or reads slowly.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum ClientCut {
-    /// Others needed the room of what was held for it.
+    /// The memory used for the client was needed for others.
     NoRoom,
-    /// Its buffer was full, and it read nothing for too long.
+    /// The client's buffer was full and it read nothing for too long, or the request's deadline passed meanwhile.
     Unread,
 }
 
 impl ClientCut {
-    /// The reason, as it stands in logs and metrics.
+    /// Name of the reason in logs and metrics.
     pub(super) fn label(self) -> &'static str {
         match self {
             ClientCut::NoRoom => "no_room",
@@ -190,14 +192,14 @@
     }
 }
 
-/// The connection of a slow client was cut.
+/// The connection of a slow client was closed.
 pub(super) fn client_cut(gateway: &Gateway, unread: usize, why: ClientCut) {
     gateway.metrics.client_cut(why.label());
-    info!(gateway.log, "slow client cut"; "event" => "client_cut", "why" => why.label(),
+    info!(gateway.log, "connection of slow client closed"; "event" => "client_cut", "why" => why.label(),
         "unread_bytes" => unread, "held_bytes" => gateway.holdings.held());
 }
 
-/// Notes that a client left, unless its request was finished before.
+/// Logs and counts, when dropped, that the client disconnected, unless its request was finished before.
 pub(super) struct DisconnectGuard {
     gateway: Arc<Gateway>,
     id: HeaderValue,
@@ -210,7 +212,7 @@
         DisconnectGuard { gateway: gateway.clone(), id: id.clone(), arrived, finished: false }
     }
 
-    /// The client has its final answer, or is cut off by this gateway.
+    /// Marks the request as finished: the client has its answer, or the gateway itself cut the answer off.
     pub(super) fn finish(&mut self) {
         self.finished = true;
     }
@@ -220,7 +222,7 @@
     fn drop(&mut self) {
         if !self.finished {
             self.gateway.metrics.left();
-            info!(self.gateway.log, "client left"; "event" => "client_left",
+            info!(self.gateway.log, "client disconnected before its answer was complete"; "event" => "client_left",
                 "id" => text(Some(&self.id)), "elapsed_ms" => millis_since(self.arrived));
         }
     }
