--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -60,7 +60,8 @@
     relay_buffered(gateway, plan, answer).await
 }
 
-/// Reads the complete answer before the client gets any of it, so that a broken one never looks complete.
+/// Reads the complete answer before the client gets any of it, so that a broken one never looks complete. An answer that
+/// is longer than [`MAX_BUFFERED_BYTES`], or for which there is no memory left, is streamed instead.
 async fn relay_buffered(gateway: &Arc<Gateway>, mut plan: Plan, answer: Answer) -> Relayed {
     let Answer { target, status, headers, mut body, connection, in_flight } = answer;
     let mut gathered = plan.holder.gather();
