--- a/src/gateway/choice.rs
+++ b/src/gateway/choice.rs
@@ -12,7 +12,7 @@
 use super::exchange::Plan;
 use super::mechanism::Mechanism;
 use super::prefix_source::PrefixSearch;
-use super::reason::Refusal;
+use super::refusal::Refusal;
 use super::target::Target;
 use super::targets::Targets;
 use super::versions::{VersionGroup, Versions};
@@ -59,7 +59,7 @@
         if !route.sticky {
             return None;
         }
-        let value = headers.get(&self.names().prompt)?.to_str().ok()?;
+        let value = headers.get(&self.header_names().prompt)?.to_str().ok()?;
         let parts = self.dialect.prompt(value);
         let shared = &parts[..parts.len().saturating_sub(1).max(1).min(parts.len())];
         let hash = xxh3_64(shared.last()?.id.as_bytes());
@@ -121,7 +121,7 @@
                 && cold.is_none_or(|limit| limit.may_ask(now, target))
         };
         let usable: Vec<&Arc<Target>> = known.of(&plan.service).iter().filter(usable).collect();
-        let groups = versions.groups(plan.lot, !plan.tried.is_empty());
+        let groups = versions.groups(plan.version_draw, !plan.tried.is_empty());
         if groups == [VersionGroup::Any] {
             return (!usable.is_empty()).then_some((VersionGroup::Any, usable));
         }
@@ -192,7 +192,7 @@
             return Refusal::NoRoom;
         }
         if suitable.iter().any(|target| target.eligibility(now).rest_left(now).is_some()) {
-            return Refusal::Resting;
+            return Refusal::BackingOff;
         }
         if untried.count() > 0 && plan.tried.is_empty() {
             return Refusal::Evacuated;
@@ -214,7 +214,7 @@
     /// Targets that are not draining and whose version and region suit the request.
     fn suitable<'a>(&self, known: &'a Targets, plan: &Plan) -> Vec<&'a Arc<Target>> {
         let versions = Versions::new(self.now(), known, plan);
-        let groups = versions.groups(plan.lot, !plan.tried.is_empty());
+        let groups = versions.groups(plan.version_draw, !plan.tried.is_empty());
         let is_suitable = |target: &&Arc<Target>| {
             !target.draining()
                 && self.region_allows(plan, target)
--- a/src/gateway/peers.rs
+++ b/src/gateway/peers.rs
@@ -55,7 +55,7 @@
 async fn answer(gateway: &Gateway, stream: TcpStream) -> Result<(), LinkError> {
     let (mut sender, mut receiver) = framed(stream, TIMEOUTS)?;
     let ToPeer::Fetch(id) = receiver.receive().await?;
-    let cached = lock(&gateway.shelf).get(id).map(|blob| blob.bytes().clone());
+    let cached = lock(&gateway.blob_cache).get(id).map(|blob| blob.bytes().clone());
     gateway.metrics.blob_requested(cached.is_some());
     sender.send(&cached.map_or(FromPeer::Unknown, FromPeer::Blob)).await?;
     // Waits until the peer, having received everything, closes the connection.
--- a/src/gateway/prefix_holders.rs
+++ b/src/gateway/prefix_holders.rs
@@ -115,6 +115,6 @@
         };
         let target = LoadKey::of(choice.target.key);
         let holder = PrefixHolder { prompt: PromptKey::of(affinity.hash), target };
-        lock(&self.keepers).note_prompt_read(self.now(), holder);
+        lock(&self.prefix_holders).note_prompt_read(self.now(), holder);
     }
 }
--- a/src/gateway/prefix_source.rs
+++ b/src/gateway/prefix_source.rs
@@ -64,7 +64,7 @@
             return Reported::Nobody;
         }
         let prompt = PromptKey::of(search.affinity.hash);
-        let reported: Vec<LoadKey> = lock(&self.keepers).of(search.now, prompt).collect();
+        let reported: Vec<LoadKey> = lock(&self.prefix_holders).of(search.now, prompt).collect();
         let chosen = search.chosen();
         if reported.contains(&LoadKey::of(chosen.key)) {
             return Reported::Chosen;
--- a/src/gateway/subscriber.rs
+++ b/src/gateway/subscriber.rs
@@ -63,7 +63,7 @@
         subscriber.note_disconnected(member, &reason);
         subscriber.set_members(subscriber.order.from_current());
         match reason {
-            Disconnect::Earlier(earlier) => subscriber.order.select(earlier),
+            Disconnect::PreferredMember(earlier) => subscriber.order.select(earlier),
             // Subscribes to the same member again: a new connection carries only current data.
             Disconnect::Suspended(_) => {}
             _ => {
@@ -161,7 +161,7 @@
             return (member, self.run_until_disconnect(subscribed, Until::Lost).await);
         }
         match self.run_until_disconnect(subscribed, Until::Configured).await {
-            Disconnect::First => self.follow_current().await,
+            Disconnect::ConfigurationReceived => self.follow_current().await,
             reason => (member, reason),
         }
     }
@@ -174,7 +174,7 @@
             bootstrap::discover_members(self.gateway.settings.source, &known, &subscription);
         let members = tokio::time::timeout(RACE_TIMEOUT, racing).await;
         let members = members.map_err(|_| LinkError::Timeout)?;
-        self.gateway.heard_member.send_replace(true);
+        self.gateway.member_contact.send_replace(true);
         self.set_members(members);
         self.order.select_first();
         Ok(())
@@ -190,7 +190,7 @@
             rollouts: read(&self.gateway.targets).rollouts_revision(),
             data_hall: self.gateway.settings.data_hall.clone(),
             status_only: false,
-            serves_blobs_at: self.gateway.passes_on_at,
+            serves_blobs_at: self.gateway.blob_addr,
         }
     }
 
@@ -252,12 +252,12 @@
                 Event::Failback(FailbackEvent::Available(earlier))
                     if self.updates.is_complete() =>
                 {
-                    return Ok(Disconnect::Earlier(earlier));
+                    return Ok(Disconnect::PreferredMember(earlier));
                 }
                 Event::Failback(FailbackEvent::Available(_)) => {}
             }
         }
-        Ok(Disconnect::First)
+        Ok(Disconnect::ConfigurationReceived)
     }
 
     /// Waits for the next event of a subscription.
@@ -277,7 +277,7 @@
                     FromMember::Update(update) => Event::Update(update),
                     FromMember::Reply { .. } => return Err(LinkError::Garbled),
                 },
-                () = self.gateway.poison_news.notified() => Event::Poison,
+                () = self.gateway.poison_changed.notified() => Event::Poison,
                 event = self.failback.next() => Event::Failback(event),
                 result = self.updates.next_fetch() => Event::Fetch(result),
                 () = tokio::time::sleep_until(loads_at) => Event::LoadsDue,
@@ -311,7 +311,7 @@
         sender: &mut FrameSender,
     ) -> Result<bool, LinkError> {
         let fresh = update.fresh;
-        self.gateway.heard_member.send_replace(true);
+        self.gateway.member_contact.send_replace(true);
         if fresh {
             *lock(&self.gateway.fresh_at) = Some(Instant::now());
             self.note_reconnected(member);
@@ -332,7 +332,7 @@
     /// to report and the last report said so.
     async fn report_loads(&mut self, sender: &mut FrameSender) -> Result<(), LinkError> {
         let (loads, outcomes) = (self.gateway.report_loads(), self.gateway.take_outcomes());
-        let keepers = lock(&self.gateway.keepers).take_pending();
+        let keepers = lock(&self.gateway.prefix_holders).take_pending();
         let tallies = self.gateway.take_tallies();
         let no_events = outcomes.is_empty() && keepers.is_empty() && tallies.is_empty();
         if loads.is_empty() && no_events && self.reported_idle {
--- a/src/gateway/target.rs
+++ b/src/gateway/target.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use super::cold::ColdState;
-use super::connection::Idle;
+use super::connection::IdleConnection;
 use super::health::Health;
 use super::slowdown::Slowdown;
 use crate::availability::{Availability, OwnWord, Standing};
@@ -55,7 +55,7 @@
     body_bytes: AtomicUsize,
     /// Connections that are open or being made.
     pub(super) connections: AtomicU32,
-    pub(super) idle: Mutex<Vec<Idle>>,
+    pub(super) idle: Mutex<Vec<IdleConnection>>,
     health: Mutex<Health>,
     cold_state: Mutex<ColdState>,
     /// Failed and answered attempts of this gateway that are not yet reported to a member.
--- a/src/gateway/update_receiver.rs
+++ b/src/gateway/update_receiver.rs
@@ -143,7 +143,7 @@
         }
         if blob.is_large() {
             let id = blob.id();
-            lock(&self.gateway.shelf).insert(blob);
+            lock(&self.gateway.blob_cache).insert(blob);
             sender.send(&ToMember::HasBlob(id)).await?;
         }
         if self.gateway.version() != version {
@@ -226,7 +226,7 @@
             let mut targets = write(&self.gateway.targets);
             targets.set_route_mixes(self.gateway.now(), update.mixes.clone());
         }
-        lock(&self.gateway.keepers).record(self.gateway.now(), &update.prefix_holders);
+        lock(&self.gateway.prefix_holders).record(self.gateway.now(), &update.prefix_holders);
         self.gateway.receive_poison_reports(&update.poison);
         if let Some(evidence) = &update.evidence {
             self.gateway.apply_evidence(evidence);
