--- a/src/router/admission.rs
+++ b/src/router/admission.rs
@@ -10,7 +10,7 @@
 use serde_json::Value;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-use super::answer::Refusal;
+use super::refusal::Refusal;
 use super::{Shared, lock};
 use crate::choice::Key;
 use crate::claims::RequestKey;
@@ -60,7 +60,7 @@
 }
 
 /// A request that was admitted.
-pub(super) struct Work {
+pub(super) struct AdmittedRequest {
     pub(super) kind: Kind,
     pub(super) team: String,
     pub(super) key: Key,
@@ -76,7 +76,7 @@
     pub(super) body: Bytes,
 }
 
-impl Work {
+impl AdmittedRequest {
     /// Hash of what is to be run.
     pub(super) fn digest(&self) -> u64 {
         let seed = xxh3_64(format!("{} {:?}", self.team, self.kind).as_bytes());
@@ -94,7 +94,7 @@
 
 impl Shared {
     /// Admits a chat completion.
-    pub(super) async fn admit_chat(&self, req: &mut Request) -> Result<Work, Refusal> {
+    pub(super) async fn admit_chat(&self, req: &mut Request) -> Result<AdmittedRequest, Refusal> {
         let (team, policy) = self.admit_team(req)?;
         let deadline = self.deadline(req.headers())?;
         let request_key = request_key(req.headers())?;
@@ -114,7 +114,7 @@
             Some(chat) => Key::chat(&team, chat.as_bytes()),
             None => Key::chat(&team, &serde_json::to_vec(opening).unwrap_or_default()),
         };
-        Ok(Work {
+        Ok(AdmittedRequest {
             kind: if chat.stream { Kind::ChatStream } else { Kind::Chat },
             team,
             key,
@@ -134,7 +134,7 @@
         req: &mut Request,
         name: String,
         path: String,
-    ) -> Result<Work, Refusal> {
+    ) -> Result<AdmittedRequest, Refusal> {
         let (team, policy) = self.admit_team(req)?;
         let deadline = self.deadline(req.headers())?;
         let request_key = request_key(req.headers())?;
@@ -143,7 +143,7 @@
             Some(chat) => Key::chat(&team, chat.as_bytes()),
             None => Key(rand::random()),
         };
-        Ok(Work {
+        Ok(AdmittedRequest {
             repeatable: policy.repeatable.services.contains(&name),
             request_key,
             kind: Kind::Service { name, path, method: req.method().clone() },
@@ -160,15 +160,15 @@
     /// The caller's team and what is in force for it, if this router may admit at all.
     fn admit_team(&self, req: &Request) -> Result<(String, Policy), Refusal> {
         if self.stopping.load(std::sync::atomic::Ordering::Acquire) {
-            return Err(Refusal::plain(Reason::Stopping));
+            return Err(Refusal::from_reason(Reason::Stopping));
         }
         if !lock(&self.freshness).holds(self.now()) {
-            return Err(Refusal::plain(Reason::StaleConfig));
+            return Err(Refusal::from_reason(Reason::StaleConfig));
         }
         let team = text_header(req.headers(), TEAM)?
             .ok_or_else(|| bad_request(format!("header {TEAM}: must name the caller's team")))?;
         let policy = self.config().policy(team).cloned();
-        let policy = policy.ok_or_else(|| Refusal::plain(Reason::UnknownTeam))?;
+        let policy = policy.ok_or_else(|| Refusal::from_reason(Reason::UnknownTeam))?;
         Ok((team.to_owned(), policy))
     }
 
@@ -194,7 +194,7 @@
         let timeout = Duration::from_millis(self.settings.body_timeout_ms);
         let body = tokio::time::timeout(timeout, req.payload_with_max_size(limit)).await;
         match body {
-            Err(_) => Err(Refusal::plain(Reason::SlowCaller)),
+            Err(_) => Err(Refusal::from_reason(Reason::SlowCaller)),
             Ok(Ok(body)) => Ok(body.clone()),
             Ok(Err(ParseError::PayloadTooLarge)) => {
                 let message = format!("body: larger than {} KiB", self.settings.max_body_kib);
--- a/src/router/answers.rs
+++ b/src/router/answer_cache.rs
@@ -8,7 +8,7 @@
 use crate::claims::{RequestKey, WINDOW};
 
 /// Most bytes of answers kept.
-const MAX_BYTES: usize = 8 * 1024 * 1024;
+const MAX_TOTAL_BYTES: usize = 8 * 1024 * 1024;
 /// Largest answer that is kept.
 pub(super) const MAX_ANSWER_BYTES: usize = 256 * 1024;
 
@@ -22,15 +22,15 @@
 
 /// Answers within the window of claims, the oldest dropped first where room is short.
 #[derive(Debug, Default)]
-pub(super) struct Answers {
-    kept: BTreeMap<RequestKey, StoredAnswer>,
-    order: VecDeque<(Duration, RequestKey)>,
+pub(super) struct AnswerCache {
+    by_key: BTreeMap<RequestKey, StoredAnswer>,
+    by_age: VecDeque<(Duration, RequestKey)>,
     bytes: usize,
 }
 
-impl Answers {
+impl AnswerCache {
     pub(super) fn get(&self, key: RequestKey) -> Option<StoredAnswer> {
-        self.kept.get(&key).cloned()
+        self.by_key.get(&key).cloned()
     }
 
     pub(super) fn put(&mut self, now: Duration, key: RequestKey, answer: StoredAnswer) {
@@ -38,22 +38,22 @@
             return;
         }
         self.bytes += answer.body.len();
-        if let Some(earlier) = self.kept.insert(key, answer) {
+        if let Some(earlier) = self.by_key.insert(key, answer) {
             self.bytes -= earlier.body.len();
         } else {
-            self.order.push_back((now, key));
+            self.by_age.push_back((now, key));
         }
-        self.make_room(now);
+        self.evict(now);
     }
 
-    fn make_room(&mut self, now: Duration) {
-        while let Some((since, key)) = self.order.front().copied() {
-            if self.bytes <= MAX_BYTES && now < since + WINDOW {
+    fn evict(&mut self, now: Duration) {
+        while let Some((stored_at, key)) = self.by_age.front().copied() {
+            if self.bytes <= MAX_TOTAL_BYTES && now < stored_at + WINDOW {
                 return;
             }
-            self.order.pop_front();
-            if let Some(dropped) = self.kept.remove(&key) {
-                self.bytes -= dropped.body.len();
+            self.by_age.pop_front();
+            if let Some(evicted) = self.by_key.remove(&key) {
+                self.bytes -= evicted.body.len();
             }
         }
     }
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -12,15 +12,15 @@
 use crate::rpc::{ControlClient, ControlError, Group, SyncReply, SyncRequest};
 
 /// How long control may hold an answer while there is nothing new.
-const SYNC_WAIT: Duration = Duration::from_secs(1);
+const SYNC_LONG_POLL: Duration = Duration::from_secs(1);
 /// Longest time for one exchange with control beyond that wait.
-const SYNC_TIMEOUT: Duration = Duration::from_secs(1);
+const SYNC_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
 /// Before asking another member after a failure.
-const SYNC_PAUSE: Duration = Duration::from_millis(100);
+const SYNC_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
 /// Starts both tasks.
 pub(super) fn start(shared: &Arc<Shared>) -> Result<(), RouterError> {
-    let group = Group::new(&shared.settings.control, SYNC_WAIT + SYNC_TIMEOUT)?;
+    let group = Group::new(&shared.settings.control, SYNC_LONG_POLL + SYNC_TIMEOUT_MARGIN)?;
     tokio::spawn(follow_config(shared.clone(), group));
     tokio::spawn(follow_list(shared.clone()));
     Ok(())
@@ -37,7 +37,7 @@
             routers_known: shared.slots.routers_known(),
             group,
             known: shared.config().revision(),
-            wait_ms: SYNC_WAIT.as_millis() as u64,
+            wait_ms: SYNC_LONG_POLL.as_millis() as u64,
             report: shared.report(),
         };
         let sent = json_len(&request);
@@ -49,23 +49,23 @@
                     group = reply.group;
                 }
                 if reply.group == group {
-                    take(&shared, sent_at, reply);
+                    apply_reply(&shared, sent_at, reply);
                 } else {
                     error!(shared.log, "another group answers"; "event" => "foreign_group");
-                    tokio::time::sleep(SYNC_WAIT).await;
+                    tokio::time::sleep(SYNC_LONG_POLL).await;
                 }
             }
             Err(error) => {
                 warn!(shared.log, "no configuration"; "event" => "sync_failed", "error" => %error);
                 members.turn(&error);
-                tokio::time::sleep(SYNC_PAUSE).await;
+                tokio::time::sleep(SYNC_RETRY_PAUSE).await;
             }
         }
     }
 }
 
 /// Puts a reply in force unless it is older than what is.
-fn take(shared: &Shared, sent_at: Duration, reply: SyncReply) {
+fn apply_reply(shared: &Shared, sent_at: Duration, reply: SyncReply) {
     let current = shared.config();
     let revision = reply.delta.revision;
     if revision < current.revision() {
--- a/src/router/forward.rs
+++ b/src/router/forward.rs
@@ -8,11 +8,11 @@
 use salvo::http::StatusCode;
 use slog::info;
 
-use super::admission::{CHAT, DEADLINE, Kind, REQUEST_KEY, TEAM, Work};
-use super::answer::Refusal;
-use super::claim::{Claimed, Granted};
-use super::http::InFlight;
-use super::relay::{Relay, relay};
+use super::admission::{AdmittedRequest, CHAT, DEADLINE, Kind, REQUEST_KEY, TEAM};
+use super::claim::{ClaimOutcome, GrantedClaim};
+use super::http::InFlightGuard;
+use super::refusal::Refusal;
+use super::relay::{Relay, relay_body};
 use super::slot::{Slot, need};
 use super::{Shared, lock};
 use crate::claims::RequestKey;
@@ -37,7 +37,7 @@
 const LEAVING: &str = "x-leaving";
 
 /// Headers between two hops, which no router passes on, and those that are for the router.
-const NOT_PASSED_ON: [&str; 14] = [
+const NOT_FORWARDED: [&str; 14] = [
     "connection",
     "content-length",
     "expect",
@@ -55,7 +55,7 @@
 ];
 
 /// An answer that has begun.
-pub(super) struct Begun {
+pub(super) struct StartedAnswer {
     pub(super) answer: reqwest::Response,
     pub(super) attempt: String,
     pub(super) slot: Slot,
@@ -65,16 +65,17 @@
     /// Sends `work` to a target and starts its answer, or says why not, at once.
     pub(super) async fn forward(
         self: &Arc<Self>,
-        work: Work,
-        in_flight: InFlight,
+        request: AdmittedRequest,
+        in_flight: InFlightGuard,
         res: &mut Response,
     ) -> Result<(), Refusal> {
-        match work.request_key.filter(|_| !work.repeatable) {
-            Some(key) => self.run_once(work, key, in_flight, res).await,
+        match request.request_key.filter(|_| !request.repeatable) {
+            Some(key) => self.run_once(request, key, in_flight, res).await,
             None => {
-                let begun = self.attempts(&work).await;
-                let begun = begun.map_err(|reason| self.refusal(&work, reason))?;
-                self.answer(Relay::new(self.clone(), begun, &work, None, in_flight), res).await
+                let started = self.run_attempts(&request).await;
+                let started = started.map_err(|reason| self.refusal(&request, reason))?;
+                self.send_answer(Relay::new(self.clone(), started, &request, None, in_flight), res)
+                    .await
             }
         }
     }
@@ -82,71 +83,76 @@
     /// Runs a request that must run at most once under its key, or gives its stored answer.
     async fn run_once(
         self: &Arc<Self>,
-        work: Work,
+        request: AdmittedRequest,
         key: RequestKey,
-        in_flight: InFlight,
+        in_flight: InFlightGuard,
         res: &mut Response,
     ) -> Result<(), Refusal> {
-        let granted = match self.claim(&work, key).await? {
-            Claimed::Run(granted) => granted,
-            Claimed::Answered(answer) => {
+        let granted = match self.claim(&request, key).await? {
+            ClaimOutcome::Run(granted) => granted,
+            ClaimOutcome::Answered(answer) => {
                 answer.write(res);
                 return Ok(());
             }
         };
-        if work.kind == Kind::ChatStream {
-            let relay = self.begin_claimed(&work, granted, in_flight).await?;
-            return self.answer(relay, res).await;
+        if request.kind == Kind::ChatStream {
+            let relay = self.start_claimed(&request, granted, in_flight).await?;
+            return self.send_answer(relay, res).await;
         }
         // Goes on when the caller leaves, so that a resent request finds the answer.
         let shared = self.clone();
         let running = tokio::spawn(async move {
-            let relay = shared.begin_claimed(&work, granted, in_flight).await?;
-            relay.finish().await
+            let relay = shared.start_claimed(&request, granted, in_flight).await?;
+            relay.read_to_end().await
         });
-        let answer = running.await.map_err(|_| Refusal::plain(Reason::AnswerLost))??;
+        let answer = running.await.map_err(|_| Refusal::from_reason(Reason::AnswerLost))??;
         answer.write(res);
         Ok(())
     }
 
     /// Starts the answer of a claimed request; gives the claim back when it truly did not run.
-    async fn begin_claimed(
+    async fn start_claimed(
         self: &Arc<Self>,
-        work: &Work,
-        granted: Granted,
-        in_flight: InFlight,
+        request: &AdmittedRequest,
+        granted: GrantedClaim,
+        in_flight: InFlightGuard,
     ) -> Result<Relay, Refusal> {
-        match self.attempts(work).await {
-            Ok(begun) => Ok(Relay::new(self.clone(), begun, work, Some(granted.key), in_flight)),
+        match self.run_attempts(request).await {
+            Ok(started) => {
+                Ok(Relay::new(self.clone(), started, request, Some(granted.key), in_flight))
+            }
             Err(reason) => {
                 if reason.outcome() == Outcome::NotRun {
-                    self.give_back(granted);
+                    self.release_claim(granted);
                 }
-                Err(self.refusal(work, reason))
+                Err(self.refusal(request, reason))
             }
         }
     }
 
     /// The refusal of a request that was given up on; where targets rest it tells when the first can be asked.
-    fn refusal(&self, work: &Work, reason: Reason) -> Refusal {
-        let wait = (reason == Reason::Resting).then(|| self.rest_left(work)).flatten();
-        Refusal::plain(reason).coming_back_in(wait)
+    fn refusal(&self, request: &AdmittedRequest, reason: Reason) -> Refusal {
+        let wait = (reason == Reason::Resting).then(|| self.backoff_left(request)).flatten();
+        Refusal::from_reason(reason).with_retry_after(wait)
     }
 
-    pub(super) fn rest_left(&self, work: &Work) -> Option<Duration> {
+    pub(super) fn backoff_left(&self, request: &AdmittedRequest) -> Option<Duration> {
         let config = self.config();
-        lock(&self.targets).rest_left(self.now(), need(work), |name| config.closed(name))
+        lock(&self.targets).rest_left(self.now(), need(request), |name| config.closed(name))
     }
 
     /// Tries until an answer begins or the request is given up on.
-    async fn attempts(self: &Arc<Self>, work: &Work) -> Result<Begun, Reason> {
-        let mut attempts = Attempts::new(work.repeatable, work.deadline);
+    async fn run_attempts(
+        self: &Arc<Self>,
+        request: &AdmittedRequest,
+    ) -> Result<StartedAnswer, Reason> {
+        let mut attempts = Attempts::new(request.repeatable, request.deadline);
         let mut tried = Vec::new();
         loop {
-            let reason = match self.attempt(work, &mut tried).await {
-                Ok(begun) => {
+            let reason = match self.try_target(request, &mut tried).await {
+                Ok(started) => {
                     lock(&self.budget).earn();
-                    return Ok(begun);
+                    return Ok(started);
                 }
                 Err(reason) => reason,
             };
@@ -165,13 +171,17 @@
     }
 
     /// Hands the caller an answer that has begun.
-    async fn answer(self: &Arc<Self>, relayed: Relay, res: &mut Response) -> Result<(), Refusal> {
-        let status = relayed.status();
-        let headers = relayed.headers();
-        relay(relayed, res).await?;
+    async fn send_answer(
+        self: &Arc<Self>,
+        relay: Relay,
+        res: &mut Response,
+    ) -> Result<(), Refusal> {
+        let status = relay.status();
+        let headers = relay.headers();
+        relay_body(relay, res).await?;
         res.status_code(StatusCode::from_u16(status).unwrap_or(StatusCode::BAD_GATEWAY));
         for (name, value) in &headers {
-            if passed_on(name) {
+            if is_forwarded(name) {
                 res.headers_mut().append(name.clone(), value.clone());
             }
         }
@@ -179,68 +189,68 @@
     }
 
     /// One attempt: chooses a target and waits until its answer begins.
-    async fn attempt(
+    async fn try_target(
         self: &Arc<Self>,
-        work: &Work,
+        request: &AdmittedRequest,
         tried: &mut Vec<String>,
-    ) -> Result<Begun, Reason> {
+    ) -> Result<StartedAnswer, Reason> {
         let now = self.now();
-        if now >= work.deadline {
+        if now >= request.deadline {
             return Err(Reason::DeadlinePassed);
         }
-        let slot = self.wait_for_slot(work, tried).await?;
+        let slot = self.wait_for_slot(request, tried).await?;
         let now = self.now();
-        if now >= work.deadline {
+        if now >= request.deadline {
             return Err(Reason::DeadlinePassed);
         }
         tried.push(slot.target.name.clone());
         let attempt = format!("{:032x}", rand::random::<u128>());
-        let request = self.request(work, &slot.target, &attempt, work.deadline - now);
-        let sent = tokio::time::timeout(work.deadline - now, request.send()).await;
+        let outgoing = self.target_request(request, &slot.target, &attempt, request.deadline - now);
+        let sent = tokio::time::timeout(request.deadline - now, outgoing.send()).await;
         let name = &slot.target.name;
         let answer = match sent {
             Err(_) => return Err(Reason::AnswerLate),
             Ok(Err(error)) => {
                 lock(&self.targets).failed(self.now(), name);
-                return Err(unsent_or_lost(&error));
+                return Err(send_error_reason(&error));
             }
             Ok(Ok(answer)) => answer,
         };
-        self.check(&answer, &attempt, &slot.target)?;
+        self.check_answer(&answer, &attempt, &slot.target)?;
         lock(&self.targets).succeeded(self.now(), name);
-        Ok(Begun { answer, attempt, slot })
+        Ok(StartedAnswer { answer, attempt, slot })
     }
 
-    fn request(
+    fn target_request(
         &self,
-        work: &Work,
+        request: &AdmittedRequest,
         target: &Choice,
         attempt: &str,
-        left: Duration,
+        remaining: Duration,
     ) -> reqwest::RequestBuilder {
         let base = target.url.trim_end_matches('/');
-        let request = match &work.kind {
+        let outgoing = match &request.kind {
             Kind::Chat | Kind::ChatStream => self
                 .http
                 .post(format!("{base}/v1/chat/completions"))
                 .header("content-type", "application/json")
-                .header(ADAPTER, &work.policy.spec.adapter)
-                .header(VERSION, &work.policy.spec.version),
+                .header(ADAPTER, &request.policy.spec.adapter)
+                .header(VERSION, &request.policy.spec.version),
             Kind::Service { path, method, .. } => self
                 .http
                 .request(method.clone(), format!("{base}{path}"))
-                .headers(service_headers(&work.headers)),
+                .headers(service_headers(&request.headers)),
         };
-        request
+        outgoing
             .header(ATTEMPT, attempt)
-            .header(PRIORITY, work.policy.priority.to_string())
-            .header(TIME_LEFT, left.as_millis().to_string())
-            .header(TEAM, &work.team)
-            .body(work.body.clone())
+            .header(PRIORITY, request.policy.priority.to_string())
+            .header(TIME_LEFT, remaining.as_millis().to_string())
+            .header(TEAM, &request.team)
+            .body(request.body.clone())
     }
 
     /// Whether the answer is of this attempt, and not a refusal of the target.
-    fn check(
+    fn check_answer(
         &self,
         answer: &reqwest::Response,
         attempt: &str,
@@ -251,14 +261,14 @@
             lock(&self.targets).failed(self.now(), &target.name);
             return Err(Reason::WrongAnswer);
         }
-        if let Some(incarnation) = number(headers, LEAVING) {
+        if let Some(incarnation) = number_header(headers, LEAVING) {
             lock(&self.targets).leave(&target.name, incarnation);
         }
-        if let Some(rest) = RetryAfter::of_refusal(answer.status(), headers) {
-            lock(&self.targets).rest(self.now(), target, rest);
-            self.metrics.rests.inc();
+        if let Some(backoff) = RetryAfter::of_refusal(answer.status(), headers) {
+            lock(&self.targets).rest(self.now(), target, backoff);
+            self.metrics.backoffs.inc();
             info!(self.log, "target asks for rest"; "event" => "target_rests",
-                "target" => &target.name, "rest" => ?rest);
+                "target" => &target.name, "rest" => ?backoff);
         }
         if headers.contains_key(NOT_RUN) {
             return Err(Reason::TargetRefused);
@@ -268,22 +278,23 @@
 }
 
 /// A request whose connection was never made has not run; any other may have.
-fn unsent_or_lost(error: &reqwest::Error) -> Reason {
+fn send_error_reason(error: &reqwest::Error) -> Reason {
     if error.is_connect() { Reason::ConnectFailed } else { Reason::AnswerLost }
 }
 
-fn number(headers: &HeaderMap, name: &str) -> Option<u64> {
+fn number_header(headers: &HeaderMap, name: &str) -> Option<u64> {
     headers.get(name)?.to_str().ok()?.parse().ok()
 }
 
-fn passed_on(name: &HeaderName) -> bool {
-    !NOT_PASSED_ON.contains(&name.as_str())
+fn is_forwarded(name: &HeaderName) -> bool {
+    !NOT_FORWARDED.contains(&name.as_str())
 }
 
 fn service_headers(from: &HeaderMap) -> HeaderMap {
-    let passed = from.iter().filter(|(name, _)| passed_on(name) && *name != CHAT && *name != TEAM);
+    let forwarded =
+        from.iter().filter(|(name, _)| is_forwarded(name) && *name != CHAT && *name != TEAM);
     let mut headers = HeaderMap::new();
-    for (name, value) in passed {
+    for (name, value) in forwarded {
         headers.append(name.clone(), HeaderValue::clone(value));
     }
     headers
--- a/src/router/http.rs
+++ b/src/router/http.rs
@@ -15,10 +15,10 @@
 use subtle::ConstantTimeEq;
 use tokio::net::TcpSocket;
 
-use super::admission::Work;
-use super::answer::Refusal;
-use super::claim::{KEY_HEADER, STORED_STATUS};
+use super::admission::AdmittedRequest;
+use super::claim::{PARTNER_KEY_HEADER, STORED_STATUS_HEADER};
 use super::metrics::Metrics;
+use super::refusal::Refusal;
 use super::{Shared, lock};
 use crate::claims::RequestKey;
 use crate::reason::Reason;
@@ -29,7 +29,7 @@
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Connections that wait to be accepted.
-const BACKLOG: u32 = 1_024;
+const ACCEPT_BACKLOG: u32 = 1_024;
 
 /// Listens at `addr`; pieces of a stream leave at once, without waiting for an acknowledgement.
 pub(super) fn listen(addr: SocketAddr) -> io::Result<TcpAcceptor> {
@@ -41,7 +41,7 @@
     // Accepted connections take this over from the listening socket.
     socket.set_nodelay(true)?;
     socket.bind(addr)?;
-    socket.listen(BACKLOG)?.try_into()
+    socket.listen(ACCEPT_BACKLOG)?.try_into()
 }
 
 /// The server with its limits on connections, headers and slow callers.
@@ -54,44 +54,44 @@
 
 /// The routes.
 pub(super) fn routes(shared: &Arc<Shared>) -> salvo::Router {
-    let handler = |call| Endpoint { shared: shared.clone(), call };
+    let handler = |route| Endpoint { shared: shared.clone(), route };
     salvo::Router::new()
-        .push(salvo::Router::with_path("healthz").get(handler(Call::Health)))
-        .push(salvo::Router::with_path("internal/answers/{key}").get(handler(Call::Answer)))
-        .push(salvo::Router::with_path("metrics").get(handler(Call::Metrics)))
-        .push(salvo::Router::with_path("v1/chat/completions").post(handler(Call::Chat)))
-        .push(salvo::Router::with_path("services/{name}/{**path}").goal(handler(Call::Service)))
+        .push(salvo::Router::with_path("healthz").get(handler(Route::Health)))
+        .push(salvo::Router::with_path("internal/answers/{key}").get(handler(Route::StoredAnswer)))
+        .push(salvo::Router::with_path("metrics").get(handler(Route::Metrics)))
+        .push(salvo::Router::with_path("v1/chat/completions").post(handler(Route::Chat)))
+        .push(salvo::Router::with_path("services/{name}/{**path}").goal(handler(Route::Service)))
 }
 
-enum Call {
+enum Route {
     Health,
     Metrics,
     Chat,
     Service,
-    Answer,
+    StoredAnswer,
 }
 
 struct Endpoint {
     shared: Arc<Shared>,
-    call: Call,
+    route: Route,
 }
 
 #[async_trait]
 impl Handler for Endpoint {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
-        match self.call {
-            Call::Health => self.health(res),
-            Call::Metrics => self.metrics(res),
-            Call::Answer => self.stored_answer(req, res),
-            Call::Chat => {
-                let work = self.shared.admit_chat(req).await;
-                self.answer(work, res).await;
+        match self.route {
+            Route::Health => self.health(res),
+            Route::Metrics => self.metrics(res),
+            Route::StoredAnswer => self.stored_answer(req, res),
+            Route::Chat => {
+                let admitted = self.shared.admit_chat(req).await;
+                self.respond(admitted, res).await;
             }
-            Call::Service => {
+            Route::Service => {
                 let name = req.param::<String>("name").unwrap_or_default();
                 let path = service_path(req);
-                let work = self.shared.admit_service(req, name, path).await;
-                self.answer(work, res).await;
+                let admitted = self.shared.admit_service(req, name, path).await;
+                self.respond(admitted, res).await;
             }
         }
     }
@@ -103,7 +103,7 @@
             Ok(()) => {
                 res.body(ResBody::Once("ok\n".into()));
             }
-            Err(reason) => Refusal::plain(reason).write(res),
+            Err(reason) => Refusal::from_reason(reason).write(res),
         }
     }
 
@@ -115,25 +115,26 @@
 
     /// The stored answer of a claimed request, for another router of the partner.
     fn stored_answer(&self, req: &Request, res: &mut Response) {
-        let shown = req.headers().get(KEY_HEADER).map_or(&[][..], HeaderValue::as_bytes);
-        let trusted: bool = shown.ct_eq(self.shared.key.as_bytes()).into();
+        let presented =
+            req.headers().get(PARTNER_KEY_HEADER).map_or(&[][..], HeaderValue::as_bytes);
+        let trusted: bool = presented.ct_eq(self.shared.key.as_bytes()).into();
         let key = req.param::<String>("key").unwrap_or_default();
         let key = u128::from_str_radix(&key, 16).ok().filter(|_| trusted);
-        let answer = key.and_then(|key| lock(&self.shared.answers).get(RequestKey(key)));
+        let answer = key.and_then(|key| lock(&self.shared.answer_cache).get(RequestKey(key)));
         let Some(mut answer) = answer else {
             res.status_code(StatusCode::NOT_FOUND);
             return;
         };
-        res.headers_mut().insert(STORED_STATUS, HeaderValue::from(answer.status));
+        res.headers_mut().insert(STORED_STATUS_HEADER, HeaderValue::from(answer.status));
         answer.status = StatusCode::OK.as_u16();
         answer.write(res);
     }
 
-    async fn answer(&self, work: Result<Work, Refusal>, res: &mut Response) {
-        let answered = match work {
-            Ok(work) => {
-                let guard = InFlight::new(self.shared.clone(), &work);
-                self.shared.forward(work, guard, res).await
+    async fn respond(&self, admitted: Result<AdmittedRequest, Refusal>, res: &mut Response) {
+        let answered = match admitted {
+            Ok(request) => {
+                let guard = InFlightGuard::new(self.shared.clone(), &request);
+                self.shared.forward(request, guard, res).await
             }
             Err(refusal) => Err(refusal),
         };
@@ -166,24 +167,24 @@
 }
 
 /// Counts a request as in flight until its answer has ended.
-pub(super) struct InFlight {
+pub(super) struct InFlightGuard {
     shared: Arc<Shared>,
     team: String,
 }
 
-impl InFlight {
-    fn new(shared: Arc<Shared>, work: &Work) -> Self {
+impl InFlightGuard {
+    fn new(shared: Arc<Shared>, request: &AdmittedRequest) -> Self {
         shared.in_flight.fetch_add(1, Ordering::AcqRel);
         shared.admitted.fetch_add(1, Ordering::Relaxed);
         let metrics: &Metrics = &shared.metrics;
-        metrics.requests.with_label_values(&[work.kind.label()]).inc();
-        metrics.in_flight_team.with_label_values(&[&work.team]).inc();
-        let team = work.team.clone();
-        InFlight { shared, team }
+        metrics.requests.with_label_values(&[request.kind.label()]).inc();
+        metrics.in_flight_team.with_label_values(&[&request.team]).inc();
+        let team = request.team.clone();
+        InFlightGuard { shared, team }
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let count: &AtomicUsize = &self.shared.in_flight;
         count.fetch_sub(1, Ordering::AcqRel);
--- a/src/router/metrics.rs
+++ b/src/router/metrics.rs
@@ -23,7 +23,7 @@
     /// Further attempts, by the reason that the one before failed for.
     pub retries: IntCounterVec,
     /// Answers by which targets that turned a request away asked for rest.
-    pub rests: IntCounter,
+    pub backoffs: IntCounter,
     /// Streams taken up again after a break, by how that went.
     pub resumes: IntCounterVec,
     /// Requests in flight, by target.
@@ -61,7 +61,7 @@
                 "Further attempts, by the reason that the one before failed for.",
                 &["reason"],
             )?,
-            rests: set.counter(
+            backoffs: set.counter(
                 "latchmount_rests_asked_total",
                 "Answers of targets that turned a request away and want nothing more for a while.",
             )?,
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,13 +1,13 @@
 //! A router: takes callers' requests and gives each to a target.
 
 mod admission;
-mod answer;
-mod answers;
+mod answer_cache;
 mod claim;
 mod feed;
 mod forward;
 mod http;
 pub mod metrics;
+mod refusal;
 mod relay;
 mod slot;
 mod slots;
@@ -36,12 +36,12 @@
 use crate::store::Config;
 use crate::targets::Targets;
 
-use self::answers::Answers;
+use self::answer_cache::AnswerCache;
 use self::metrics::Metrics;
 use self::slots::{SlotCounters, Slots};
 
 /// Between two looks at the requests in flight during a planned stop.
-const STOP_STEP: Duration = Duration::from_millis(20);
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Least time for connections to close after the last request has ended.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
@@ -81,23 +81,23 @@
     slots: Slots,
     budget: Mutex<Budget>,
     queue: Mutex<Queue<oneshot::Sender<()>>>,
-    silent_lines: Mutex<Sampler>,
+    unresponsive_owner_log: Mutex<Sampler>,
     /// Base URL at which other routers reach this one.
     url: String,
     claim_members: Mutex<Group>,
-    answers: Mutex<Answers>,
+    answer_cache: Mutex<AnswerCache>,
     metrics: Metrics,
     admitted: AtomicU64,
     in_flight: AtomicUsize,
     /// Health fails from here on.
-    leaving: AtomicBool,
+    health_failing: AtomicBool,
     /// New work is refused from here on.
     stopping: AtomicBool,
     log: Logger,
 }
 
 /// Stands in where the settings, which are checked before, name no address.
-fn any_port() -> SocketAddr {
+fn placeholder_addr() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
 
@@ -112,7 +112,7 @@
         log: &Logger,
     ) -> Result<Self, RouterError> {
         let metrics = Metrics::new()?;
-        let addr = router.listen.unwrap_or_else(any_port);
+        let addr = router.listen.unwrap_or_else(placeholder_addr);
         let started = Instant::now();
         let counters = SlotCounters {
             sent_bytes: metrics.control_bytes.with_label_values(&["sent", "slots"]),
@@ -142,18 +142,18 @@
             slots,
             budget: Mutex::new(Budget::new(router.retry_percent)),
             queue: Mutex::new(Queue::new(router.queue_len)),
-            silent_lines: Mutex::default(),
+            unresponsive_owner_log: Mutex::default(),
             url: router
                 .advertise
                 .or(router.listen)
                 .map(|addr| format!("http://{addr}"))
                 .unwrap_or_default(),
-            claim_members: Mutex::new(Group::new(&router.control, claim::CALL_TIMEOUT)?),
-            answers: Mutex::default(),
+            claim_members: Mutex::new(Group::new(&router.control, claim::CONTROL_CALL_TIMEOUT)?),
+            answer_cache: Mutex::default(),
             metrics,
             admitted: AtomicU64::new(0),
             in_flight: AtomicUsize::new(0),
-            leaving: AtomicBool::new(false),
+            health_failing: AtomicBool::new(false),
             stopping: AtomicBool::new(false),
             log: log.new(o!("role" => "router")),
         })
@@ -177,7 +177,7 @@
 
     /// Whether a balancer should send callers here, and why not.
     fn health(&self) -> Result<(), Reason> {
-        if self.leaving.load(Ordering::Acquire) {
+        if self.health_failing.load(Ordering::Acquire) {
             return Err(Reason::Stopping);
         }
         if !lock(&self.freshness).holds(self.now()) {
@@ -227,7 +227,7 @@
         log: &Logger,
     ) -> Result<Self, RouterError> {
         let shared = Arc::new(Shared::new(settings, router, log)?);
-        let addr = router.listen.unwrap_or_else(any_port);
+        let addr = router.listen.unwrap_or_else(placeholder_addr);
         let listening = http::listen(addr);
         let acceptor = listening.map_err(|source| RouterError::Listen { addr, source })?;
         let local = acceptor.holdings().first().map(|holding| holding.local_addr.to_string());
@@ -246,22 +246,22 @@
     pub async fn stop(self) -> usize {
         let shared = &self.shared;
         info!(shared.log, "health fails"; "event" => "stop_notice");
-        shared.leaving.store(true, Ordering::Release);
+        shared.health_failing.store(true, Ordering::Release);
         tokio::time::sleep(Duration::from_millis(shared.settings.stop_notice_ms)).await;
         shared.stopping.store(true, Ordering::Release);
         info!(shared.log, "new work is refused"; "event" => "stopping");
         let deadline = shared.now() + Duration::from_millis(shared.settings.stop_timeout_ms);
         while shared.in_flight.load(Ordering::Acquire) > 0 && shared.now() < deadline {
-            tokio::time::sleep(STOP_STEP).await;
+            tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
         let cut = shared.in_flight.load(Ordering::Acquire);
         if cut > 0 {
             warn!(shared.log, "requests cut off"; "event" => "stop_timeout", "in_flight" => cut);
         }
         // Answers that have left the router may still be on their way to slow callers.
-        let left = deadline.saturating_sub(shared.now()).max(CLOSE_TIMEOUT);
-        self.server.stop_graceful(left);
-        if tokio::time::timeout(left + CLOSE_TIMEOUT, self.serving).await.is_err() {
+        let remaining = deadline.saturating_sub(shared.now()).max(CLOSE_TIMEOUT);
+        self.server.stop_graceful(remaining);
+        if tokio::time::timeout(remaining + CLOSE_TIMEOUT, self.serving).await.is_err() {
             warn!(shared.log, "connections cut off"; "event" => "close_timeout");
         }
         info!(shared.log, "router stopped"; "event" => "stopped");
--- a/src/router/answer.rs
+++ b/src/router/refusal.rs
@@ -43,12 +43,12 @@
     }
 
     /// A refusal whose reason says it all.
-    pub(super) fn plain(reason: Reason) -> Self {
+    pub(super) fn from_reason(reason: Reason) -> Self {
         Refusal::new(reason, reason.explain())
     }
 
     /// The same where it is known when trying again makes sense.
-    pub(super) fn coming_back_in(self, wait: Option<Duration>) -> Self {
+    pub(super) fn with_retry_after(self, wait: Option<Duration>) -> Self {
         Refusal { retry_after: wait.or(self.retry_after), ..self }
     }
 
--- a/src/router/slots.rs
+++ b/src/router/slots.rs
@@ -23,14 +23,14 @@
 };
 
 /// Between two statements to every owner.
-pub(super) const STATE_EVERY: Duration = Duration::from_secs(2);
+pub(super) const STATEMENT_INTERVAL: Duration = Duration::from_secs(2);
 /// How long after a change of the live routers or targets statements come more often.
-const UNSETTLED: Duration = Duration::from_secs(2);
+const VIEW_CHANGE_WINDOW: Duration = Duration::from_secs(2);
 const TAG_BYTES: usize = 8;
 
 /// A router's part in granting slots, with the socket.
 pub(super) struct Slots {
-    me: Peer,
+    local: Peer,
     key: String,
     started: Instant,
     /// Shared with the thread that receives.
@@ -39,7 +39,7 @@
     counters: SlotCounters,
     state: std::sync::Mutex<State>,
     /// Wakes the task that sends again, when something is due sooner than it knows.
-    pub(super) due_sooner: Notify,
+    pub(super) due_earlier: Notify,
 }
 
 /// What is counted of asks for slots.
@@ -60,13 +60,13 @@
     /// What is on its way to each owner.
     rounds: BTreeMap<RouterId, Rounds>,
     /// When each owner answered last.
-    heard_at: BTreeMap<RouterId, Duration>,
+    answered_at: BTreeMap<RouterId, Duration>,
     /// When the task that sends again looks next.
-    look_at: Option<Duration>,
-    changed_at: Duration,
+    next_send_at: Option<Duration>,
+    view_changed_at: Duration,
 }
 
-fn id(host: &str) -> RouterId {
+fn router_id(host: &str) -> RouterId {
     RouterId(NameHash::new(host).0)
 }
 
@@ -82,25 +82,26 @@
     ) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(addr)?;
         socket.set_nonblocking(true)?;
-        let me = Peer { router: id(host), incarnation: started.since_boot().as_nanos() as u64 };
+        let local =
+            Peer { router: router_id(host), incarnation: started.since_boot().as_nanos() as u64 };
         let state = State {
-            table: Table::new(me),
+            table: Table::new(local),
             routers: LiveRouters::default(),
             addrs: BTreeMap::new(),
             waiting: BTreeMap::new(),
             rounds: BTreeMap::new(),
-            heard_at: BTreeMap::new(),
-            look_at: None,
-            changed_at: Duration::ZERO,
+            answered_at: BTreeMap::new(),
+            next_send_at: None,
+            view_changed_at: Duration::ZERO,
         };
         Ok(Slots {
-            me,
+            local,
             key: key.to_owned(),
             started,
             socket,
             bounds,
             counters,
-            due_sooner: Notify::new(),
+            due_earlier: Notify::new(),
             state: std::sync::Mutex::new(state),
         })
     }
@@ -128,15 +129,15 @@
             return;
         }
         if let Some(routers) = routers {
-            state.addrs = routers.0.iter().map(|(host, addr)| (id(host), *addr)).collect();
+            state.addrs = routers.0.iter().map(|(host, addr)| (router_id(host), *addr)).collect();
             state.routers = routers;
         }
         let live = state.addrs.keys().copied().collect();
         if state.table.set_view(&live, pools) {
-            state.changed_at = now;
+            state.view_changed_at = now;
             // Other owners may grant from here on; what was asked is asked anew.
             state.rounds.clear();
-            state.heard_at.clear();
+            state.answered_at.clear();
             for (_, asker) in std::mem::take(&mut state.waiting) {
                 let _ = asker.send(Decision::Undecided);
             }
@@ -151,18 +152,18 @@
         &self,
         now: Duration,
         ask: Ask,
-        longest: Duration,
+        owner_timeout: Duration,
         deadline: Duration,
     ) -> Option<Decision> {
         let answered = match self.begin_ask(now, ask) {
             Ok(decided) => Some(decided),
             Err(mut pending) => {
                 let left = deadline.saturating_sub(now);
-                let answer = self.await_answer(&mut pending, now, longest);
+                let answer = self.await_answer(&mut pending, now, owner_timeout);
                 tokio::time::timeout(left, answer).await.ok().flatten()
             }
         };
-        let outcome = answered.map_or("silent", label);
+        let outcome = answered.map_or("silent", outcome_label);
         self.counters.asks.with_label_values(&[outcome]).inc();
         answered
     }
@@ -170,23 +171,24 @@
     /// Waits for the answer to an ask as long as its owner answers others.
     async fn await_answer(
         &self,
-        pending: &mut Pending<'_>,
+        pending: &mut PendingAsk<'_>,
         asked_at: Duration,
-        longest: Duration,
+        owner_timeout: Duration,
     ) -> Option<Decision> {
-        let mut silent_since = asked_at;
+        let mut unresponsive_since = asked_at;
         loop {
-            let left = (silent_since + longest).saturating_sub(self.now());
+            let left = (unresponsive_since + owner_timeout).saturating_sub(self.now());
             if let Ok(answered) = tokio::time::timeout(left, &mut pending.answer).await {
                 return answered.ok();
             }
-            let heard_at = lock(&self.state).heard_at.get(&pending.to).copied();
-            silent_since = heard_at.filter(|heard_at| *heard_at > silent_since)?;
+            let answered_at = lock(&self.state).answered_at.get(&pending.to).copied();
+            unresponsive_since =
+                answered_at.filter(|answered_at| *answered_at > unresponsive_since)?;
         }
     }
 
     /// Decides at once for a target owned here, else sends the ask to its owner.
-    fn begin_ask(&self, now: Duration, ask: Ask) -> Result<Decision, Pending<'_>> {
+    fn begin_ask(&self, now: Duration, ask: Ask) -> Result<Decision, PendingAsk<'_>> {
         let mut state = lock(&self.state);
         let (to, ticket, ask) = match state.table.ask(now, ask, &self.bounds) {
             Asked::Decided(decision) => return Ok(decision),
@@ -197,7 +199,7 @@
         state.rounds.entry(to).or_default().ask(ask);
         drop(state);
         self.send_due(now, to);
-        Err(Pending { slots: self, to, ticket, answer })
+        Err(PendingAsk { slots: self, to, ticket, answer })
     }
 
     /// Gives a slot back.
@@ -219,9 +221,9 @@
             return;
         };
         let mut state = lock(&self.state);
-        if state.look_at.is_none_or(|look_at| due_at < look_at) {
-            state.look_at = Some(due_at);
-            self.due_sooner.notify_one();
+        if state.next_send_at.is_none_or(|next_send_at| due_at < next_send_at) {
+            state.next_send_at = Some(due_at);
+            self.due_earlier.notify_one();
         }
     }
 
@@ -243,7 +245,7 @@
     pub(super) fn send_all_due(&self, now: Duration) -> Option<Duration> {
         let owners: Vec<RouterId> = lock(&self.state).rounds.keys().copied().collect();
         let next = owners.into_iter().filter_map(|to| self.send_due_now(now, to)).min();
-        lock(&self.state).look_at = next;
+        lock(&self.state).next_send_at = next;
         next
     }
 
@@ -259,7 +261,7 @@
         let Some(addr) = addr else {
             return;
         };
-        let datagram = Datagram { from: self.me, to: incarnation, messages };
+        let datagram = Datagram { from: self.local, to: incarnation, messages };
         let Ok(payload) = postcard::to_stdvec(&datagram) else {
             return;
         };
@@ -279,20 +281,20 @@
 
     /// States what is held: to every owner when that is due, else to those that have not stated what they hold. Tells
     /// whether all is settled. `all_at` is when every owner was last told.
-    pub(super) fn state(&self, now: Duration, all_at: &mut Duration) -> bool {
-        let (due, settled) = {
+    pub(super) fn send_statements(&self, now: Duration, last_full: &mut Duration) -> bool {
+        let (due, stable) = {
             let mut state = lock(&self.state);
-            let changed_lately = now <= state.changed_at + UNSETTLED;
-            let due = if changed_lately || now >= *all_at + STATE_EVERY {
-                *all_at = now;
+            let recently_changed = now <= state.view_changed_at + VIEW_CHANGE_WINDOW;
+            let due = if recently_changed || now >= *last_full + STATEMENT_INTERVAL {
+                *last_full = now;
                 state.table.statements()
             } else {
                 state.table.statements_to_unheard()
             };
-            (due, !changed_lately && state.table.knows_all())
+            (due, !recently_changed && state.table.knows_all())
         };
         due.into_iter().for_each(|(to, message)| self.send(to, vec![message]));
-        settled
+        stable
     }
 
     /// Handles one datagram; one that this partner's key did not tag is dropped.
@@ -316,7 +318,7 @@
                         rounds.lost();
                     }
                     answer.map_or_else(
-                        || self.take_all(&mut state, now, &datagram),
+                        || self.handle_all(&mut state, now, &datagram),
                         |answer| vec![answer],
                     )
                 }
@@ -328,13 +330,13 @@
         self.send_due(now, from);
     }
 
-    fn take_all(&self, state: &mut State, now: Duration, datagram: &Datagram) -> Vec<Message> {
+    fn handle_all(&self, state: &mut State, now: Duration, datagram: &Datagram) -> Vec<Message> {
         let (from, messages) = (datagram.from.router, datagram.messages.iter());
-        messages.filter_map(|message| self.take(state, now, from, message)).collect()
+        messages.filter_map(|message| self.handle(state, now, from, message)).collect()
     }
 
     /// Takes one message; returns what to answer.
-    fn take(
+    fn handle(
         &self,
         state: &mut State,
         now: Duration,
@@ -344,7 +346,7 @@
         let Message::Answer { ticket, verdict } = *message else {
             return state.table.receive(now, from, message, &self.bounds);
         };
-        state.heard_at.insert(from, now);
+        state.answered_at.insert(from, now);
         // Decided here, so that a slot granted to an ask given up meanwhile is not held.
         let decision = state.table.answered(from, ticket, verdict);
         if let Some(rounds) = state.rounds.get_mut(&from) {
@@ -357,7 +359,7 @@
     }
 }
 
-fn label(decision: Decision) -> &'static str {
+fn outcome_label(decision: Decision) -> &'static str {
     match decision {
         Decision::Granted(_) => "granted",
         Decision::Full => "full",
@@ -366,14 +368,14 @@
 }
 
 /// An ask under way, whose caller may leave at any time.
-struct Pending<'a> {
+struct PendingAsk<'a> {
     slots: &'a Slots,
     to: RouterId,
     ticket: Ticket,
     answer: oneshot::Receiver<Decision>,
 }
 
-impl Drop for Pending<'_> {
+impl Drop for PendingAsk<'_> {
     /// Gives up an ask without an answer, and gives back a slot that no one has taken.
     fn drop(&mut self) {
         let mut state = lock(&self.slots.state);
--- a/src/router/slots_thread.rs
+++ b/src/router/slots_thread.rs
@@ -6,13 +6,13 @@
 use slog::warn;
 
 use super::Shared;
-use super::slots::STATE_EVERY;
+use super::slots::STATEMENT_INTERVAL;
 
 /// Between two statements while not all is settled.
-const STATE_UNSETTLED: Duration = Duration::from_millis(200);
-const MAX_DATAGRAM: usize = 64 * 1024;
+const UNSTABLE_STATEMENT_INTERVAL: Duration = Duration::from_millis(200);
+const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
 /// Pause after the socket failed.
-const SOCKET_PAUSE: Duration = Duration::from_millis(50);
+const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(50);
 /// Receives and sends datagrams for ever, on a thread of its own: an owner that is busy with requests of its own callers
 /// would keep those of all others waiting.
 ///
@@ -28,7 +28,7 @@
     let shared = shared.clone();
     let run = move || {
         let tasks = async {
-            tokio::join!(receive(&shared, &socket), resend(&shared), state(&shared));
+            tokio::join!(receive(&shared, &socket), resend(&shared), send_statements(&shared));
         };
         runtime.block_on(tasks);
     };
@@ -38,7 +38,7 @@
 
 /// Receives datagrams for ever.
 async fn receive(shared: &Shared, socket: &tokio::net::UdpSocket) {
-    let mut datagram = vec![0; MAX_DATAGRAM];
+    let mut datagram = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         match socket.recv_from(&mut datagram).await {
             Ok((len, _)) => {
@@ -47,7 +47,7 @@
             }
             Err(error) => {
                 warn!(shared.log, "datagram lost"; "event" => "slots_failed", "error" => %error);
-                tokio::time::sleep(SOCKET_PAUSE).await;
+                tokio::time::sleep(SOCKET_ERROR_PAUSE).await;
             }
         }
     }
@@ -58,19 +58,20 @@
     loop {
         let now = shared.now();
         let next = shared.slots.send_all_due(now);
-        let wait = next.map_or(STATE_EVERY, |next| next.saturating_sub(now));
+        let wait = next.map_or(STATEMENT_INTERVAL, |next| next.saturating_sub(now));
         tokio::select! {
-            () = shared.slots.due_sooner.notified() => {}
+            () = shared.slots.due_earlier.notified() => {}
             () = tokio::time::sleep(wait) => {}
         }
     }
 }
 
 /// States what is held to every owner, for ever.
-async fn state(shared: &Shared) {
-    let mut all_at = Duration::ZERO;
+async fn send_statements(shared: &Shared) {
+    let mut last_full = Duration::ZERO;
     loop {
-        let settled = shared.slots.state(shared.now(), &mut all_at);
-        tokio::time::sleep(if settled { STATE_EVERY } else { STATE_UNSETTLED }).await;
+        let stable = shared.slots.send_statements(shared.now(), &mut last_full);
+        tokio::time::sleep(if stable { STATEMENT_INTERVAL } else { UNSTABLE_STATEMENT_INTERVAL })
+            .await;
     }
 }
