--- a/src/router/admission.rs
+++ b/src/router/admission.rs
@@ -1,4 +1,4 @@
-//! Admission: from a caller's headers and body to a request that the router may forward.
+//! Admission: checks a client's headers and body and builds the request that the router may forward.
 
 use std::time::Duration;
 
@@ -17,39 +17,42 @@
 use crate::reason::Reason;
 use crate::template::Policy;
 
-/// Team of the caller; required.
+/// Header with the client's team; required.
 pub(super) const TEAM: &str = "latchmount-team";
-/// Chat that the request belongs to; made from the first messages where it is missing.
+/// Header with the identity of the chat; where it is missing, a chat completion is identified by its first messages.
 pub(super) const CHAT: &str = "latchmount-chat";
-/// Time that the caller is ready to wait, in milliseconds.
+/// Header with the time that the client will wait for the answer to begin, in milliseconds.
 pub(super) const DEADLINE: &str = "latchmount-deadline-ms";
 
-/// Key of a request that must run at most once: a UUID of version 7.
+/// Header with the key of a request that must run at most once: a UUID of version 7.
 pub(super) const REQUEST_KEY: &str = "latchmount-request-key";
 
-/// Longest deadline that a caller may ask for.
+/// Longer deadlines in [`DEADLINE`] are shortened to this.
 const MAX_DEADLINE: Duration = Duration::from_secs(3_600);
-/// Messages at the start of a chat that name it when its caller does not.
+/// Number of messages at the start of a chat that identify it when the client sends no [`CHAT`] header.
 const OPENING_MESSAGES: usize = 2;
 
-/// What kind of answer is asked for, and of whom.
+/// What the request asks for.
+///
+/// The Debug output goes into [`AdmittedRequest::digest`]. The control group compares digests of routers of different
+/// builds, so names of variants and fields must not change.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) enum Kind {
-    /// A chat completion in one piece.
+    /// A chat completion that is answered as a whole.
     Chat,
-    /// A chat completion as a stream of events.
+    /// A chat completion that is answered as a stream of server-sent events.
     ChatStream,
-    /// A call of a plain service.
+    /// A call to a service other than chat completions.
     Service {
         name: String,
-        /// Path and query below the service's prefix.
+        /// Path and query below `/services/NAME`.
         path: String,
         method: reqwest::Method,
     },
 }
 
 impl Kind {
-    /// Label in the metrics.
+    /// Value of the metrics label `kind`.
     pub(super) fn label(&self) -> &'static str {
         match self {
             Kind::Chat => "chat",
@@ -59,32 +62,32 @@
     }
 }
 
-/// A request that was admitted.
+/// A request that passed all checks.
 pub(super) struct AdmittedRequest {
     pub(super) kind: Kind,
     pub(super) team: String,
     pub(super) key: Key,
-    /// Whether it begins a chat: nothing of it can be cached yet.
+    /// Whether it begins a chat, so that no target can have its prefix cached yet.
     pub(super) first_turn: bool,
     pub(super) policy: Policy,
     pub(super) repeatable: bool,
-    /// Key under which it must run at most once, across all routers.
+    /// Key of a request that must run at most once across all routers.
     pub(super) request_key: Option<RequestKey>,
-    /// When its answer must have begun, on the router's clock.
+    /// When its answer must have begun, or be complete if it is not a stream; time since the router's start.
     pub(super) deadline: Duration,
     pub(super) headers: HeaderMap,
     pub(super) body: Bytes,
 }
 
 impl AdmittedRequest {
-    /// Hash of what is to be run.
+    /// Hash of team, kind and body, to detect a request key that is reused for another request.
     pub(super) fn digest(&self) -> u64 {
         let seed = xxh3_64(format!("{} {:?}", self.team, self.kind).as_bytes());
         xxh3_64_with_seed(&self.body, seed)
     }
 }
 
-/// The part of a chat completion that the router reads.
+/// The fields of a chat completion's body that the router reads.
 #[derive(Deserialize)]
 struct ChatBody {
     #[serde(default)]
@@ -93,7 +96,7 @@
 }
 
 impl Shared {
-    /// Admits a chat completion.
+    /// Admits a chat completion and sets its model to that of the team's policy.
     pub(super) async fn admit_chat(&self, req: &mut Request) -> Result<AdmittedRequest, Refusal> {
         let (team, policy) = self.admit_team(req)?;
         let deadline = self.deadline(req.headers())?;
@@ -128,7 +131,7 @@
         })
     }
 
-    /// Admits a call of the service `name`, at `path` below it.
+    /// Admits a call of the service `name`, at `path` below `/services/NAME`.
     pub(super) async fn admit_service(
         &self,
         req: &mut Request,
@@ -157,7 +160,7 @@
         })
     }
 
-    /// The caller's team and what is in force for it, if this router may admit at all.
+    /// Returns the client's team and its policy; refuses while the router is stopping or its configuration is stale.
     fn admit_team(&self, req: &Request) -> Result<(String, Policy), Refusal> {
         if self.stopping.load(std::sync::atomic::Ordering::Acquire) {
             return Err(Refusal::from_reason(Reason::Stopping));
@@ -188,7 +191,7 @@
         Ok(self.now() + allowed)
     }
 
-    /// The whole body, within the limits on its size and time.
+    /// Reads the whole body, at most `router.max_body_kib` within `router.body_timeout_ms`.
     async fn read_body(&self, req: &mut Request) -> Result<Bytes, Refusal> {
         let limit = self.settings.max_body_kib * 1024;
         let timeout = Duration::from_millis(self.settings.body_timeout_ms);
--- a/src/router/answer_cache.rs
+++ b/src/router/answer_cache.rs
@@ -1,4 +1,4 @@
-//! Whole answers to requests that must run at most once, kept for callers that ask again.
+//! Cache of complete answers to requests that must run at most once, for clients that repeat such a request.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -7,12 +7,12 @@
 
 use crate::claims::{RequestKey, WINDOW};
 
-/// Most bytes of answers kept.
+/// Maximum size of all cached bodies.
 const MAX_TOTAL_BYTES: usize = 8 * 1024 * 1024;
-/// Largest answer that is kept.
+/// Larger bodies are not cached.
 pub(super) const MAX_ANSWER_BYTES: usize = 256 * 1024;
 
-/// A whole answer.
+/// A complete answer.
 #[derive(Clone, Debug, PartialEq)]
 pub(super) struct StoredAnswer {
     pub(super) status: u16,
@@ -20,11 +20,14 @@
     pub(super) body: Bytes,
 }
 
-/// Answers within the window of claims, the oldest dropped first where room is short.
+/// Answers by request key. The oldest are evicted once they are older than [`WINDOW`], for which claims are kept, or
+/// while the bodies exceed [`MAX_TOTAL_BYTES`].
 #[derive(Debug, Default)]
 pub(super) struct AnswerCache {
     by_key: BTreeMap<RequestKey, StoredAnswer>,
+    /// Keys with the time at which they were first stored, the oldest first.
     by_age: VecDeque<(Duration, RequestKey)>,
+    /// Size of all bodies.
     bytes: usize,
 }
 
--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -1,5 +1,6 @@
-//! Requests that must run at most once across all routers: claimed before they are sent, answered
-//! again from the router that ran them.
+//! Requests that must run at most once across all routers. A router claims the request's key from the control group
+//! before it sends the request to a target; a repeated request gets the answer stored by the router that holds the
+//! claim.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,36 +17,39 @@
 use crate::reason::Reason;
 use crate::rpc::{ControlClient, ControlError};
 
-/// Where routers ask each other for stored answers.
+/// Path at which routers fetch stored answers from each other.
 pub(super) const ANSWERS_PATH: &str = "/internal/answers/";
-/// Status that the stored answer had.
+/// Header with the HTTP status of the stored answer; the status of the transfer itself is 200.
 pub(super) const STORED_STATUS_HEADER: &str = "latchmount-status";
-/// Shows that another router of the partner asks.
+/// Header with the partner's secret key, which proves that the request comes from another router of the partner.
 pub(super) const PARTNER_KEY_HEADER: &str = "latchmount-key";
-/// Longest time for one call to control.
+/// Timeout of one call to a control member.
 pub(super) const CONTROL_CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Before asking another member after a failure.
+/// Pause before the next control member is tried after a failed call.
 const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Longest time to ask another router for its answer.
+/// Timeout for fetching a stored answer from another router.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A claim that was granted.
+/// A claim that the control group granted to this router.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct GrantedClaim {
     pub(super) key: RequestKey,
     nonce: u64,
 }
 
-/// What came of asking for a claim.
+/// What to do with a request after its claim was decided.
 pub(super) enum ClaimOutcome {
-    /// Run it.
+    /// This router may run it.
     Run(GrantedClaim),
-    /// It ran already; this is its answer.
+    /// It has already run; this is its stored answer.
     Answered(StoredAnswer),
 }
 
 impl Shared {
-    /// Claims the key of `work`, or finds what became of it.
+    /// Claims `key` for `request`, or fetches the stored answer from the router that claimed it before.
+    ///
+    /// Refuses when that answer can't be fetched, the key was used for another request or is outside its time window,
+    /// or the control group did not record the claim in time.
     pub(super) async fn claim(
         &self,
         request: &AdmittedRequest,
@@ -66,7 +70,8 @@
         }
     }
 
-    /// Asks one member after the other; a resent claim is known by its nonce.
+    /// Tries the control members in turn until one answers or the request's deadline passes. The nonce lets the control
+    /// group recognise a claim that is sent again.
     async fn request_claim(
         &self,
         request: &AdmittedRequest,
@@ -77,7 +82,7 @@
             let reply = members.current().claim(self.key.clone(), claim.clone()).await;
             let error = match reply {
                 Ok(verdict) => {
-                    // The next claim begins with the member that answered this one.
+                    // The next claim starts with the member that answered this one.
                     *lock(&self.claim_members) = members;
                     return Ok(verdict);
                 }
@@ -86,12 +91,13 @@
             members.turn(&error);
             tokio::time::sleep(RETRY_PAUSE).await;
         }
-        // A claim that arrives late is not to stand in the way of a resent request.
+        // The control group may still record the claim late, which would block the request when the client repeats it.
         self.release_claim(GrantedClaim { key: claim.key, nonce: claim.nonce });
         Err(Refusal::from_reason(Reason::ClaimFailed))
     }
 
-    /// Gives a claim back when its request truly did not run.
+    /// Releases the claim of a request that no target ran, so that any router may run it. Tries each control member
+    /// once in the background; a failure is ignored.
     pub(super) fn release_claim(&self, granted: GrantedClaim) {
         let release = Release { key: granted.key, nonce: granted.nonce };
         let (mut members, key) = (lock(&self.claim_members).clone(), self.key.clone());
@@ -105,15 +111,15 @@
         });
     }
 
-    /// The answer that the router at `router_url` has stored, if it can be had.
+    /// The answer stored by the router at `router_url`; `None` if it has none or can't be reached.
     async fn stored_answer(&self, router_url: &str, key: RequestKey) -> Option<StoredAnswer> {
         if router_url == self.url {
             return lock(&self.answer_cache).get(key);
         }
         let url = format!("{router_url}{ANSWERS_PATH}{:032x}", key.0);
-        let asked =
+        let fetch =
             self.http.get(url).header(PARTNER_KEY_HEADER, &self.key).timeout(ANSWER_TIMEOUT);
-        let answer = asked.send().await.ok()?;
+        let answer = fetch.send().await.ok()?;
         let status = answer.headers().get(STORED_STATUS_HEADER)?.to_str().ok()?.parse().ok()?;
         let content_type = answer.headers().get(CONTENT_TYPE);
         let content_type = content_type.and_then(|value| value.to_str().ok()).map(str::to_owned);
@@ -121,14 +127,14 @@
         Some(StoredAnswer { status, content_type, body })
     }
 
-    /// Keeps the whole answer of a claimed request.
+    /// Caches the complete answer of a claimed request.
     pub(super) fn store_answer(self: &Arc<Self>, key: RequestKey, answer: StoredAnswer) {
         lock(&self.answer_cache).put(self.now(), key, answer);
     }
 }
 
 impl StoredAnswer {
-    /// Writes the answer for the caller.
+    /// Writes the answer to the client.
     pub(super) fn write(self, res: &mut Response) {
         res.status_code(StatusCode::from_u16(self.status).unwrap_or(StatusCode::BAD_GATEWAY));
         let content_type = self.content_type.and_then(|text| HeaderValue::from_str(&text).ok());
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -1,4 +1,4 @@
-//! What a router follows: its partner's configuration and the platform's list.
+//! Background tasks that keep a router's configuration and list of targets current.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,14 +11,14 @@
 use crate::raft::GroupId;
 use crate::rpc::{ControlClient, ControlError, Group, SyncReply, SyncRequest};
 
-/// How long control may hold an answer while there is nothing new.
+/// How long a control member may hold a sync request while the configuration does not change (long poll).
 const SYNC_LONG_POLL: Duration = Duration::from_secs(1);
-/// Longest time for one exchange with control beyond that wait.
+/// Time allowed for a sync request in addition to [`SYNC_LONG_POLL`].
 const SYNC_TIMEOUT_MARGIN: Duration = Duration::from_secs(1);
-/// Before asking another member after a failure.
+/// Pause before the next control member is tried after a failed sync request.
 const SYNC_RETRY_PAUSE: Duration = Duration::from_millis(100);
 
-/// Starts both tasks.
+/// Starts the tasks that synchronise the configuration and poll the platform's list.
 pub(super) fn start(shared: &Arc<Shared>) -> Result<(), RouterError> {
     let group = Group::new(&shared.settings.control, SYNC_LONG_POLL + SYNC_TIMEOUT_MARGIN)?;
     tokio::spawn(follow_config(shared.clone(), group));
@@ -26,7 +26,9 @@
     Ok(())
 }
 
-/// Keeps the configuration in force and its freshness proven.
+/// Synchronises the configuration with the control group and renews the proof that it is the one in force.
+///
+/// Keeps to the group that answered first; replies of any other group are logged and ignored.
 async fn follow_config(shared: Arc<Shared>, mut members: Group) {
     let mut group = GroupId::default();
     loop {
@@ -51,12 +53,14 @@
                 if reply.group == group {
                     apply_reply(&shared, sent_at, reply);
                 } else {
-                    error!(shared.log, "another group answers"; "event" => "foreign_group");
+                    error!(shared.log, "sync reply from a control group other than the first one is ignored";
+                        "event" => "foreign_group");
                     tokio::time::sleep(SYNC_LONG_POLL).await;
                 }
             }
             Err(error) => {
-                warn!(shared.log, "no configuration"; "event" => "sync_failed", "error" => %error);
+                warn!(shared.log, "sync request to a control member failed";
+                    "event" => "sync_failed", "error" => %error);
                 members.turn(&error);
                 tokio::time::sleep(SYNC_RETRY_PAUSE).await;
             }
@@ -64,12 +68,14 @@
     }
 }
 
-/// Puts a reply in force unless it is older than what is.
+/// Applies a sync reply and renews the freshness lease, counted from `sent_at`; ignores a reply with an older
+/// configuration than the one in force.
 fn apply_reply(shared: &Shared, sent_at: Duration, reply: SyncReply) {
     let current = shared.config();
     let revision = reply.delta.revision;
     if revision < current.revision() {
-        error!(shared.log, "older configuration refused"; "event" => "config_refused", "revision" => revision);
+        error!(shared.log, "configuration older than the one in force is ignored";
+            "event" => "config_refused", "revision" => revision);
         return;
     }
     if revision > current.revision() {
@@ -84,7 +90,7 @@
     lock(&shared.freshness).prove(sent_at, Duration::from_millis(reply.lease_ms));
 }
 
-/// Reads the platform's list again and again.
+/// Polls the platform's list of targets every `router.list_poll_ms`.
 async fn follow_list(shared: Arc<Shared>) {
     let pause = Duration::from_millis(shared.settings.list_poll_ms);
     let timeout = Duration::from_millis(shared.settings.list_max_age_ms);
@@ -94,7 +100,8 @@
         let read = platform.list(timeout).await;
         if read.is_ok() != reachable {
             reachable = read.is_ok();
-            warn!(shared.log, "platform list"; "event" => "platform_list", "reachable" => reachable);
+            warn!(shared.log, "reachability of the platform's list changed";
+                "event" => "platform_list", "reachable" => reachable);
         }
         if let Ok(list) = read {
             shared.metrics.count_control("platform_list", list.sent_bytes, list.received_bytes);
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -1,4 +1,4 @@
-//! A router: takes callers' requests and gives each to a target.
+//! A router: admits clients' requests and forwards each to a target.
 
 mod admission;
 mod answer_cache;
@@ -40,36 +40,38 @@
 use self::metrics::Metrics;
 use self::slots::{SlotCounters, Slots};
 
-/// Between two looks at the requests in flight during a planned stop.
+/// Interval at which a planned stop checks whether requests are still in flight.
 const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Least time for connections to close after the last request has ended.
+/// Minimum time allowed for connections to close after the last request has ended, and the extra time after which
+/// connections that are still open are cut off.
 const CLOSE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A router can't start.
+/// Why a router could not start.
 #[derive(Debug, thiserror::Error)]
 pub enum RouterError {
-    /// The address can't be listened on.
-    #[error("router.listen {addr}: {source}")]
+    /// `router.listen` can't be served: binding its TCP or UDP socket or starting the thread for slots failed.
+    #[error("router.listen: can't serve on {addr}: {source}")]
     Listen {
-        /// The address.
+        /// Value of `router.listen`.
         addr: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The HTTP client can't be made.
-    #[error("HTTP client: {0}")]
+    /// The HTTP client can't be built.
+    #[error("can't build the HTTP client: {0}")]
     Client(#[from] reqwest::Error),
-    /// The metrics can't be made.
-    #[error("metrics: {0}")]
+    /// The metrics can't be registered.
+    #[error("can't register the metrics: {0}")]
     Metrics(#[from] prometheus::Error),
-    /// A control address can't be used.
+    /// No RPC client can be built for an address in `router.control`.
     #[error("router.control: {0}")]
     Control(#[from] ControlError),
 }
 
-/// State that all parts of a router share.
+/// State shared by all tasks and request handlers of a router.
 pub(crate) struct Shared {
     host: String,
+    /// Secret shared by all hosts of the partner that this router belongs to.
     key: String,
     platform_url: String,
     settings: RouterSettings,
@@ -79,24 +81,28 @@
     freshness: Mutex<Freshness>,
     targets: Mutex<Targets>,
     slots: Slots,
+    /// Retry budget.
     budget: Mutex<Budget>,
+    /// Requests that wait while every target is at its load bound.
     queue: Mutex<Queue<oneshot::Sender<()>>>,
+    /// Limits log lines about slot owners that do not answer.
     unresponsive_owner_log: Mutex<Sampler>,
     /// Base URL at which other routers reach this one.
     url: String,
+    /// Control members that take claims; the next claim starts with the one that answered last.
     claim_members: Mutex<Group>,
     answer_cache: Mutex<AnswerCache>,
     metrics: Metrics,
     admitted: AtomicU64,
     in_flight: AtomicUsize,
-    /// Health fails from here on.
+    /// Set at the start of a planned stop: `/healthz` fails, requests are still admitted.
     health_failing: AtomicBool,
-    /// New work is refused from here on.
+    /// Set after `router.stop_notice_ms` of a planned stop: new requests are refused.
     stopping: AtomicBool,
     log: Logger,
 }
 
-/// Stands in where the settings, which are checked before, name no address.
+/// Address used when `router.listen` is not set, which the check of the settings rules out.
 fn placeholder_addr() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
 }
@@ -159,7 +165,7 @@
         })
     }
 
-    /// Monotonic time since the start.
+    /// Monotonic time since the router started.
     fn now(&self) -> Duration {
         self.started.elapsed()
     }
@@ -175,7 +181,7 @@
         *current = Arc::new(config);
     }
 
-    /// Whether a balancer should send callers here, and why not.
+    /// Health check for load balancers: fails during a planned stop and while the configuration is not proven fresh.
     fn health(&self) -> Result<(), Reason> {
         if self.health_failing.load(Ordering::Acquire) {
             return Err(Reason::Stopping);
@@ -186,7 +192,7 @@
         Ok(())
     }
 
-    /// What control is told of this router.
+    /// Counters that this router reports to the control group.
     fn report(&self) -> Report {
         let refused = Reason::ALL.iter().filter_map(|reason| {
             let count = self.metrics.refused.with_label_values(&[reason.code()]).get();
@@ -198,7 +204,7 @@
         }
     }
 
-    /// The metrics, with the gauges brought up to date.
+    /// Updates the gauges and renders all metrics.
     fn render_metrics(&self) -> Vec<u8> {
         let age = lock(&self.freshness).age(self.now());
         self.metrics.config_age.set(age.map_or(-1.0, |age| age.as_secs_f64()));
@@ -217,10 +223,11 @@
 }
 
 impl Router {
-    /// Starts to listen, to follow the configuration and to read the platform's list.
+    /// Starts to listen, to synchronise the configuration, to poll the platform's list of targets and to exchange
+    /// slots with other routers.
     ///
     /// # Errors
-    /// [`RouterError`] when the address or a setting can't be used.
+    /// [`RouterError`] when the address can't be served or a client or metric can't be set up.
     pub async fn start(
         settings: &Settings,
         router: &RouterSettings,
@@ -240,29 +247,31 @@
         Ok(Router { shared, server: handle, serving })
     }
 
-    /// Stops as planned: health fails, then new work is refused, then what is in flight ends.
+    /// Planned stop: fails the health check, after `router.stop_notice_ms` refuses new requests, then waits for the
+    /// requests in flight to end.
     ///
-    /// Returns the number of requests cut off because they outlasted `router.stop_timeout_ms`.
+    /// Returns the number of requests that were still in flight after `router.stop_timeout_ms` and were cut off.
     pub async fn stop(self) -> usize {
         let shared = &self.shared;
-        info!(shared.log, "health fails"; "event" => "stop_notice");
+        info!(shared.log, "planned stop: health check fails"; "event" => "stop_notice");
         shared.health_failing.store(true, Ordering::Release);
         tokio::time::sleep(Duration::from_millis(shared.settings.stop_notice_ms)).await;
         shared.stopping.store(true, Ordering::Release);
-        info!(shared.log, "new work is refused"; "event" => "stopping");
+        info!(shared.log, "planned stop: new requests are refused"; "event" => "stopping");
         let deadline = shared.now() + Duration::from_millis(shared.settings.stop_timeout_ms);
         while shared.in_flight.load(Ordering::Acquire) > 0 && shared.now() < deadline {
             tokio::time::sleep(STOP_POLL_INTERVAL).await;
         }
         let cut = shared.in_flight.load(Ordering::Acquire);
         if cut > 0 {
-            warn!(shared.log, "requests cut off"; "event" => "stop_timeout", "in_flight" => cut);
+            warn!(shared.log, "requests still in flight after router.stop_timeout_ms are cut off";
+                "event" => "stop_timeout", "in_flight" => cut);
         }
-        // Answers that have left the router may still be on their way to slow callers.
+        // A request counts as ended once the server has its whole answer; slow clients may still be receiving it.
         let remaining = deadline.saturating_sub(shared.now()).max(CLOSE_TIMEOUT);
         self.server.stop_graceful(remaining);
         if tokio::time::timeout(remaining + CLOSE_TIMEOUT, self.serving).await.is_err() {
-            warn!(shared.log, "connections cut off"; "event" => "close_timeout");
+            warn!(shared.log, "connections did not close in time and are cut off"; "event" => "close_timeout");
         }
         info!(shared.log, "router stopped"; "event" => "stopped");
         cut
--- a/src/router/refusal.rs
+++ b/src/router/refusal.rs
@@ -1,4 +1,4 @@
-//! Final answers of the router itself: refusals and requests given up on.
+//! Error answers of the router itself, for requests that it refuses or gives up on.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 use crate::reason::{Outcome, Reason};
 
-/// Body of a refusal, under `error` as OpenAI clients expect.
+/// JSON body of a refusal; everything is below `error`, as OpenAI clients expect.
 #[derive(Debug, Serialize)]
 pub(super) struct ErrorBody {
     error: ErrorDetail,
@@ -21,19 +21,19 @@
     code: Reason,
     /// `not_run`, `ran` or `unknown`.
     outcome: Outcome,
-    /// Whether it truly did not run.
+    /// Whether it is certain that no target ran the request.
     not_run: bool,
     message: String,
     #[serde(skip_serializing_if = "Option::is_none")]
     retry_after_s: Option<u64>,
 }
 
-/// A refusal: a reason and what to tell the caller.
+/// A refusal: its reason and what the client is told.
 #[derive(Debug)]
 pub(super) struct Refusal {
     pub(super) reason: Reason,
     message: String,
-    /// When trying again makes sense.
+    /// Time after which a retry can succeed; `None` where none is expected to.
     retry_after: Option<Duration>,
 }
 
@@ -42,22 +42,22 @@
         Refusal { reason, message: message.into(), retry_after: reason.retry_after() }
     }
 
-    /// A refusal whose reason says it all.
+    /// A refusal whose message is the reason's standard explanation.
     pub(super) fn from_reason(reason: Reason) -> Self {
         Refusal::new(reason, reason.explain())
     }
 
-    /// The same where it is known when trying again makes sense.
+    /// Replaces the reason's default `Retry-After` by `wait` where that is known.
     pub(super) fn with_retry_after(self, wait: Option<Duration>) -> Self {
         Refusal { retry_after: wait.or(self.retry_after), ..self }
     }
 
-    /// Whole seconds until trying again makes sense, if it does.
+    /// `Retry-After` in whole seconds, rounded up.
     fn retry_after_s(&self) -> Option<u64> {
         self.retry_after.map(|after| after.as_secs_f64().ceil() as u64)
     }
 
-    /// Body for an answer or an error event.
+    /// Body of an HTTP answer or of an error event in a stream.
     pub(super) fn body(&self) -> ErrorBody {
         let outcome = self.reason.outcome();
         ErrorBody {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Writes the answer, at once.
+    /// Writes status, headers and body; the body is sent as one piece.
     pub(super) fn write(&self, res: &mut Response) {
         let status = StatusCode::from_u16(self.reason.status());
         res.status_code(status.unwrap_or(StatusCode::SERVICE_UNAVAILABLE));
