--- a/src/router/forward.rs
+++ b/src/router/forward.rs
@@ -1,4 +1,4 @@
-//! Forwarding: the attempts of one request, until one is answered or it is given up on.
+//! Forwarding: sends one request to targets, with retries, until an answer begins or the request is given up on.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,22 +21,22 @@
 use crate::retry_after::RetryAfter;
 use crate::targets::Choice;
 
-/// Names one attempt; a target echoes it.
+/// Header with the identity of one attempt; the target echoes it in its answer.
 pub(super) const ATTEMPT: &str = "x-attempt-id";
-/// Priority of the request, for the engine's queue.
+/// Header with the request's priority, for the queue of a model engine.
 const PRIORITY: &str = "x-priority";
-/// Adapter to use on the model.
+/// Header with the adapter to use on the model.
 const ADAPTER: &str = "x-adapter";
-/// Version of model and adapter to use.
+/// Header with the version of model and adapter to use.
 const VERSION: &str = "x-model-version";
-/// Time left for the request, in milliseconds.
+/// Header with the time left for the request, in milliseconds.
 const TIME_LEFT: &str = "x-deadline-ms";
-/// Set by a target that did not run the request.
+/// Header set by a target that did not run the request.
 const NOT_RUN: &str = "x-not-run";
-/// Set by a target that is leaving, to its incarnation.
+/// Header set by a target that is shutting down, to its incarnation.
 const LEAVING: &str = "x-leaving";
 
-/// Headers between two hops, which no router passes on, and those that are for the router.
+/// Headers that are not forwarded: hop-by-hop headers and those between client and router or router and target only.
 const NOT_FORWARDED: [&str; 14] = [
     "connection",
     "content-length",
@@ -54,7 +54,7 @@
     ATTEMPT,
 ];
 
-/// An answer that has begun.
+/// An answer whose headers have been received, with the attempt and the slot it belongs to.
 pub(super) struct StartedAnswer {
     pub(super) answer: reqwest::Response,
     pub(super) attempt: String,
@@ -62,7 +62,9 @@
 }
 
 impl Shared {
-    /// Sends `work` to a target and starts its answer, or says why not, at once.
+    /// Sends `request` to a target and relays the answer to `res`.
+    ///
+    /// A request with a request key is claimed first, unless its policy allows it to run more than once.
     pub(super) async fn forward(
         self: &Arc<Self>,
         request: AdmittedRequest,
@@ -80,7 +82,7 @@
         }
     }
 
-    /// Runs a request that must run at most once under its key, or gives its stored answer.
+    /// Claims and runs a request that must run at most once, or writes its stored answer.
     async fn run_once(
         self: &Arc<Self>,
         request: AdmittedRequest,
@@ -99,7 +101,7 @@
             let relay = self.start_claimed(&request, granted, in_flight).await?;
             return self.send_answer(relay, res).await;
         }
-        // Goes on when the caller leaves, so that a resent request finds the answer.
+        // Runs on if the client disconnects, so that the answer is stored for when the client repeats its request.
         let shared = self.clone();
         let running = tokio::spawn(async move {
             let relay = shared.start_claimed(&request, granted, in_flight).await?;
@@ -110,7 +112,7 @@
         Ok(())
     }
 
-    /// Starts the answer of a claimed request; gives the claim back when it truly did not run.
+    /// Sends a claimed request; releases the claim when it is certain that no target ran the request.
     async fn start_claimed(
         self: &Arc<Self>,
         request: &AdmittedRequest,
@@ -130,18 +132,20 @@
         }
     }
 
-    /// The refusal of a request that was given up on; where targets rest it tells when the first can be asked.
+    /// The refusal of a request that was given up on. If targets are backing off, `Retry-After` is the time until the
+    /// first of them can be sent requests again.
     fn refusal(&self, request: &AdmittedRequest, reason: Reason) -> Refusal {
         let wait = (reason == Reason::Resting).then(|| self.backoff_left(request)).flatten();
         Refusal::from_reason(reason).with_retry_after(wait)
     }
 
+    /// Time until the first suitable target's back-off ends; `None` if no suitable target is backing off.
     pub(super) fn backoff_left(&self, request: &AdmittedRequest) -> Option<Duration> {
         let config = self.config();
         lock(&self.targets).rest_left(self.now(), need(request), |name| config.closed(name))
     }
 
-    /// Tries until an answer begins or the request is given up on.
+    /// Makes attempts until an answer begins or retry rules, retry budget or deadline allow no other.
     async fn run_attempts(
         self: &Arc<Self>,
         request: &AdmittedRequest,
@@ -170,7 +174,7 @@
         }
     }
 
-    /// Hands the caller an answer that has begun.
+    /// Relays an answer with its status and headers to the client.
     async fn send_answer(
         self: &Arc<Self>,
         relay: Relay,
@@ -188,7 +192,7 @@
         Ok(())
     }
 
-    /// One attempt: chooses a target and waits until its answer begins.
+    /// One attempt: waits for a slot at a target, sends the request and waits until the answer's headers arrive.
     async fn try_target(
         self: &Arc<Self>,
         request: &AdmittedRequest,
@@ -249,7 +253,8 @@
             .body(request.body.clone())
     }
 
-    /// Whether the answer is of this attempt, and not a refusal of the target.
+    /// Checks that the answer belongs to this attempt and that the target did not turn the request away; records a
+    /// shutdown or back-off that the target announces.
     fn check_answer(
         &self,
         answer: &reqwest::Response,
@@ -267,7 +272,7 @@
         if let Some(backoff) = RetryAfter::of_refusal(answer.status(), headers) {
             lock(&self.targets).rest(self.now(), target, backoff);
             self.metrics.backoffs.inc();
-            info!(self.log, "target asks for rest"; "event" => "target_rests",
+            info!(self.log, "target refused a request and asked for a back-off"; "event" => "target_rests",
                 "target" => &target.name, "rest" => ?backoff);
         }
         if headers.contains_key(NOT_RUN) {
@@ -277,7 +282,7 @@
     }
 }
 
-/// A request whose connection was never made has not run; any other may have.
+/// Reason for an error in sending: a request has certainly not run if no connection was made, otherwise it may have.
 fn send_error_reason(error: &reqwest::Error) -> Reason {
     if error.is_connect() { Reason::ConnectFailed } else { Reason::AnswerLost }
 }
--- a/src/router/http.rs
+++ b/src/router/http.rs
@@ -1,4 +1,4 @@
-//! The callers' side: routes, handlers and limits.
+//! HTTP server for clients and other routers: routes, handlers and limits.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,28 +23,28 @@
 use crate::claims::RequestKey;
 use crate::reason::Reason;
 
-/// Largest set of headers, in bytes.
+/// Maximum size of a request's headers, in bytes.
 const MAX_HEADER_BYTES: usize = 32 * 1024;
-/// Longest time for a caller to send its headers.
+/// Time within which a client must send the headers of a request.
 const HEADER_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Connections that wait to be accepted.
+/// Maximum number of connections that wait to be accepted.
 const ACCEPT_BACKLOG: u32 = 1_024;
 
-/// Listens at `addr`; pieces of a stream leave at once, without waiting for an acknowledgement.
+/// Listens at `addr` with `TCP_NODELAY`, so that events of a stream are sent without waiting for acknowledgements.
 pub(super) fn listen(addr: SocketAddr) -> io::Result<TcpAcceptor> {
     let socket = match addr {
         SocketAddr::V4(_) => TcpSocket::new_v4()?,
         SocketAddr::V6(_) => TcpSocket::new_v6()?,
     };
     socket.set_reuseaddr(true)?;
-    // Accepted connections take this over from the listening socket.
+    // Accepted connections inherit this option from the listening socket.
     socket.set_nodelay(true)?;
     socket.bind(addr)?;
     socket.listen(ACCEPT_BACKLOG)?.try_into()
 }
 
-/// The server with its limits on connections, headers and slow callers.
+/// The server, with limits on connections, header size and the time to send headers.
 pub(super) fn server<A: Acceptor>(shared: &Arc<Shared>, acceptor: A) -> Server<A> {
     let mut server =
         Server::new(acceptor).max_connections(shared.settings.max_connections).disable_fuse();
@@ -52,7 +52,7 @@
     server
 }
 
-/// The routes.
+/// The routes of the router's HTTP interface.
 pub(super) fn routes(shared: &Arc<Shared>) -> salvo::Router {
     let handler = |route| Endpoint { shared: shared.clone(), route };
     salvo::Router::new()
@@ -113,7 +113,8 @@
         res.body(ResBody::Once(self.shared.render_metrics().into()));
     }
 
-    /// The stored answer of a claimed request, for another router of the partner.
+    /// Returns the stored answer of a claimed request to another router of the partner, which shows the secret key.
+    /// Answers 404 if the key is wrong or no answer is stored.
     fn stored_answer(&self, req: &Request, res: &mut Response) {
         let presented =
             req.headers().get(PARTNER_KEY_HEADER).map_or(&[][..], HeaderValue::as_bytes);
@@ -149,7 +150,7 @@
         debug!(self.shared.log, "refused"; "event" => "refused", "reason" => code);
         refusal.write(res);
         if refusal.reason == Reason::Stopping {
-            // The caller's next request is to open a connection elsewhere.
+            // Makes the client open a new connection for its next request, which a balancer sends to another router.
             let close = HeaderValue::from_static("close");
             res.headers_mut().insert(CONNECTION, close);
         }
@@ -166,7 +167,7 @@
     }
 }
 
-/// Counts a request as in flight until its answer has ended.
+/// Counts a request as in flight until this is dropped at the end of its answer.
 pub(super) struct InFlightGuard {
     shared: Arc<Shared>,
     team: String,
--- a/src/router/metrics.rs
+++ b/src/router/metrics.rs
@@ -5,12 +5,12 @@
 use crate::metrics::MetricSet;
 use crate::reason::Reason;
 
-/// Kinds of requests, as the metrics label them.
+/// Values of the label `kind` for requests.
 pub const REQUEST_KINDS: [&str; 3] = ["chat", "chat_stream", "service"];
-/// Kinds of control messages of a router, as the metrics label them.
+/// Values of the label `kind` for control traffic.
 pub const CONTROL_KINDS: [&str; 3] = ["config", "platform_list", "slots"];
 
-/// What comes of an ask for a slot, as the metrics label it.
+/// Values of the label `outcome` for slot requests.
 pub const SLOT_OUTCOMES: [&str; 4] = ["granted", "full", "undecided", "silent"];
 
 /// All metrics of one router.
@@ -18,23 +18,23 @@
     set: MetricSet,
     /// Requests admitted, by kind.
     pub requests: IntCounterVec,
-    /// Final answers that refused or gave up, by reason.
+    /// Requests refused or given up on, by reason.
     pub refused: IntCounterVec,
-    /// Further attempts, by the reason that the one before failed for.
+    /// Retries, by the reason for which the previous attempt failed.
     pub retries: IntCounterVec,
-    /// Answers by which targets that turned a request away asked for rest.
+    /// Answers by which targets refused a request and asked for a back-off.
     pub backoffs: IntCounter,
-    /// Streams taken up again after a break, by how that went.
+    /// Attempts to resume a broken stream, by result.
     pub resumes: IntCounterVec,
     /// Requests in flight, by target.
     pub in_flight: IntGaugeVec,
     /// Requests in flight, by team.
     pub in_flight_team: IntGaugeVec,
-    /// Bytes of control traffic, by direction and kind.
+    /// Payload bytes of control traffic, by direction and kind.
     pub control_bytes: IntCounterVec,
-    /// Asks for slots, by what came of them.
+    /// Slot requests, by outcome.
     pub slot_asks: IntCounterVec,
-    /// Datagrams with asks for slots that were sent again.
+    /// Datagrams with slot requests that were sent again.
     pub slot_rounds_resent: IntCounter,
     /// Revision of the configuration in force.
     pub config_revision: IntGauge,
@@ -43,10 +43,11 @@
 }
 
 impl Metrics {
-    /// Metrics that start at zero, one series for each reason and kind.
+    /// Registers the metrics; series with a known set of labels start at zero, so that they show before their first
+    /// event.
     ///
     /// # Errors
-    /// When the metrics library refuses a name: a fault of this module.
+    /// When the metrics library rejects a name, which would be a bug in this module.
     pub fn new() -> Result<Self, prometheus::Error> {
         let set = MetricSet::default();
         let metrics = Metrics {
@@ -123,14 +124,14 @@
         }
     }
 
-    /// Counts control traffic of one exchange.
+    /// Counts the payload bytes of one exchange of control traffic.
     pub fn count_control(&self, kind: &str, sent: usize, received: usize) {
         let bytes = &self.control_bytes;
         bytes.with_label_values(&["sent", kind]).inc_by(sent as u64);
         bytes.with_label_values(&["received", kind]).inc_by(received as u64);
     }
 
-    /// The text for a scrape.
+    /// Renders the metrics in the Prometheus text format.
     pub fn render(&self) -> Vec<u8> {
         self.set.render()
     }
--- a/src/router/relay.rs
+++ b/src/router/relay.rs
@@ -1,4 +1,4 @@
-//! Relays an answer to the caller: whole, or ended by an explicit error.
+//! Relays a target's answer to the client: complete, or ended by an explicit error.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -20,51 +20,55 @@
 use crate::claims::RequestKey;
 use crate::reason::Reason;
 
-/// End of one event in a stream of events.
+/// Bytes that end one server-sent event.
 const EVENT_END: &[u8] = b"\n\n";
-/// Data of the last event of a whole chat completion.
+/// Last event of a complete chat completion.
 const DONE: &[u8] = b"data: [DONE]";
-/// Times that a broken stream is taken up again.
+/// Maximum number of attempts to resume a broken stream.
 const MAX_RESUMES: u32 = 3;
-/// Wait before a broken stream is taken up again.
+/// Pause before each attempt to resume a broken stream.
 const RESUME_PAUSE: Duration = Duration::from_millis(50);
-/// Between the error event of a broken stream and the cut of the connection.
+/// Pause between sending the error event of a broken stream and cutting the connection, so that the event gets out.
 const ERROR_EVENT_PAUSE: Duration = Duration::from_millis(50);
-/// Longest time for an engine to take a stream up again.
+/// Time within which a target must begin to answer a request to resume a stream.
 const RESUME_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest time between two pieces of an answer.
+/// Maximum time between two chunks of a stream; after it the stream counts as broken.
 const CHUNK_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longest time to tell an engine that its answer is no longer wanted.
+/// Timeout of the request that cancels an attempt at its target.
 const CANCEL_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// An answer under way from a target to a caller.
+/// An answer that is being relayed from a target to a client.
 pub(super) struct Relay {
     shared: Arc<Shared>,
     answer: reqwest::Response,
     attempt: String,
     slot: Slot,
     kind: Kind,
-    /// When an answer in one piece must have ended.
+    /// When an answer that is not a stream must be complete; time since the router's start.
     deadline: Duration,
-    /// Received, but not yet a whole event.
+    /// Bytes received that are not a complete event yet.
     pending: Vec<u8>,
-    /// Events passed on: where to take a broken stream up again.
+    /// Number of events sent to the client: the position from which a broken stream is resumed.
     events_sent: u64,
+    /// Attempts made to resume the stream; `MAX_RESUMES + 1` once it was given up on.
     resumes: u32,
+    /// Whether nothing more is expected from the target.
     done: bool,
-    /// Key of a claimed request, whose whole answer is kept.
+    /// Request key of a claimed request, whose complete answer is stored.
     key: Option<RequestKey>,
-    /// What was passed on so far, for keeping.
+    /// Events of a claimed request sent so far, to be stored once complete; not extended any more once it is larger
+    /// than [`MAX_ANSWER_BYTES`], since it is then not stored.
     collected: Vec<u8>,
     _in_flight: InFlightGuard,
 }
 
-/// The answer broke off; ends the caller's connection without a clean end.
+/// Error of the response body after a broken stream: cuts the client's connection, so that the answer does not look
+/// complete.
 #[derive(Debug, thiserror::Error)]
-#[error("the answer broke off")]
+#[error("the target's answer broke off")]
 struct BrokenOff;
 
-/// Gives the caller the answer: in one piece where it fits, else as it comes.
+/// Sets the body of `res`: a chat's event stream is relayed event by event, any other answer once it is complete.
 pub(super) async fn relay_body(mut relay: Relay, res: &mut Response) -> Result<(), Refusal> {
     match relay.kind {
         Kind::ChatStream if relay.is_event_stream() => {
@@ -79,7 +83,7 @@
                         Some((Ok(event), Some(relay)))
                     }
                     Err(StreamError(None)) => {
-                        // Lets the error event leave before the connection is cut.
+                        // Gives the error event time to be sent before the connection is cut.
                         tokio::time::sleep(ERROR_EVENT_PAUSE).await;
                         Some((Err(BrokenOff), None))
                     }
@@ -96,7 +100,8 @@
     }
 }
 
-/// An error event to pass on before the connection is cut; `None` once that has been done.
+/// A stream that can't be resumed, with the error event to send to the client; `None` once that event was sent, when
+/// the connection is to be cut.
 struct StreamError(Option<Bytes>);
 
 impl Relay {
@@ -137,14 +142,14 @@
         content_type.is_some_and(|value| value.as_bytes().starts_with(b"text/event-stream"))
     }
 
-    /// Whether the end of the body can be told from a broken connection.
+    /// Whether the headers delimit the body, so that its end can be distinguished from a broken connection.
     fn is_delimited(&self) -> bool {
         let headers = self.answer.headers();
         let empty = matches!(self.status(), 204 | 304);
         empty || headers.contains_key(CONTENT_LENGTH) || headers.contains_key(TRANSFER_ENCODING)
     }
 
-    /// The whole body; an answer that ends short is given up on.
+    /// Reads the complete body and stores it if the request was claimed; fails if the body is late or ends early.
     async fn whole_body(&mut self) -> Result<Bytes, Refusal> {
         if !self.is_delimited() {
             return Err(Refusal::from_reason(Reason::AnswerBroken));
@@ -170,7 +175,7 @@
         }
     }
 
-    /// The next whole events; `None` at the clean end.
+    /// The next complete events; `None` after the last. Resumes the stream if it breaks.
     async fn next_events(&mut self) -> Result<Option<Bytes>, StreamError> {
         loop {
             if let Some(events) = self.take_events() {
@@ -190,45 +195,47 @@
         }
     }
 
-    /// Takes all whole events out of what is pending.
+    /// Takes all complete events out of `pending` and counts them; stores the answer of a claimed request at its last
+    /// event.
     fn take_events(&mut self) -> Option<Bytes> {
         let end = self.pending.windows(EVENT_END.len()).rposition(|window| window == EVENT_END)?;
         let rest = self.pending.split_off(end + EVENT_END.len());
         let events = std::mem::replace(&mut self.pending, rest);
-        let whole = events.windows(EVENT_END.len()).filter(|window| *window == EVENT_END);
-        self.events_sent += whole.count() as u64;
+        let ends = events.windows(EVENT_END.len()).filter(|window| *window == EVENT_END);
+        self.events_sent += ends.count() as u64;
         self.done = events[..end].ends_with(DONE);
         if self.key.is_some() && self.collected.len() <= MAX_ANSWER_BYTES {
             self.collected.extend_from_slice(&events);
         }
         if self.done {
-            let whole = std::mem::take(&mut self.collected);
-            self.store(whole.into());
+            let body = std::mem::take(&mut self.collected);
+            self.store(body.into());
         }
         Some(events.into())
     }
 
-    /// Keeps the whole answer of a claimed request.
+    /// Stores the complete answer of a claimed request; does nothing for other requests.
     fn store(&self, body: Bytes) {
         if let Some(key) = self.key {
             self.shared.store_answer(key, self.stored_answer(body));
         }
     }
 
-    /// The answer with this body, as it is kept.
+    /// The answer with this body, in the form in which it is stored.
     fn stored_answer(&self, body: Bytes) -> StoredAnswer {
         let content_type = self.answer.headers().get(CONTENT_TYPE);
         let content_type = content_type.and_then(|value| value.to_str().ok()).map(str::to_owned);
         StoredAnswer { status: self.status(), content_type, body }
     }
 
-    /// Reads the answer to its end, whether or not the caller still waits.
+    /// Reads the complete answer without relaying it, so that it is stored even if the client has disconnected.
     pub(super) async fn read_to_end(mut self) -> Result<StoredAnswer, Refusal> {
         let body = self.whole_body().await?;
         Ok(self.stored_answer(body))
     }
 
-    /// Takes the stream up again on the same engine after the last event that was passed on.
+    /// Resumes the stream at the same target after the last event sent to the client. After [`MAX_RESUMES`] failures
+    /// returns the error event to send.
     async fn resume(&mut self) -> Result<(), StreamError> {
         self.pending.clear();
         while self.resumes < MAX_RESUMES {
@@ -246,13 +253,15 @@
         let reason = Reason::AnswerBroken;
         self.shared.metrics.refused.with_label_values(&[reason.code()]).inc();
         warn!(
-            self.shared.log, "answer broke off";
+            self.shared.log, "stream broke off and could not be resumed";
             "event" => "answer_broken", "target" => &self.slot.target.name, "attempt" => &self.attempt
         );
         let body = serde_json::to_string(&Refusal::from_reason(reason).body()).unwrap_or_default();
         Err(StreamError(Some(format!("event: error\ndata: {body}\n\n").into())))
     }
 
+    /// Asks the target for the stream from event [`events_sent`](Relay::events_sent) on; `None` if it does not answer
+    /// in time, refuses or answers for another attempt.
     async fn request_resume(&self) -> Option<reqwest::Response> {
         let url = format!("{}?from={}", self.attempt_url(), self.events_sent);
         let answer = self.shared.http.get(url).send();
@@ -269,7 +278,7 @@
 }
 
 impl Drop for Relay {
-    /// Cancels the work at the engine when the caller has left.
+    /// Cancels a chat completion at its target if it is dropped before its end, as when the client disconnects.
     fn drop(&mut self) {
         let is_chat = matches!(self.kind, Kind::Chat | Kind::ChatStream);
         if self.done || !is_chat {
--- a/src/router/slot.rs
+++ b/src/router/slot.rs
@@ -1,4 +1,7 @@
-//! A slot at a target for each attempt: chosen here, or asked for at the owner of the target's pool.
+//! Gets a slot, the right to have one request in flight at a target, for each attempt.
+//!
+//! Slots at model engines are requested from the router that owns the pool of targets, see [`crate::slots`]. Services,
+//! and engines while the live routers are not known yet, are chosen by this router's own load alone.
 
 use std::cmp::Reverse;
 use std::sync::Arc;
@@ -14,23 +17,25 @@
 use crate::slots::{Ask, Decision, Place, TeamId, Wish};
 use crate::targets::{Choice, Need};
 
-/// Engines asked for a slot before a request waits, and for the prefix of a chat that returns.
+/// Maximum number of engines in one slot request; for a returning chat, the owner looks for its prefix at these only.
 const MAX_TARGETS_PER_ASK: usize = 8;
-/// Longest silence of an owner after which a request is refused: one that has ended is found out meanwhile, one that
-/// is busy may still answer, and any other router would have to ask the same.
+/// Time without any answer from an owner after which a slot request fails. An owner that has ended is detected within
+/// it, and one that is busy may still answer; failing earlier would not help, as any other router would have to ask the
+/// same owner.
 const OWNER_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest wait before engines are asked again for a slot.
+/// Maximum wait before a slot is requested again.
 const MAX_ASK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A slot at a target, held while an attempt is in flight there.
 pub(super) struct Slot {
     shared: Arc<Shared>,
     pub(super) target: Choice,
-    /// What the owner of the target granted, if it was asked.
+    /// The grant of the target's owner, which is returned on drop; `None` if no owner was asked.
     granted: Option<Place>,
 }
 
 impl Slot {
+    /// Counts a request at `target` until the slot is dropped.
     fn take(shared: Arc<Shared>, target: Choice, granted: Option<Place>) -> Self {
         lock(&shared.targets).begin(&target.name);
         Slot { shared, target, granted }
@@ -38,10 +43,11 @@
 }
 
 impl Drop for Slot {
+    /// Frees the slot and wakes the first request in the queue that still waits.
     fn drop(&mut self) {
         lock(&self.shared.targets).end(&self.target.name);
         if let Some(place) = self.granted {
-            self.shared.slots.give(self.shared.now(), place);
+            self.shared.slots.release(self.shared.now(), place);
         }
         while let Some(next) = lock(&self.shared.queue).pop() {
             if next.send(()).is_ok() {
@@ -52,7 +58,8 @@
 }
 
 impl Shared {
-    /// Takes a slot, or waits for one in the queue while every target is at its bound.
+    /// Takes a slot. While every target is at its load bound or the owner does not answer, waits and tries again, at
+    /// most for `router.queue_wait_ms` with the same reason and until the deadline.
     pub(super) async fn wait_for_slot(
         self: &Arc<Self>,
         request: &AdmittedRequest,
@@ -65,7 +72,7 @@
                 Err(reason @ (Reason::Overloaded | Reason::OwnerSilent)) => reason,
                 chosen => return chosen,
             };
-            // What counts is how long it has waited for this reason without another in between.
+            // The wait is counted from the first of consecutive failures with the same reason.
             let since = match waiting {
                 Some((before, since)) if before == reason => since,
                 _ => asked_at,
@@ -87,17 +94,18 @@
         }
     }
 
-    /// Time that a request may still wait that has waited since then.
+    /// Time for which a request that has waited since `since` may still wait.
     fn wait_left(&self, request: &AdmittedRequest, since: Duration) -> Duration {
         let max_wait = Duration::from_millis(self.settings.queue_wait_ms);
         request.deadline.min(since + max_wait).saturating_sub(self.now())
     }
 
-    /// Waits for a slot to come free here, at most `longest`; false when the queue had no room.
+    /// Waits until a slot at this router is freed, at most `max_wait`; returns false if the queue is full and this
+    /// request is pushed out as the last in order.
     async fn wait_in_queue(&self, request: &AdmittedRequest, max_wait: Duration) -> bool {
         let (wake, woken) = oneshot::channel();
         let (ticket, refused) = lock(&self.queue).push(request.policy.priority, wake);
-        // Dropping what wakes the last in order tells it that it is refused.
+        // Dropping the sender of the request that the queue pushed out makes that request's own wait return false.
         drop(refused);
         match tokio::time::timeout(max_wait, woken).await {
             Ok(woken) => woken.is_ok(),
@@ -108,7 +116,7 @@
         }
     }
 
-    /// Takes a slot at the first target in the request's order that is below its bound.
+    /// Takes a slot at the first target, in the rendezvous order of the request's key, that is below its load bound.
     async fn choose(
         self: &Arc<Self>,
         request: &AdmittedRequest,
@@ -138,8 +146,8 @@
         Ok(Slot::take(self.clone(), choices.swap_remove(chosen), None))
     }
 
-    /// Asks for a slot at one of the engines, in the chat's order. For a chat that returns the owner
-    /// first looks for its prefix at all of them.
+    /// Requests a slot at one of the engines from their owner, in the rendezvous order of the chat. For a
+    /// returning chat, the owner first looks for an engine that has the chat's prefix cached.
     async fn ask_owner(
         self: &Arc<Self>,
         request: &AdmittedRequest,
@@ -148,7 +156,8 @@
         usable: usize,
     ) -> Result<Slot, Reason> {
         let usable = u16::try_from(usable).unwrap_or(u16::MAX);
-        // One that was tried comes last: the others may all be at their bound while it has room again.
+        // Targets already tried come last but stay in the list: they may have room again while all others are at their
+        // bound.
         let order = |choice: &Choice| {
             let score = choice::score(request.key, choice.candidate.name);
             (tried.contains(&choice.name), Reverse(score))
@@ -183,17 +192,18 @@
         }
     }
 
+    /// Logs that an owner did not answer; the lines are sampled.
     fn log_unresponsive_owner(&self, asked_at: Duration, request: &AdmittedRequest) {
         let now = self.now();
         if let Some(stands_for) = lock(&self.unresponsive_owner_log).keep(now) {
-            warn!(self.log, "no answer to an ask for a slot"; "event" => "owner_silent",
+            warn!(self.log, "slot owner did not answer a slot request in time"; "event" => "owner_silent",
                 "team" => &request.team, "waited" => ?now.saturating_sub(asked_at),
                 "stands_for" => stands_for);
         }
     }
 }
 
-/// What a request needs of a target.
+/// What a target must serve to be sent the request.
 pub(super) fn need(request: &AdmittedRequest) -> Need<'_> {
     match &request.kind {
         Kind::Chat | Kind::ChatStream => Need::Model(&request.policy.spec),
--- a/src/router/slots.rs
+++ b/src/router/slots.rs
@@ -1,8 +1,8 @@
-//! Slots over UDP: asks the owners of pools, answers for the pools owned here.
+//! Exchange of slots over UDP: requests slots from the owners of target pools and decides for the pools owned here.
 //!
-//! A datagram is 8 bytes of a keyed hash and a [`Datagram`] in postcard. An ask that is lost is sent again, as
-//! [`Rounds`] say; statements mend what other losses left wrong. An owner that stays silent is no refusal: the request
-//! waits, and is told so when its time is over.
+//! A datagram is 8 bytes of a keyed hash and a [`Datagram`] in postcard. [`Rounds`] sends lost slot requests again;
+//! statements, which list all slots that a router holds, correct what other losses left wrong. An owner that does not
+//! answer has not refused: the request waits, and when its time is over it fails with reason `owner_silent`.
 
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, UdpSocket};
@@ -22,33 +22,35 @@
     Table, Ticket,
 };
 
-/// Between two statements to every owner.
+/// Interval of statements to every owner.
 pub(super) const STATEMENT_INTERVAL: Duration = Duration::from_secs(2);
-/// How long after a change of the live routers or targets statements come more often.
+/// For this time after a change of the live routers or targets, statements to every owner are sent more often.
 const VIEW_CHANGE_WINDOW: Duration = Duration::from_secs(2);
+/// Bytes of the keyed hash at the start of a datagram.
 const TAG_BYTES: usize = 8;
 
-/// A router's part in granting slots, with the socket.
+/// This router's side of the slot exchange: slots requested and granted, with the UDP socket.
 pub(super) struct Slots {
     local: Peer,
+    /// Secret of the partner, which authenticates datagrams.
     key: String,
     started: Instant,
-    /// Shared with the thread that receives.
+    /// Sends here; the thread that receives has a clone.
     pub(super) socket: UdpSocket,
     bounds: Bounds,
     counters: SlotCounters,
     state: std::sync::Mutex<State>,
-    /// Wakes the task that sends again, when something is due sooner than it knows.
+    /// Wakes the task that sends due messages when one is due before `State::next_send_at`.
     pub(super) due_earlier: Notify,
 }
 
-/// What is counted of asks for slots.
+/// Metrics of the slot exchange.
 pub(super) struct SlotCounters {
-    /// Bytes sent.
+    /// Bytes sent in datagrams.
     pub(super) sent_bytes: IntCounter,
-    /// Asks by what came of them.
+    /// Slot requests, by outcome.
     pub(super) asks: IntCounterVec,
-    /// Datagrams with asks that were sent again.
+    /// Datagrams with slot requests that were sent again.
     pub(super) resent: IntCounter,
 }
 
@@ -56,13 +58,15 @@
     table: Table,
     routers: LiveRouters,
     addrs: BTreeMap<RouterId, SocketAddr>,
+    /// Slot requests without an answer.
     waiting: BTreeMap<(RouterId, Ticket), oneshot::Sender<Decision>>,
-    /// What is on its way to each owner.
+    /// Messages queued for or on their way to each owner.
     rounds: BTreeMap<RouterId, Rounds>,
-    /// When each owner answered last.
+    /// When each owner last answered any slot request.
     answered_at: BTreeMap<RouterId, Duration>,
-    /// When the task that sends again looks next.
+    /// When the task that sends due messages runs next.
     next_send_at: Option<Duration>,
+    /// When the live routers or the pools last changed.
     view_changed_at: Duration,
 }
 
@@ -106,18 +110,19 @@
         })
     }
 
-    /// Digest of the live routers known here.
+    /// Digest of the live routers known here; 0 before any are known.
     pub(super) fn routers_known(&self) -> u64 {
         let state = lock(&self.state);
         if state.table.has_view() { state.routers.digest() } else { 0 }
     }
 
-    /// Whether the live routers are known, so that slots can be asked for.
+    /// Whether the live routers are known, so that slots can be requested.
     pub(super) fn ready(&self) -> bool {
         lock(&self.state).table.has_view()
     }
 
-    /// Takes the live routers and the pools of all engines; `None` where they did not change.
+    /// Sets the live routers, if they changed, and the pool of each engine. If the owners may have changed, pending
+    /// slot requests end undecided and statements are sent at once.
     pub(super) fn set_view(
         &self,
         now: Duration,
@@ -135,7 +140,7 @@
         let live = state.addrs.keys().copied().collect();
         if state.table.set_view(&live, pools) {
             state.view_changed_at = now;
-            // Other owners may grant from here on; what was asked is asked anew.
+            // From here on other owners may be the ones to grant: requests are repeated to the new owners.
             state.rounds.clear();
             state.answered_at.clear();
             for (_, asker) in std::mem::take(&mut state.waiting) {
@@ -147,7 +152,8 @@
         }
     }
 
-    /// Asks for one slot; `None` when its owner has answered nothing for `longest`, or not this until `deadline`.
+    /// Requests one slot; `None` when its owner has answered no request at all for `owner_timeout`, or not this one
+    /// until `deadline`.
     pub(super) async fn ask(
         &self,
         now: Duration,
@@ -168,7 +174,8 @@
         answered
     }
 
-    /// Waits for the answer to an ask as long as its owner answers others.
+    /// Waits for the answer to a slot request; gives up when its owner has answered no request at all for
+    /// `owner_timeout`.
     async fn await_answer(
         &self,
         pending: &mut PendingAsk<'_>,
@@ -187,7 +194,7 @@
         }
     }
 
-    /// Decides at once for a target owned here, else sends the ask to its owner.
+    /// Decides at once for targets owned here, otherwise queues the request for their owner.
     fn begin_ask(&self, now: Duration, ask: Ask) -> Result<Decision, PendingAsk<'_>> {
         let mut state = lock(&self.state);
         let (to, ticket, ask) = match state.table.ask(now, ask, &self.bounds) {
@@ -202,8 +209,8 @@
         Err(PendingAsk { slots: self, to, ticket, answer })
     }
 
-    /// Gives a slot back.
-    pub(super) fn give(&self, now: Duration, place: Place) {
+    /// Returns a slot to its owner.
+    pub(super) fn release(&self, now: Duration, place: Place) {
         let to = {
             let mut state = lock(&self.state);
             let Some((to, at)) = state.table.give(place) else {
@@ -215,7 +222,7 @@
         self.send_due(now, to);
     }
 
-    /// Sends what is due to one owner, and has the rest sent in time.
+    /// Sends what is due to one owner and schedules what is due later.
     fn send_due(&self, now: Duration, to: RouterId) {
         let Some(due_at) = self.send_due_now(now, to) else {
             return;
@@ -227,7 +234,7 @@
         }
     }
 
-    /// Sends what is due to one owner now; tells when something is due to it next.
+    /// Sends what is due to one owner; returns when something is due to it next.
     fn send_due_now(&self, now: Duration, to: RouterId) -> Option<Duration> {
         let (Due { messages, again }, due_at) = {
             let mut state = lock(&self.state);
@@ -241,7 +248,7 @@
         due_at
     }
 
-    /// Sends all that is due; tells when something is due next.
+    /// Sends what is due to all owners; returns when something is due next.
     pub(super) fn send_all_due(&self, now: Duration) -> Option<Duration> {
         let owners: Vec<RouterId> = lock(&self.state).rounds.keys().copied().collect();
         let next = owners.into_iter().filter_map(|to| self.send_due_now(now, to)).min();
@@ -268,10 +275,11 @@
         let mut datagram = self.tag(&payload).to_vec();
         datagram.extend(payload);
         self.counters.sent_bytes.inc_by(datagram.len() as u64);
-        // A full socket buffer loses the datagram, as the network may.
+        // An error, as of a full socket buffer, is treated like a datagram lost in the network.
         let _ = self.socket.send_to(&datagram, addr);
     }
 
+    /// Keyed hash of a datagram's payload.
     fn tag(&self, payload: &[u8]) -> [u8; TAG_BYTES] {
         let digest = Sha256::new().chain_update(&self.key).chain_update(payload).finalize();
         let mut tag = [0; TAG_BYTES];
@@ -279,8 +287,9 @@
         tag
     }
 
-    /// States what is held: to every owner when that is due, else to those that have not stated what they hold. Tells
-    /// whether all is settled. `all_at` is when every owner was last told.
+    /// Sends statements of the slots held: to every owner when that is due, otherwise to the routers that have not sent
+    /// theirs. `last_full` is when statements last went to every owner. Returns whether the view is stable: no recent
+    /// change, and every live router has stated what it holds at the targets owned here.
     pub(super) fn send_statements(&self, now: Duration, last_full: &mut Duration) -> bool {
         let (due, stable) = {
             let mut state = lock(&self.state);
@@ -297,7 +306,7 @@
         stable
     }
 
-    /// Handles one datagram; one that this partner's key did not tag is dropped.
+    /// Handles one datagram; drops it if it is not authenticated with the partner's key.
     pub(super) fn receive(&self, now: Duration, datagram: &[u8]) {
         let Some((tag, payload)) = datagram.split_at_checked(TAG_BYTES) else {
             return;
@@ -330,12 +339,13 @@
         self.send_due(now, from);
     }
 
+    /// Handles the messages of one datagram; returns the replies.
     fn handle_all(&self, state: &mut State, now: Duration, datagram: &Datagram) -> Vec<Message> {
         let (from, messages) = (datagram.from.router, datagram.messages.iter());
         messages.filter_map(|message| self.handle(state, now, from, message)).collect()
     }
 
-    /// Takes one message; returns what to answer.
+    /// Handles one message; returns the reply, if any.
     fn handle(
         &self,
         state: &mut State,
@@ -347,7 +357,8 @@
             return state.table.receive(now, from, message, &self.bounds);
         };
         state.answered_at.insert(from, now);
-        // Decided here, so that a slot granted to an ask given up meanwhile is not held.
+        // Recorded here rather than by the waiting request, so that a slot granted to a request that was given up
+        // meanwhile does not count as held.
         let decision = state.table.answered(from, ticket, verdict);
         if let Some(rounds) = state.rounds.get_mut(&from) {
             rounds.answered(now, ticket);
@@ -359,6 +370,7 @@
     }
 }
 
+/// Value of the metrics label `outcome`.
 fn outcome_label(decision: Decision) -> &'static str {
     match decision {
         Decision::Granted(_) => "granted",
@@ -367,7 +379,7 @@
     }
 }
 
-/// An ask under way, whose caller may leave at any time.
+/// A slot request without an answer; dropped at any time if the client disconnects.
 struct PendingAsk<'a> {
     slots: &'a Slots,
     to: RouterId,
@@ -376,7 +388,7 @@
 }
 
 impl Drop for PendingAsk<'_> {
-    /// Gives up an ask without an answer, and gives back a slot that no one has taken.
+    /// Gives up the request if it was not answered, and returns a slot that was granted but not received.
     fn drop(&mut self) {
         let mut state = lock(&self.slots.state);
         if state.waiting.remove(&(self.to, self.ticket)).is_some() {
@@ -385,22 +397,23 @@
                 rounds.give_up(self.ticket);
             }
             drop(state);
-            // It may have been the last that kept others waiting for the next round.
+            // This may have been the last open request of its round, in which case the next round is due.
             self.slots.send_due(self.slots.now(), self.to);
             return;
         }
         drop(state);
         if let Ok(Decision::Granted(place)) = self.answer.try_recv() {
-            self.slots.give(self.slots.now(), place);
+            self.slots.release(self.slots.now(), place);
         }
     }
 }
 
 impl Shared {
-    /// Takes what control and the platform say of routers and engines.
+    /// Updates the view of the slots with the live routers from the control group, if they changed, and the pools from
+    /// the platform's list.
     pub(super) fn update_slots(&self, routers: Option<LiveRouters>) {
         if let Some(routers) = &routers {
-            info!(self.log, "live routers"; "event" => "routers", "count" => routers.0.len());
+            info!(self.log, "live routers changed"; "event" => "routers", "count" => routers.0.len());
         }
         let pools = lock(&self.targets).pools();
         self.slots.set_view(self.now(), routers, &pools);
--- a/src/router/slots_thread.rs
+++ b/src/router/slots_thread.rs
@@ -1,4 +1,4 @@
-//! The thread that receives and sends what routers tell each other of slots.
+//! The thread that receives, sends and repeats the datagrams in which routers exchange slots.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,16 +8,19 @@
 use super::Shared;
 use super::slots::STATEMENT_INTERVAL;
 
-/// Between two statements while not all is settled.
+/// Interval of statements while the view is not stable, see
+/// [`Slots::send_statements`](super::slots::Slots::send_statements).
 const UNSTABLE_STATEMENT_INTERVAL: Duration = Duration::from_millis(200);
+/// Size of the receive buffer; no UDP datagram is larger.
 const MAX_DATAGRAM_BYTES: usize = 64 * 1024;
-/// Pause after the socket failed.
+/// Pause after a socket error.
 const SOCKET_ERROR_PAUSE: Duration = Duration::from_millis(50);
-/// Receives and sends datagrams for ever, on a thread of its own: an owner that is busy with requests of its own callers
-/// would keep those of all others waiting.
+
+/// Receives and sends datagrams until the process ends. It runs on its own thread, since otherwise an owner busy with
+/// its own clients' requests would delay those of all other routers.
 ///
 /// # Errors
-/// When the thread or what it needs can't be had.
+/// When the socket, the runtime or the thread can't be created.
 pub(super) fn start(shared: &Arc<Shared>) -> std::io::Result<()> {
     let socket = shared.slots.socket.try_clone()?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
@@ -36,7 +39,7 @@
     Ok(())
 }
 
-/// Receives datagrams for ever.
+/// Receives and handles datagrams.
 async fn receive(shared: &Shared, socket: &tokio::net::UdpSocket) {
     let mut datagram = vec![0; MAX_DATAGRAM_BYTES];
     loop {
@@ -46,14 +49,15 @@
                 shared.slots.receive(shared.now(), &datagram[..len]);
             }
             Err(error) => {
-                warn!(shared.log, "datagram lost"; "event" => "slots_failed", "error" => %error);
+                warn!(shared.log, "can't receive datagrams of other routers";
+                    "event" => "slots_failed", "error" => %error);
                 tokio::time::sleep(SOCKET_ERROR_PAUSE).await;
             }
         }
     }
 }
 
-/// Sends asks that were not answered in time again, for ever.
+/// Sends messages when they are due, including slot requests that were not answered in time.
 async fn resend(shared: &Shared) {
     loop {
         let now = shared.now();
@@ -66,7 +70,7 @@
     }
 }
 
-/// States what is held to every owner, for ever.
+/// Sends statements of the slots held, more often while the view is not stable.
 async fn send_statements(shared: &Shared) {
     let mut last_full = Duration::ZERO;
     loop {
