--- a/src/account.rs
+++ b/src/account.rs
@@ -12,15 +12,15 @@
 use crate::logline::LogLine;
 
 /// Most rows that are kept apart; what would make more is counted without its second.
-const MOST_ROWS: usize = 50_000;
+const MAX_ROWS: usize = 50_000;
 /// Most ends that are kept apart; clients choose paths, so that there may be any number.
-const MOST_ENDS: usize = 2_000;
+const MAX_ENDS: usize = 2_000;
 /// Stands for the routes and paths beyond those.
-const OTHERS: &str = "others";
+const OTHER_ROUTES: &str = "others";
 /// Routes of a reason that the text shows, those with most requests.
-const ROUTES_SHOWN: usize = 8;
+const MAX_ROUTES_SHOWN: usize = 8;
 /// Seconds that the text shows, those with most requests that were not answered.
-const SECONDS_SHOWN: usize = 12;
+const MAX_SECONDS_SHOWN: usize = 12;
 /// Milliseconds of a second.
 const SECOND_MS: u64 = 1_000;
 
@@ -56,7 +56,7 @@
     /// Lines read.
     lines: u64,
     /// Lines that tell of nothing that can be read.
-    foreign: u64,
+    unparsed: u64,
 }
 
 /// The account as JSON.
@@ -76,17 +76,17 @@
     pub fn read(&mut self, mut log: impl BufRead) -> io::Result<()> {
         let mut line = Vec::new();
         while log.read_until(b'\n', &mut line)? > 0 {
-            self.take(&String::from_utf8_lossy(&line));
+            self.add_line(&String::from_utf8_lossy(&line));
             line.clear();
         }
         Ok(())
     }
 
     /// Takes one line.
-    pub fn take(&mut self, line: &str) {
+    pub fn add_line(&mut self, line: &str) {
         self.lines += 1;
         let Some(line) = LogLine::parse(line) else {
-            self.foreign += u64::from(!line.trim().is_empty());
+            self.unparsed += u64::from(!line.trim().is_empty());
             return;
         };
         let at_ms = line.at_ms().unwrap_or(0);
@@ -99,12 +99,12 @@
     }
 
     fn count(&mut self, mut end: End, second: u64, requests: u64) {
-        if self.ended.len() >= MOST_ENDS && !self.ended.contains_key(&end) {
-            end.route = OTHERS.to_owned();
+        if self.ended.len() >= MAX_ENDS && !self.ended.contains_key(&end) {
+            end.route = OTHER_ROUTES.to_owned();
         }
         let seconds = self.ended.entry(end).or_default();
         let second = Some(second)
-            .filter(|second| self.rows < MOST_ROWS || seconds.contains_key(&Some(*second)));
+            .filter(|second| self.rows < MAX_ROWS || seconds.contains_key(&Some(*second)));
         let before = seconds.len();
         *seconds.entry(second).or_default() += requests;
         self.rows += seconds.len() - before;
@@ -116,8 +116,8 @@
     }
 
     /// Lines that could not be read.
-    pub fn foreign(&self) -> u64 {
-        self.foreign
+    pub fn unparsed(&self) -> u64 {
+        self.unparsed
     }
 
     /// All rows, by how the requests ended and then by second.
@@ -142,7 +142,7 @@
         let report = Report {
             requests: self.requests(),
             lines: self.lines,
-            foreign_lines: self.foreign,
+            foreign_lines: self.unparsed,
             rows: self.rows(),
         };
         serde_json::to_string_pretty(&report)
@@ -170,7 +170,7 @@
         }
         let mut seconds: Vec<_> = seconds.into_iter().collect();
         seconds.sort_by_key(|(second, requests)| (std::cmp::Reverse(*requests), *second));
-        seconds.truncate(SECONDS_SHOWN);
+        seconds.truncate(MAX_SECONDS_SHOWN);
         seconds
     }
 }
@@ -187,12 +187,12 @@
         _ => return None,
     };
     let route = line.get("route").map(str::to_owned);
-    let route = route.or_else(|| line.get("path").map(first_part)).unwrap_or_default();
+    let route = route.or_else(|| line.get("path").map(first_segment)).unwrap_or_default();
     Some(End { event: line.event().to_owned(), reason: reason.to_owned(), route })
 }
 
 /// A path up to its second slash.
-fn first_part(path: &str) -> String {
+fn first_segment(path: &str) -> String {
     let second = path.match_indices('/').nth(1).map_or(path.len(), |(at, _)| at);
     path[..second].to_owned()
 }
@@ -201,13 +201,13 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let all = self.requests();
         let share = |requests: u64| 100.0 * requests as f64 / all.max(1) as f64;
-        write!(f, "{all} requests, {} lines, {} of them not ours", self.lines, self.foreign)?;
+        write!(f, "{all} requests, {} lines, {} of them not ours", self.lines, self.unparsed)?;
         for (reason, routes) in self.reasons() {
             let requests = routes.values().sum();
             write!(f, "\n{requests:>9} {:>7.3} %  {reason}", share(requests))?;
             let mut routes: Vec<(&str, u64)> = routes.into_iter().collect();
             routes.sort_by_key(|(_, requests)| std::cmp::Reverse(*requests));
-            for (route, requests) in routes.into_iter().take(ROUTES_SHOWN) {
+            for (route, requests) in routes.into_iter().take(MAX_ROUTES_SHOWN) {
                 write!(f, "\n{requests:>9} {:>7.3} %      {route}", share(requests))?;
             }
         }
--- a/src/checks.rs
+++ b/src/checks.rs
@@ -8,7 +8,7 @@
 
 impl Checks {
     /// Demands that something holds.
-    pub fn demand(&mut self, holds: bool, path: &str, message: &str) {
+    pub fn require(&mut self, holds: bool, path: &str, message: &str) {
         if !holds {
             self.0.push(Fault::new(path, message));
         }
@@ -17,13 +17,13 @@
     /// Demands whole numbers above 0.
     pub fn above_zero(&mut self, fields: &[(&str, u64)]) {
         for (path, value) in fields {
-            self.demand(*value > 0, path, "must be above 0");
+            self.require(*value > 0, path, "must be above 0");
         }
     }
 
     /// Demands a number above 0.
     pub fn positive(&mut self, path: &str, value: f64) {
-        self.demand(value > 0.0, path, "must be above 0");
+        self.require(value > 0.0, path, "must be above 0");
     }
 
     /// What was found.
--- a/src/cli.rs
+++ b/src/cli.rs
@@ -144,7 +144,7 @@
 
 /// How to reach the members of a group that forms itself.
 #[derive(Clone, Debug, Bpaf)]
-pub struct Doors {
+pub struct MemberEndpoints {
     /// Address of a member; may be given several times.
     #[bpaf(
         short,
@@ -169,8 +169,8 @@
     #[bpaf(command)]
     Order {
         /// Whom to tell.
-        #[bpaf(external(doors))]
-        doors: Doors,
+        #[bpaf(external(member_endpoints))]
+        endpoints: MemberEndpoints,
         /// Data hall.
         #[bpaf(positional("HALL"))]
         data_hall: String,
@@ -179,24 +179,24 @@
     #[bpaf(command)]
     Withdraw {
         /// Whom to tell.
-        #[bpaf(external(doors))]
-        doors: Doors,
+        #[bpaf(external(member_endpoints))]
+        endpoints: MemberEndpoints,
         /// Data hall.
         #[bpaf(positional("HALL"))]
         data_hall: String,
     },
     /// List the data halls that are evacuated.
     #[bpaf(command)]
-    List(#[bpaf(external(doors))] Doors),
+    List(#[bpaf(external(member_endpoints))] MemberEndpoints),
 }
 
 impl EvacuationCommand {
     /// Whom to tell or ask.
-    pub fn doors(&self) -> &Doors {
+    pub fn endpoints(&self) -> &MemberEndpoints {
         match self {
-            EvacuationCommand::Order { doors, .. }
-            | EvacuationCommand::Withdraw { doors, .. }
-            | EvacuationCommand::List(doors) => doors,
+            EvacuationCommand::Order { endpoints, .. }
+            | EvacuationCommand::Withdraw { endpoints, .. }
+            | EvacuationCommand::List(endpoints) => endpoints,
         }
     }
 }
@@ -208,8 +208,8 @@
     #[bpaf(command)]
     Start {
         /// Whom to tell.
-        #[bpaf(external(doors))]
-        doors: Doors,
+        #[bpaf(external(member_endpoints))]
+        endpoints: MemberEndpoints,
         /// Time in which it is to be done, in seconds.
         #[bpaf(long, argument("SECONDS"))]
         within_s: u64,
@@ -224,21 +224,21 @@
     #[bpaf(command)]
     Show {
         /// Whom to ask.
-        #[bpaf(external(doors))]
-        doors: Doors,
+        #[bpaf(external(member_endpoints))]
+        endpoints: MemberEndpoints,
         /// The service.
         #[bpaf(positional("SERVICE"))]
         service: String,
     },
     /// List the last roll-out of each service.
     #[bpaf(command)]
-    List(#[bpaf(external(doors))] Doors),
+    List(#[bpaf(external(member_endpoints))] MemberEndpoints),
     /// Send the new version of a service nothing more.
     #[bpaf(command)]
     Withdraw {
         /// Whom to tell.
-        #[bpaf(external(doors))]
-        doors: Doors,
+        #[bpaf(external(member_endpoints))]
+        endpoints: MemberEndpoints,
         /// The service.
         #[bpaf(positional("SERVICE"))]
         service: String,
@@ -247,12 +247,12 @@
 
 impl RolloutCommand {
     /// Whom to tell or ask.
-    pub fn doors(&self) -> &Doors {
+    pub fn endpoints(&self) -> &MemberEndpoints {
         match self {
-            RolloutCommand::Start { doors, .. }
-            | RolloutCommand::Show { doors, .. }
-            | RolloutCommand::Withdraw { doors, .. }
-            | RolloutCommand::List(doors) => doors,
+            RolloutCommand::Start { endpoints, .. }
+            | RolloutCommand::Show { endpoints, .. }
+            | RolloutCommand::Withdraw { endpoints, .. }
+            | RolloutCommand::List(endpoints) => endpoints,
         }
     }
 }
@@ -262,13 +262,13 @@
 pub enum PoisonCommand {
     /// List the requests that are sent nowhere, with their teams, routes and ends.
     #[bpaf(command)]
-    List(#[bpaf(external(doors))] Doors),
+    List(#[bpaf(external(member_endpoints))] MemberEndpoints),
     /// Have one sent to targets again, at all gateways.
     #[bpaf(command)]
     Lift {
         /// Whom to tell.
-        #[bpaf(external(doors))]
-        doors: Doors,
+        #[bpaf(external(member_endpoints))]
+        endpoints: MemberEndpoints,
         /// Fingerprint of the request, as logs and the list have it.
         #[bpaf(positional("FINGERPRINT"))]
         fingerprint: crate::poison::Fingerprint,
@@ -277,9 +277,9 @@
 
 impl PoisonCommand {
     /// Whom to tell or ask.
-    pub fn doors(&self) -> &Doors {
+    pub fn endpoints(&self) -> &MemberEndpoints {
         match self {
-            PoisonCommand::List(doors) | PoisonCommand::Lift { doors, .. } => doors,
+            PoisonCommand::List(endpoints) | PoisonCommand::Lift { endpoints, .. } => endpoints,
         }
     }
 }
--- a/src/clock.rs
+++ b/src/clock.rs
@@ -16,8 +16,8 @@
 impl Instant {
     /// The present moment.
     pub fn now() -> Self {
-        let counted = clock_gettime(ClockId::CLOCK_BOOTTIME);
-        Instant(counted.expect("every Linux has this clock").into())
+        let boot_time = clock_gettime(ClockId::CLOCK_BOOTTIME);
+        Instant(boot_time.expect("every Linux has this clock").into())
     }
 
     /// Time from the start of the host to this moment.
@@ -62,43 +62,43 @@
 }
 
 /// Longest difference between two clocks that are read one after the other on a busy host.
-const READ_TOGETHER: Duration = Duration::from_millis(200);
+const MAX_READ_SKEW: Duration = Duration::from_millis(200);
 
 /// Tells when the host was suspended: this clock went on meanwhile, and the runtime's did not.
 #[derive(Clone, Copy, Debug)]
-pub struct Suspensions {
-    counted: Duration,
-    steady: Duration,
+pub struct SuspendDetector {
+    boot_time: Duration,
+    monotonic: Duration,
 }
 
-impl Suspensions {
+impl SuspendDetector {
     /// Counts from two readings of the clocks at about the same moment.
-    pub fn since(counted: Duration, steady: Duration) -> Self {
-        Suspensions { counted, steady }
+    pub fn from_readings(boot_time: Duration, monotonic: Duration) -> Self {
+        SuspendDetector { boot_time, monotonic }
     }
 
     /// Counts from now on.
-    pub fn watch() -> Self {
-        let (counted, steady) = read_both();
-        Suspensions::since(counted, steady)
+    pub fn start() -> Self {
+        let (boot_time, monotonic) = read_both();
+        SuspendDetector::from_readings(boot_time, monotonic)
     }
 
     /// For how long the host was suspended since the last look, by two readings; nothing where it was not.
-    pub fn between(&mut self, counted: Duration, steady: Duration) -> Option<Duration> {
-        let counted_on = counted.saturating_sub(self.counted);
-        let suspended = counted_on.saturating_sub(steady.saturating_sub(self.steady));
-        *self = Suspensions { counted, steady };
-        (suspended > READ_TOGETHER).then_some(suspended)
+    pub fn update(&mut self, boot_time: Duration, monotonic: Duration) -> Option<Duration> {
+        let elapsed = boot_time.saturating_sub(self.boot_time);
+        let suspended = elapsed.saturating_sub(monotonic.saturating_sub(self.monotonic));
+        *self = SuspendDetector { boot_time, monotonic };
+        (suspended > MAX_READ_SKEW).then_some(suspended)
     }
 
     /// For how long the host was suspended since the last look.
-    pub fn look(&mut self) -> Option<Duration> {
-        let (counted, steady) = read_both();
-        self.between(counted, steady)
+    pub fn check(&mut self) -> Option<Duration> {
+        let (boot_time, monotonic) = read_both();
+        self.update(boot_time, monotonic)
     }
 }
 
 fn read_both() -> (Duration, Duration) {
-    let steady = clock_gettime(ClockId::CLOCK_MONOTONIC);
-    (Instant::now().0, steady.expect("every Linux has this clock").into())
+    let monotonic = clock_gettime(ClockId::CLOCK_MONOTONIC);
+    (Instant::now().0, monotonic.expect("every Linux has this clock").into())
 }
--- a/src/control/calls.rs
+++ b/src/control/calls.rs
@@ -21,7 +21,7 @@
     BoxedDisk, Envelope, GroupId, Members, Replica, Standing, StoreId, Time, Timing,
 };
 use crate::rpc::{
-    ControlClient, ControlError, ControlServer, Identity, MemberStatus, Newcomer, Status,
+    ControlClient, ControlError, ControlServer, Identity, JoinRequest, MemberStatus, Status,
     SyncReply, SyncRequest, WaitReply, connect,
 };
 use crate::settings::{ControlSettings, Settings};
@@ -63,7 +63,7 @@
         Calls {
             partner: settings.partner.clone(),
             key: settings.key.clone(),
-            addr: control.reached_at().unwrap_or_else(unspecified),
+            addr: control.advertised_addr().unwrap_or_else(unspecified),
             settings: control.clone(),
             member,
             platform: Platform::new(reqwest::Client::new(), &settings.platform_url),
@@ -245,7 +245,7 @@
         Ok(())
     }
 
-    async fn join(&self, key: String, newcomer: Newcomer) -> Result<(), ErrorObjectOwned> {
+    async fn join(&self, key: String, newcomer: JoinRequest) -> Result<(), ErrorObjectOwned> {
         self.check_key(&key)?;
         let admitted = self.member.query(move |replica, now| {
             replica.admit(now, newcomer.store, newcomer.addr);
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -11,7 +11,7 @@
 use super::calls::{AddressBook, Calls};
 use super::member::{Member, Outbox};
 use crate::raft::{Envelope, Members, StoreId};
-use crate::rpc::{ControlClient, Newcomer, connect};
+use crate::rpc::{ControlClient, JoinRequest, connect};
 
 /// Batches that wait for a peer; what does not fit is dropped, as the protocol allows.
 const QUEUE_LEN: usize = 64;
@@ -118,7 +118,8 @@
         };
         if !voter {
             for client in &clients {
-                let _ = client.join(sender.key.clone(), Newcomer { store, addr: sender.own }).await;
+                let _ =
+                    client.join(sender.key.clone(), JoinRequest { store, addr: sender.own }).await;
             }
         }
         tokio::time::sleep(JOIN_INTERVAL).await;
--- a/src/dialect.rs
+++ b/src/dialect.rs
@@ -1,6 +1,6 @@
 //! How the outside speaks: names of headers, paths of calls and forms of bodies.
 //!
-//! Routers and members decide nothing by these names; they ask a [`Dialect`]. [`OwnDialect`] is the
+//! Routers and members decide nothing by these names; they ask a [`Dialect`]. [`NativeDialect`] is the
 //! project's own. Another one may be given to a process at its start.
 
 use std::net::SocketAddr;
@@ -39,9 +39,9 @@
     /// In an answer: the target is about to leave.
     pub leaving: HeaderName,
     /// Begin the names of headers that are the dialect's own.
-    pub own_prefixes: &'static [&'static str],
+    pub prefixes: &'static [&'static str],
     /// Further headers of the dialect's own that are only passed on.
-    pub passed_on: Vec<HeaderName>,
+    pub forwarded: Vec<HeaderName>,
     /// Parts of the prompt.
     pub prompt: HeaderName,
     /// Target from which another is to fetch what it keeps of the prompt.
@@ -63,16 +63,16 @@
     }
 
     /// Whether a header of an answer is one of the dialect's own that is neither read nor known to be only passed on.
-    pub fn unread(&self, name: &HeaderName) -> bool {
-        let own = self.own_prefixes.iter().any(|prefix| name.as_str().starts_with(prefix));
+    pub fn is_unknown(&self, name: &HeaderName) -> bool {
+        let own = self.prefixes.iter().any(|prefix| name.as_str().starts_with(prefix));
         let read = [&self.request_id, &self.not_run, &self.stamp, &self.load, &self.leaving];
-        own && !read.into_iter().chain(&self.passed_on).any(|known| known == name)
+        own && !read.into_iter().chain(&self.forwarded).any(|known| known == name)
     }
 }
 
 /// A call at the door of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Door<'a> {
+pub enum ApiCall<'a> {
     /// An operator sends a configuration.
     PutConfiguration,
     /// An operator reads the configuration.
@@ -141,7 +141,7 @@
 
 /// What an answer says of the target that gives it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct TargetWord {
+pub struct TargetStatus {
     /// Its load, where it tells.
     pub load: Option<TargetLoad>,
     /// Whether it is about to leave.
@@ -149,7 +149,7 @@
     /// Whether it did not run the request.
     pub turned_away: bool,
     /// For how long it wants nothing more, where it turned the request away.
-    pub rest: Option<RetryAfter>,
+    pub backoff: Option<RetryAfter>,
 }
 
 /// Paths of calls.
@@ -198,24 +198,24 @@
     ///
     /// # Errors
     /// What can't be read, with the path of the field.
-    fn departure(&self, bytes: &[u8]) -> Result<Born, Vec<Fault>> {
+    fn removal(&self, bytes: &[u8]) -> Result<Born, Vec<Fault>> {
         if bytes.is_empty() {
             return Ok(Born::default());
         }
-        let departure: Departure = jsonc::from_open_slice(bytes)?;
-        Ok(Born(departure.born))
+        let removal: Removal = jsonc::from_slice_lenient(bytes)?;
+        Ok(Born(removal.born))
     }
 
     /// Decodes an operator's call for a roll-out.
     ///
     /// # Errors
     /// What can't be read, with the path of the field.
-    fn rollout(&self, bytes: &[u8]) -> Result<RolloutCall, Vec<Fault>> {
+    fn rollout(&self, bytes: &[u8]) -> Result<RolloutRequest, Vec<Fault>> {
         jsonc::from_slice(bytes)
     }
 
     /// Body of an operator's call for a roll-out.
-    fn rollout_body(&self, call: &RolloutCall) -> String {
+    fn rollout_body(&self, call: &RolloutRequest) -> String {
         serde_json::json!({
             "service": call.service, "version": call.version, "lasts_ms": call.lasts_ms,
         })
@@ -224,44 +224,44 @@
 
     /// What an operator is told of a roll-out.
     fn rollout_answer(&self, rollout: &Rollout) -> String {
-        rollout_text("version", rollout)
+        rollout_json("version", rollout)
     }
 
     /// Body of the answer to a heartbeat; later ones are best sent to `next`.
     fn heartbeat_answer(&self, next: Option<SocketAddr>) -> String;
 
     /// The call that a method and path make.
-    fn door<'a>(&self, method: &Method, path: &'a str) -> Option<Door<'a>> {
+    fn api_call<'a>(&self, method: &Method, path: &'a str) -> Option<ApiCall<'a>> {
         let paths = self.paths();
         if path == paths.configuration {
             return match *method {
-                Method::PUT => Some(Door::PutConfiguration),
-                Method::GET => Some(Door::GetConfiguration),
+                Method::PUT => Some(ApiCall::PutConfiguration),
+                Method::GET => Some(ApiCall::GetConfiguration),
                 _ => None,
             };
         }
         if let Some(data_hall) = path.strip_prefix(paths.evacuations) {
             return match *method {
-                Method::POST => Some(Door::Order { data_hall, evacuate: true }),
-                Method::DELETE => Some(Door::Order { data_hall, evacuate: false }),
-                Method::GET if data_hall.is_empty() => Some(Door::ListOrders),
+                Method::POST => Some(ApiCall::Order { data_hall, evacuate: true }),
+                Method::DELETE => Some(ApiCall::Order { data_hall, evacuate: false }),
+                Method::GET if data_hall.is_empty() => Some(ApiCall::ListOrders),
                 _ => None,
             };
         }
         if let Some(service) = path.strip_prefix(paths.rollouts) {
-            return rollout_door(method, service);
+            return rollout_api_call(method, service);
         }
         if let Some(fingerprint) = path.strip_prefix(paths.poison) {
             return match *method {
-                Method::GET if fingerprint.is_empty() => Some(Door::ListPoison),
-                Method::DELETE => Some(Door::LiftPoison { fingerprint }),
+                Method::GET if fingerprint.is_empty() => Some(ApiCall::ListPoison),
+                Method::DELETE => Some(ApiCall::LiftPoison { fingerprint }),
                 _ => None,
             };
         }
         let id = path.strip_prefix(paths.targets).filter(|id| !id.is_empty())?;
         match *method {
-            Method::PUT => Some(Door::Announce { id }),
-            Method::DELETE => Some(Door::Remove { id }),
+            Method::PUT => Some(ApiCall::Announce { id }),
+            Method::DELETE => Some(ApiCall::Remove { id }),
             _ => None,
         }
     }
@@ -285,14 +285,14 @@
     }
 
     /// What the head of an answer says of its target.
-    fn word(&self, status: StatusCode, headers: &HeaderMap) -> TargetWord {
+    fn target_status(&self, status: StatusCode, headers: &HeaderMap) -> TargetStatus {
         let names = self.headers();
         let text = |name| headers.get(name).and_then(|value: &HeaderValue| value.to_str().ok());
-        TargetWord {
+        TargetStatus {
             load: text(&names.load).and_then(|value| self.load(value)),
             leaving: text(&names.leaving).is_some_and(|value| value.trim() == "1"),
             turned_away: headers.contains_key(&names.not_run),
-            rest: RetryAfter::of_refusal(status, headers),
+            backoff: RetryAfter::of_refusal(status, headers),
         }
     }
 }
@@ -300,7 +300,7 @@
 /// What an operator wants of a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RolloutCall {
+pub struct RolloutRequest {
     /// The service.
     pub service: String,
     /// Version that its traffic is to move to.
@@ -310,33 +310,33 @@
 }
 
 /// Longest roll-out: a day.
-const LONGEST_ROLLOUT_MS: u64 = 86_400_000;
+const MAX_ROLLOUT_MS: u64 = 86_400_000;
 
-impl Validate for RolloutCall {
+impl Validate for RolloutRequest {
     fn faults(&self) -> Vec<Fault> {
         let mut checks = Checks::default();
-        checks.demand(!self.service.is_empty(), "service", "must not be empty");
-        checks.demand(!self.version.is_empty(), "version", "must not be empty");
-        let length = (1..=LONGEST_ROLLOUT_MS).contains(&self.lasts_ms);
-        checks.demand(length, "lasts_ms", "must be above 0 and at most a day");
+        checks.require(!self.service.is_empty(), "service", "must not be empty");
+        checks.require(!self.version.is_empty(), "version", "must not be empty");
+        let length = (1..=MAX_ROLLOUT_MS).contains(&self.lasts_ms);
+        checks.require(length, "lasts_ms", "must be above 0 and at most a day");
         checks.faults()
     }
 }
 
 /// The call that a method makes on what follows the path of roll-outs.
-fn rollout_door<'a>(method: &Method, rest: &'a str) -> Option<Door<'a>> {
+fn rollout_api_call<'a>(method: &Method, rest: &'a str) -> Option<ApiCall<'a>> {
     let service = rest.strip_prefix('/').unwrap_or(rest);
     match (method, service.is_empty()) {
-        (&Method::POST, true) => Some(Door::StartRollout),
-        (&Method::GET, true) => Some(Door::ListRollouts),
-        (&Method::GET, false) => Some(Door::ShowRollout { service }),
-        (&Method::DELETE, false) => Some(Door::WithdrawRollout { service }),
+        (&Method::POST, true) => Some(ApiCall::StartRollout),
+        (&Method::GET, true) => Some(ApiCall::ListRollouts),
+        (&Method::GET, false) => Some(ApiCall::ShowRollout { service }),
+        (&Method::DELETE, false) => Some(ApiCall::WithdrawRollout { service }),
         _ => None,
     }
 }
 
 /// A roll-out as text, the version under the given name.
-pub fn rollout_text(version: &str, rollout: &Rollout) -> String {
+pub fn rollout_json(version: &str, rollout: &Rollout) -> String {
     let state = match rollout.stage {
         Stage::Part(_) | Stage::Shifted => "running",
         Stage::Completed => "completed",
@@ -352,14 +352,14 @@
 pub type SharedDialect = Arc<dyn Dialect>;
 
 /// The project's own dialect.
-pub struct OwnDialect {
+pub struct NativeDialect {
     headers: Headers,
 }
 
-impl Default for OwnDialect {
+impl Default for NativeDialect {
     fn default() -> Self {
         let name = HeaderName::from_static;
-        OwnDialect {
+        NativeDialect {
             headers: Headers {
                 request_id: name("latchmount-request-id"),
                 deadline_ms: name("latchmount-deadline-ms"),
@@ -370,8 +370,8 @@
                 stamp: name("latchmount-stamp"),
                 load: name("latchmount-load"),
                 leaving: name("latchmount-leaving"),
-                own_prefixes: &["latchmount-"],
-                passed_on: Vec::new(),
+                prefixes: &["latchmount-"],
+                forwarded: Vec::new(),
                 prompt: name("latchmount-prompt"),
                 fetch_from: name("latchmount-fetch-from"),
                 priority: name("latchmount-priority"),
@@ -385,7 +385,7 @@
 /// A heartbeat in the project's own form.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct OwnHeartbeat {
+struct NativeHeartbeat {
     service: String,
     #[serde(default)]
     version: String,
@@ -402,18 +402,18 @@
 
 /// What a target says that leaves for good.
 #[derive(Debug, Deserialize)]
-struct Departure {
+struct Removal {
     #[serde(default)]
     born: Option<u64>,
 }
 
-impl Validate for Departure {
+impl Validate for Removal {
     fn faults(&self) -> Vec<Fault> {
         Vec::new()
     }
 }
 
-impl Validate for OwnHeartbeat {
+impl Validate for NativeHeartbeat {
     fn faults(&self) -> Vec<Fault> {
         let silent = self.state == TargetState::Silent;
         let fault = Fault::new("state", "must be ready or draining");
@@ -423,11 +423,11 @@
 
 /// The answer to a heartbeat in the project's own form.
 #[derive(Debug, Serialize)]
-struct OwnHeartbeatAnswer {
+struct NativeHeartbeatAnswer {
     next: Option<SocketAddr>,
 }
 
-impl Dialect for OwnDialect {
+impl Dialect for NativeDialect {
     fn headers(&self) -> &Headers {
         &self.headers
     }
@@ -448,7 +448,7 @@
     }
 
     fn announcement(&self, id: &str, bytes: &[u8]) -> Result<Announcement, Vec<Fault>> {
-        let heartbeat: OwnHeartbeat = jsonc::from_slice(bytes)?;
+        let heartbeat: NativeHeartbeat = jsonc::from_slice(bytes)?;
         Ok(Announcement {
             id: id.to_owned(),
             born: Born(heartbeat.born),
@@ -464,6 +464,6 @@
     }
 
     fn heartbeat_answer(&self, next: Option<SocketAddr>) -> String {
-        serde_json::to_string(&OwnHeartbeatAnswer { next }).unwrap_or_default()
+        serde_json::to_string(&NativeHeartbeatAnswer { next }).unwrap_or_default()
     }
 }
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -1,4 +1,4 @@
-//! Tells the story of one request from the logs of several processes.
+//! Reconstructs the timeline of one request from the logs of several processes.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -7,8 +7,8 @@
 
 use crate::logline::LogLine;
 
-/// Events by which a process tells what it believes, and what each belief is about.
-const BELIEFS: [(&str, &str); 13] = [
+/// Events that report state which a process bases its decisions on, and the topic of each.
+const STATE_EVENTS: [(&str, &str); 13] = [
     ("configuration", "configuration"),
     ("targets", "targets"),
     ("gateways", "gateways"),
@@ -24,18 +24,20 @@
     ("gateway_started", "start"),
 ];
 
-/// Events with which a process starts.
-const STARTS: [&str; 2] = ["gateway_started", "member_started"];
+/// Events that a process logs at its start.
+const START_EVENTS: [&str; 2] = ["gateway_started", "member_started"];
 
-/// What a process believed of a matter at some time.
+/// State of one topic that the process had last logged at the time of a decision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Belief {
-    /// The matter.
-    pub matter: &'static str,
-    /// How long before the decision it was last told, in milliseconds.
+pub struct KnownState {
+    /// The topic, from [`STATE_EVENTS`].
+    #[serde(rename = "matter")]
+    pub topic: &'static str,
+    /// How long before the decision it was logged, in milliseconds.
     pub age_ms: u64,
-    /// What was told.
-    pub told: String,
+    /// The logged keys and values.
+    #[serde(rename = "told")]
+    pub state: String,
 }
 
 /// One decision on the request.
@@ -43,28 +45,29 @@
 pub struct Step {
     /// Time of day, in milliseconds since 1970.
     pub at_ms: u64,
-    /// Host that decided.
+    /// Host whose process made the decision.
     pub host: String,
-    /// What happened.
+    /// The `event` of the log line.
     pub event: String,
-    /// What it was decided on, and how it went.
+    /// The other keys and values of the line: what the decision was based on, and its outcome.
     pub details: BTreeMap<String, String>,
-    /// What the host believed then.
-    pub beliefs: Vec<Belief>,
+    /// The state that the process had logged before.
+    #[serde(rename = "beliefs")]
+    pub known_state: Vec<KnownState>,
 }
 
-/// The story of one request.
+/// The timeline of one request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
-pub struct Story {
-    /// The request.
+pub struct Timeline {
+    /// Id of the request.
     pub id: String,
-    /// Its decisions, by time.
+    /// The decisions on it, by time.
     pub steps: Vec<Step>,
 }
 
-impl Story {
-    /// Picks the story of `id` out of log lines of any processes, in any order.
-    pub fn of<'a>(id: &str, lines: impl Iterator<Item = &'a str>) -> Story {
+impl Timeline {
+    /// Builds the timeline of request `id` from log lines of any processes, in any order.
+    pub fn of<'a>(id: &str, lines: impl Iterator<Item = &'a str>) -> Timeline {
         let mut parsed: Vec<LogLine> = lines.filter_map(LogLine::parse).collect();
         parsed.sort_by_key(LogLine::at_ms);
         let mut known: BTreeMap<(String, String), &LogLine> = BTreeMap::new();
@@ -73,33 +76,34 @@
             if line.get("id") == Some(id) {
                 steps.push(step(line, &known));
             }
-            if STARTS.contains(&line.event()) {
-                // A process that starts believes nothing yet.
+            if START_EVENTS.contains(&line.event()) {
+                // A restarted process has lost the state of its predecessor.
                 known.retain(|(host, _), _| host != line.host());
             }
-            if let Some(matter) = matter(line) {
-                let about = line.get("target").unwrap_or("");
-                known.insert((line.host().to_owned(), format!("{matter} {about}")), line);
+            if let Some(topic) = topic(line) {
+                let target = line.get("target").unwrap_or("");
+                known.insert((line.host().to_owned(), format!("{topic} {target}")), line);
             }
         }
-        Story { id: id.to_owned(), steps }
+        Timeline { id: id.to_owned(), steps }
     }
 }
 
-fn matter(line: &LogLine) -> Option<&'static str> {
-    BELIEFS.iter().find(|(event, _)| *event == line.event()).map(|(_, matter)| *matter)
+fn topic(line: &LogLine) -> Option<&'static str> {
+    STATE_EVENTS.iter().find(|(event, _)| *event == line.event()).map(|(_, topic)| *topic)
 }
 
 fn step(line: &LogLine, known: &BTreeMap<(String, String), &LogLine>) -> Step {
     let at_ms = line.at_ms().unwrap_or(0);
     let target = line.get("target");
-    let here = known.iter().filter(|((host, _), _)| host == line.host());
-    let concerns = here.filter(|(_, told)| told.get("target").is_none_or(|t| Some(t) == target));
-    let beliefs = concerns.filter_map(|(_, told)| {
-        Some(Belief {
-            matter: matter(told)?,
-            age_ms: at_ms.saturating_sub(told.at_ms()?),
-            told: join(told.details()),
+    let of_host = known.iter().filter(|((host, _), _)| host == line.host());
+    let relevant =
+        of_host.filter(|(_, state)| state.get("target").is_none_or(|t| Some(t) == target));
+    let known_state = relevant.filter_map(|(_, state)| {
+        Some(KnownState {
+            topic: topic(state)?,
+            age_ms: at_ms.saturating_sub(state.at_ms()?),
+            state: join(state.details()),
         })
     });
     Step {
@@ -107,16 +111,16 @@
         host: line.host().to_owned(),
         event: line.event().to_owned(),
         details: line.details().map(|(key, value)| (key.to_owned(), value.to_owned())).collect(),
-        beliefs: beliefs.collect(),
+        known_state: known_state.collect(),
     }
 }
 
 fn join<'a>(pairs: impl Iterator<Item = (&'a str, &'a str)>) -> String {
-    let words: Vec<String> = pairs.map(|(key, value)| format!("{key}={value}")).collect();
-    words.join(" ")
+    let pairs: Vec<String> = pairs.map(|(key, value)| format!("{key}={value}")).collect();
+    pairs.join(" ")
 }
 
-impl fmt::Display for Story {
+impl fmt::Display for Timeline {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Some(first) = self.steps.first() else {
             return write!(f, "no line tells of request {}", self.id);
@@ -126,9 +130,9 @@
             let after = step.at_ms - first.at_ms;
             let details = step.details.iter().map(|(key, value)| (key.as_str(), value.as_str()));
             write!(f, "\n+{after:>6} ms  {}  {}: {}", step.host, step.event, join(details))?;
-            for belief in &step.beliefs {
-                let Belief { matter, age_ms, told } = belief;
-                write!(f, "\n            believed, told {age_ms} ms before: {matter}: {told}")?;
+            for known in &step.known_state {
+                let KnownState { topic, age_ms, state } = known;
+                write!(f, "\n            believed, told {age_ms} ms before: {topic}: {state}")?;
             }
         }
         Ok(())
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -18,7 +18,7 @@
 use super::{Gateway, Stage, exchange};
 use crate::configuration::ClientLimits;
 use crate::link::set_tcp_timeouts;
-use crate::small_server;
+use crate::status_server;
 
 /// Pause after `accept` fails, e.g. for lack of file descriptors, or while there are too many clients.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
@@ -95,7 +95,7 @@
 
 /// Answers the load balancer's readiness checks.
 pub(super) async fn serve_ready(gateway: Arc<Gateway>, listener: TcpListener) {
-    small_server::serve(listener, move |request| {
+    status_server::serve(listener, move |request| {
         let known = request.uri().path() == gateway.dialect.paths().ready;
         let status = match (known, gateway.ready()) {
             (false, _) => StatusCode::NOT_FOUND,
@@ -109,5 +109,5 @@
 
 /// Serves the metrics to scrapers.
 pub(super) async fn serve_metrics(gateway: Arc<Gateway>, listener: TcpListener) {
-    small_server::serve(listener, move |_| (StatusCode::OK, gateway.render_metrics())).await;
+    status_server::serve(listener, move |_| (StatusCode::OK, gateway.render_metrics())).await;
 }
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -210,11 +210,11 @@
                 "Members that were followed no longer, by why.",
                 &["reason"],
             )?,
-            update_age: set.fraction(
+            update_age: set.float_gauge(
                 "latchmount_gateway_news_age_seconds",
                 "Time since a member that hears a leader was last heard; -1 before.",
             )?,
-            paused: set.fraction(
+            paused: set.float_gauge(
                 "latchmount_gateway_paused_seconds",
                 "Time in which this process stood still.",
             )?,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -296,7 +296,7 @@
 
     /// Records what the head of an answer reports about its target: load, shutdown, and a request to back off.
     fn record_target_report(&self, target: &Target, status: StatusCode, headers: &HeaderMap) {
-        let report = self.dialect.word(status, headers);
+        let report = self.dialect.target_status(status, headers);
         if let Some(load) = report.load.filter(|_| self.uses(Mechanism::TargetLoads)) {
             target.note_reported_load(self.now(), load);
         }
@@ -304,7 +304,7 @@
             let known = target.draining();
             trace::target_shutting_down(self, target, target.note_draining(), known);
         }
-        match report.rest {
+        match report.backoff {
             Some(backoff) => {
                 target.note_backoff(self.now(), backoff, return_spread(self.gateways()));
                 trace::backoff_requested(self, target, backoff);
--- a/src/gateway/settings.rs
+++ b/src/gateway/settings.rs
@@ -169,21 +169,21 @@
 impl Validate for GatewaySettings {
     fn faults(&self) -> Vec<Fault> {
         let mut checks = Checks::default();
-        checks.demand(!self.host.is_empty(), "host", "must name this host");
+        checks.require(!self.host.is_empty(), "host", "must name this host");
         let listens = self.listen.is_some();
-        checks.demand(listens, "listen", "must be an address such as 10.0.0.4:8080");
-        checks.demand(!self.members.is_empty(), "members", "must name at least one member");
-        checks.demand(self.peer_port > 0, "peer_port", "must be a port above 0");
+        checks.require(listens, "listen", "must be an address such as 10.0.0.4:8080");
+        checks.require(!self.members.is_empty(), "members", "must name at least one member");
+        checks.require(self.peer_port > 0, "peer_port", "must be a port above 0");
         let ratio = (0.0..=10.0).contains(&self.retry_ratio);
-        checks.demand(ratio, "retry_ratio", "must be from 0 to 10");
+        checks.require(ratio, "retry_ratio", "must be from 0 to 10");
         checks.positive("retry_window_s", self.retry_window_s);
-        checks.demand(self.retry_slack >= 0.0, "retry_slack", "must be at least 0");
-        checks.demand(self.load_bound >= 1.0, "load_bound", "must be at least 1");
-        checks.demand(self.cold_over >= 0.0, "cold_over", "must be at least 0");
-        checks.demand(self.cold_slack >= 0.0, "cold_slack", "must be at least 0");
-        checks.demand(self.memory_mb >= MIN_MEMORY_MB, "memory_mb", "must be at least 32");
-        checks.demand(self.client_buffer_kb > 0, "client_buffer_kb", "must be above 0");
-        checks.demand(self.target_bodies_kb > 0, "target_bodies_kb", "must be above 0");
+        checks.require(self.retry_slack >= 0.0, "retry_slack", "must be at least 0");
+        checks.require(self.load_bound >= 1.0, "load_bound", "must be at least 1");
+        checks.require(self.cold_over >= 0.0, "cold_over", "must be at least 0");
+        checks.require(self.cold_slack >= 0.0, "cold_slack", "must be at least 0");
+        checks.require(self.memory_mb >= MIN_MEMORY_MB, "memory_mb", "must be at least 32");
+        checks.require(self.client_buffer_kb > 0, "client_buffer_kb", "must be above 0");
+        checks.require(self.target_bodies_kb > 0, "target_bodies_kb", "must be above 0");
         checks.above_zero(&[
             ("client_unread_ms", self.client_unread_ms),
             ("stale_after_ms", self.stale_after_ms),
@@ -191,7 +191,7 @@
             ("unacknowledged_ms", self.unacknowledged_ms),
             ("stop_within_ms", self.stop_within_ms),
         ]);
-        checks.demand(self.max_descriptors >= 64, "max_descriptors", "must be at least 64");
+        checks.require(self.max_descriptors >= 64, "max_descriptors", "must be at least 64");
         checks.faults()
     }
 }
--- a/src/gateway/subscriber.rs
+++ b/src/gateway/subscriber.rs
@@ -14,7 +14,7 @@
 use super::mechanism::Mechanism;
 use super::member_order::MemberOrder;
 use super::update_receiver::{FetchResult, UpdateReceiver};
-use crate::clock::{Instant, Suspensions};
+use crate::clock::{Instant, SuspendDetector};
 use crate::group::loads::own_loads_interval;
 use crate::group::message::{FromMember, Subscription, ToMember, Update};
 use crate::level::Level;
@@ -50,7 +50,7 @@
         failback: Failback::new(gateway.settings.source),
         unreachable: false,
         reported_idle: false,
-        suspensions: Suspensions::watch(),
+        suspensions: SuspendDetector::start(),
         last_data: LastData { at: Instant::now(), ran: gateway.run_clock.ran() },
         poison_reported: 0,
         gateway,
@@ -118,7 +118,7 @@
     unreachable: bool,
     /// Whether the last load report said that nothing is in flight here.
     reported_idle: bool,
-    suspensions: Suspensions,
+    suspensions: SuspendDetector,
     last_data: LastData,
     /// Change number up to which poison requests seen here have been reported to the member.
     poison_reported: u64,
@@ -220,7 +220,7 @@
             "member" => %member, "until" => ?until, "version" => self.gateway.version());
         self.updates.abort_fetches();
         self.failback.restart();
-        self.suspensions = Suspensions::watch();
+        self.suspensions = SuspendDetector::start();
         // The member may just have started, with no reports at all.
         self.poison_reported = 0;
         self.report_poison(&mut sender).await?;
@@ -290,7 +290,7 @@
                 }
             };
             // After a suspension the event is dropped, whichever it is: its data may be from before.
-            return Ok(self.suspensions.look().map_or(event, Event::Resumed));
+            return Ok(self.suspensions.check().map_or(event, Event::Resumed));
         }
     }
 
--- a/src/gateway/unknown_headers.rs
+++ b/src/gateway/unknown_headers.rs
@@ -38,7 +38,7 @@
 impl Gateway {
     /// Counts the unknown headers of an answer, and logs each new name once.
     pub(super) fn note_unknown_headers(&self, target: &Target, headers: &HeaderMap) {
-        for name in headers.keys().filter(|name| self.header_names().unread(name)) {
+        for name in headers.keys().filter(|name| self.header_names().is_unknown(name)) {
             let (new, counted_as) = lock(&self.unknown_headers).note(name);
             self.metrics.unread_header(counted_as);
             if new {
--- a/src/group/endpoints.rs
+++ b/src/group/endpoints.rs
@@ -19,7 +19,7 @@
 use super::heartbeats::HeartbeatOutcome;
 use super::rollout::RolloutError;
 use super::{Shared, Unavailable};
-use crate::dialect::Door;
+use crate::dialect::ApiCall;
 use crate::directory::{Announcement, Born, Incarnation};
 use crate::document::{Document, MAX_DOCUMENT_BYTES};
 use crate::jsonc::{Fault, Validate};
@@ -78,11 +78,11 @@
 /// Reads a request, executes the call, and counts it in the metrics.
 async fn answer(shared: &Shared, request: Request<Incoming>) -> ApiResponse {
     let (head, body) = request.into_parts();
-    let Some(door) = shared.dialect.door(&head.method, head.uri.path()) else {
+    let Some(door) = shared.dialect.api_call(&head.method, head.uri.path()) else {
         return fault_response(StatusCode::NOT_FOUND, &[Fault::new("", "no such call")]);
     };
     let max_bytes = match door {
-        Door::PutConfiguration => MAX_DOCUMENT_BYTES,
+        ApiCall::PutConfiguration => MAX_DOCUMENT_BYTES,
         _ => MAX_CALL_BYTES,
     };
     let body = Limited::new(body, max_bytes).collect();
@@ -99,23 +99,23 @@
         }
     };
     let (call, response) = match door {
-        Door::PutConfiguration => ("put_configuration", put_configuration(shared, body).await),
-        Door::GetConfiguration => ("get_configuration", get_configuration(shared).await),
-        Door::Announce { id } => ("heartbeat", announce(shared, id, &body).await),
-        Door::Remove { id } => ("remove", remove(shared, id, &body).await),
-        Door::Order { data_hall, evacuate } => {
+        ApiCall::PutConfiguration => ("put_configuration", put_configuration(shared, body).await),
+        ApiCall::GetConfiguration => ("get_configuration", get_configuration(shared).await),
+        ApiCall::Announce { id } => ("heartbeat", announce(shared, id, &body).await),
+        ApiCall::Remove { id } => ("remove", remove(shared, id, &body).await),
+        ApiCall::Order { data_hall, evacuate } => {
             let call = if evacuate { "evacuate" } else { "withdraw_evacuation" };
             (call, order_evacuation(shared, data_hall, evacuate, &body).await)
         }
-        Door::ListOrders => ("list_evacuations", list_evacuations(shared).await),
-        Door::StartRollout => ("start_rollout", start_rollout(shared, &body).await),
-        Door::ShowRollout { service } => ("show_rollout", show_rollout(shared, service).await),
-        Door::ListRollouts => ("list_rollouts", list_rollouts(shared).await),
-        Door::WithdrawRollout { service } => {
+        ApiCall::ListOrders => ("list_evacuations", list_evacuations(shared).await),
+        ApiCall::StartRollout => ("start_rollout", start_rollout(shared, &body).await),
+        ApiCall::ShowRollout { service } => ("show_rollout", show_rollout(shared, service).await),
+        ApiCall::ListRollouts => ("list_rollouts", list_rollouts(shared).await),
+        ApiCall::WithdrawRollout { service } => {
             ("withdraw_rollout", withdraw_rollout(shared, service).await)
         }
-        Door::ListPoison => ("list_poison", list_poison(shared)),
-        Door::LiftPoison { fingerprint } => ("lift_poison", lift_poison(shared, fingerprint)),
+        ApiCall::ListPoison => ("list_poison", list_poison(shared)),
+        ApiCall::LiftPoison { fingerprint } => ("lift_poison", lift_poison(shared, fingerprint)),
     };
     shared.metrics.count_call(call, response.status().as_str());
     response
@@ -246,7 +246,7 @@
 }
 
 async fn remove(shared: &Shared, id: &str, body: &[u8]) -> ApiResponse {
-    let born = match shared.dialect.departure(body) {
+    let born = match shared.dialect.removal(body) {
         Ok(born) => born,
         Err(faults) => {
             info!(shared.log, "removal refused"; "event" => "removal_refused",
--- a/src/group/metrics.rs
+++ b/src/group/metrics.rs
@@ -9,7 +9,7 @@
 use crate::clock::Instant;
 use crate::metrics::{MetricSet, SECONDS, SHORT_SECONDS};
 use crate::raft::Standing;
-use crate::small_server;
+use crate::status_server;
 use crate::sync::lock;
 
 /// Maximum length of a field name used as a label value.
@@ -212,6 +212,6 @@
 
 /// Serves the metrics over HTTP; never returns.
 pub(super) async fn serve(shared: Arc<Shared>, listener: TcpListener) {
-    small_server::serve(listener, move |_| (http::StatusCode::OK, shared.metrics.render(&shared)))
+    status_server::serve(listener, move |_| (http::StatusCode::OK, shared.metrics.render(&shared)))
         .await;
 }
--- a/src/group/settings.rs
+++ b/src/group/settings.rs
@@ -126,21 +126,21 @@
 impl Validate for MemberSettings {
     fn faults(&self) -> Vec<Fault> {
         let mut checks = Checks::default();
-        checks.demand(!self.host.is_empty(), "host", "must name this host");
+        checks.require(!self.host.is_empty(), "host", "must name this host");
         let listens = self.listen.is_some();
-        checks.demand(listens, "listen", "must be an address such as 10.0.0.4:8229");
-        checks.demand(self.peer_port > 0, "peer_port", "must be a port above 0");
-        checks.demand(!self.seeds.is_empty(), "seeds", "must name at least one member");
+        checks.require(listens, "listen", "must be an address such as 10.0.0.4:8229");
+        checks.require(self.peer_port > 0, "peer_port", "must be a port above 0");
+        checks.require(!self.seeds.is_empty(), "seeds", "must name at least one member");
         let folder = !self.data_dir.as_os_str().is_empty();
-        checks.demand(folder, "data_dir", "must name a folder");
-        checks.demand(self.bear_losses <= MAX_LOSSES, "bear_losses", "must be at most 4");
+        checks.require(folder, "data_dir", "must name a folder");
+        checks.require(self.bear_losses <= MAX_LOSSES, "bear_losses", "must be at most 4");
         checks.above_zero(&[("heartbeat_ms", self.heartbeat_ms)]);
         let apart = self.election_min_ms >= 2 * self.heartbeat_ms;
-        checks.demand(apart, "election_min_ms", "must be at least twice heartbeat_ms");
+        checks.require(apart, "election_min_ms", "must be at least twice heartbeat_ms");
         let ordered = self.election_max_ms > self.election_min_ms;
-        checks.demand(ordered, "election_max_ms", "must be above election_min_ms");
+        checks.require(ordered, "election_max_ms", "must be above election_min_ms");
         let after_election = self.replace_after_ms >= self.election_max_ms;
-        checks.demand(after_election, "replace_after_ms", "must be at least election_max_ms");
+        checks.require(after_election, "replace_after_ms", "must be at least election_max_ms");
         checks.above_zero(&[
             ("compact_after_entries", self.compact_after_entries as u64),
             ("target_heartbeat_ms", self.target_heartbeat_ms),
@@ -148,7 +148,7 @@
         ]);
         checks.positive("link_mbps", self.link_mbps);
         let share = self.expose_share > 0.0 && self.expose_share <= 1.0;
-        checks.demand(share, "expose_share", "must be above 0 and at most 1");
+        checks.require(share, "expose_share", "must be above 0 and at most 1");
         checks.faults()
     }
 }
--- a/src/jsonc.rs
+++ b/src/jsonc.rs
@@ -62,7 +62,7 @@
 
 /// A document that may have fields of a later version.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Open<T> {
+pub struct Lenient<T> {
     /// The document.
     pub document: T,
     /// Fields that are unknown here and were passed over.
@@ -73,16 +73,18 @@
 ///
 /// # Errors
 /// All other faults found, ordered by line.
-pub fn from_open_str<T: DeserializeOwned + Validate>(text: &str) -> Result<Open<T>, Vec<Fault>> {
+pub fn from_str_lenient<T: DeserializeOwned + Validate>(
+    text: &str,
+) -> Result<Lenient<T>, Vec<Fault>> {
     if !text.as_bytes().starts_with(BYTE_ORDER_MARK)
         && let Ok(value) = parse(text)
         && let Ok((document, unknown)) = decode::<T>(&value)
         && document.faults().is_empty()
     {
-        return Ok(Open { document, unknown: with_lines(text, unknown) });
+        return Ok(Lenient { document, unknown: with_lines(text, unknown) });
     }
     let document = from_str(text)?;
-    Ok(Open { document, unknown: Vec::new() })
+    Ok(Lenient { document, unknown: Vec::new() })
 }
 
 fn with_lines(text: &str, mut faults: Vec<Fault>) -> Vec<Fault> {
@@ -111,7 +113,7 @@
 ///
 /// # Errors
 /// The first field that can't be read, or else every impossible value.
-pub fn from_open_slice<T: DeserializeOwned + Validate>(bytes: &[u8]) -> Result<T, Vec<Fault>> {
+pub fn from_slice_lenient<T: DeserializeOwned + Validate>(bytes: &[u8]) -> Result<T, Vec<Fault>> {
     if bytes.starts_with(BYTE_ORDER_MARK) {
         return Err(vec![Fault::new("", "begins with a byte-order mark; send plain UTF-8")]);
     }
@@ -141,7 +143,7 @@
             Ok((document, unknown)) => {
                 faults.extend(unknown);
                 faults.extend(document.faults());
-                return if faults.is_empty() { Ok(document) } else { Err(without_echoes(faults)) };
+                return if faults.is_empty() { Ok(document) } else { Err(dedup_by_path(faults)) };
             }
             Err(fault) => {
                 // Drop the faulty field and go on, so that later faults are found too.
@@ -203,11 +205,11 @@
 }
 
 /// A field that was dropped as faulty decodes to its default, whose own fault is not the author's.
-fn without_echoes(faults: Vec<Fault>) -> Vec<Fault> {
+fn dedup_by_path(faults: Vec<Fault>) -> Vec<Fault> {
     let mut kept: Vec<Fault> = Vec::new();
     for fault in faults {
-        let echo = kept.iter().any(|earlier| earlier.path == fault.path);
-        if !echo {
+        let duplicate = kept.iter().any(|earlier| earlier.path == fault.path);
+        if !duplicate {
             kept.push(fault);
         }
     }
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -32,6 +32,6 @@
 }
 
 /// A logger that writes nothing.
-pub fn silent() -> Logger {
+pub fn discard() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/src/logline.rs
+++ b/src/logline.rs
@@ -13,7 +13,7 @@
         let mut rest = line.trim();
         while !rest.is_empty() {
             let (key, after) = rest.split_once('=')?;
-            let (value, after) = take_value(after)?;
+            let (value, after) = split_value(after)?;
             fields.push((key.to_owned(), value));
             rest = after.trim_start();
         }
@@ -50,7 +50,7 @@
 }
 
 /// A value, quoted or bare, and what follows it.
-fn take_value(text: &str) -> Option<(String, &str)> {
+fn split_value(text: &str) -> Option<(String, &str)> {
     let Some(quoted) = text.strip_prefix('"') else {
         let end = text.find(' ').unwrap_or(text.len());
         return Some((text[..end].to_owned(), &text[end..]));
--- a/src/main.rs
+++ b/src/main.rs
@@ -5,16 +5,16 @@
 use std::time::Duration;
 
 use latchmount::cli::{Cli, EvacuationCommand, PoisonCommand, Process, RolloutCommand, cli};
-use latchmount::dialect::{OwnDialect, SharedDialect};
+use latchmount::dialect::{NativeDialect, SharedDialect};
 use latchmount::operator::{self, OperatorError};
-use latchmount::process::{self, Outside, Roles};
+use latchmount::process::{self, FleetRole, Roles};
 use tokio::runtime::{Builder, Runtime};
 
 #[path = "../platform/mod.rs"]
 mod platform;
 
 /// Longest time for the last log lines once a process has ended its work.
-const LAST_LINES: Duration = Duration::from_millis(200);
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 fn main() -> ExitCode {
     let command = match cli().run_inner(bpaf::Args::current_args()) {
@@ -42,21 +42,21 @@
 /// The dialect that a command names; the project's own without a name.
 fn dialect(name: Option<&str>) -> Option<SharedDialect> {
     match name {
-        None => Some(Arc::new(OwnDialect::default())),
+        None => Some(Arc::new(NativeDialect::default())),
         Some(platform::NAME) => Some(Arc::new(platform::Platform::default())),
         Some(_) => None,
     }
 }
 
-async fn outside(process: Process, role: Outside) -> ExitCode {
+async fn run_fleet_role(process: Process, role: FleetRole) -> ExitCode {
     let Some(dialect) = dialect(process.dialect.as_deref()) else {
         return fail(&"--dialect: no such dialect", 2);
     };
-    let ended = process::run_outside(process, role, dialect).await;
+    let ended = process::run_fleet_role(process, role, dialect).await;
     let code = i32::from(ended.is_err());
     // The last lines may wait for a reader that stands still; the process must end all the same.
     std::thread::spawn(move || {
-        std::thread::sleep(LAST_LINES);
+        std::thread::sleep(LOG_FLUSH_TIMEOUT);
         std::process::exit(code);
     });
     match ended {
@@ -70,8 +70,8 @@
         Cli::Router(process) => serve(process, Roles::Router).await,
         Cli::Control(process) => serve(process, Roles::Control).await,
         Cli::Serve(process) => serve(process, Roles::All).await,
-        Cli::Gateway(process) => outside(process, Outside::Gateway).await,
-        Cli::Member(process) => outside(process, Outside::Member).await,
+        Cli::Gateway(process) => run_fleet_role(process, FleetRole::Gateway).await,
+        Cli::Member(process) => run_fleet_role(process, FleetRole::Member).await,
         Cli::Check { file } => print(operator::check(&file)),
         Cli::Explain { json, id, files } => print(operator::explain(&id, &files, json)),
         Cli::Account { json, files } => print(operator::account(&files, json)),
@@ -86,21 +86,21 @@
 }
 
 async fn evacuation(command: EvacuationCommand) -> ExitCode {
-    let Some(dialect) = dialect(command.doors().dialect.as_deref()) else {
+    let Some(dialect) = dialect(command.endpoints().dialect.as_deref()) else {
         return fail(&"--dialect: no such dialect", 2);
     };
     print(operator::evacuation(&command, dialect.as_ref()).await)
 }
 
 async fn poison(command: PoisonCommand) -> ExitCode {
-    let Some(dialect) = dialect(command.doors().dialect.as_deref()) else {
+    let Some(dialect) = dialect(command.endpoints().dialect.as_deref()) else {
         return fail(&"--dialect: no such dialect", 2);
     };
     print(operator::poison(&command, dialect.as_ref()).await)
 }
 
 async fn rollout(command: RolloutCommand) -> ExitCode {
-    let Some(dialect) = dialect(command.doors().dialect.as_deref()) else {
+    let Some(dialect) = dialect(command.endpoints().dialect.as_deref()) else {
         return fail(&"--dialect: no such dialect", 2);
     };
     print(operator::rollout(&command, dialect.as_ref()).await)
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -41,7 +41,7 @@
     }
 
     /// The same with fractions.
-    pub fn fraction(&self, name: &str, help: &str) -> Result<Gauge, prometheus::Error> {
+    pub fn float_gauge(&self, name: &str, help: &str) -> Result<Gauge, prometheus::Error> {
         self.add(Gauge::new(name, help)?)
     }
 
--- a/src/operator/doors.rs
+++ b/src/operator/doors.rs
@@ -5,9 +5,9 @@
 use http::Method;
 
 use super::{OperatorError, TRY_PAUSE};
-use crate::cli::{Doors, EvacuationCommand, PoisonCommand, RolloutCommand};
+use crate::cli::{EvacuationCommand, MemberEndpoints, PoisonCommand, RolloutCommand};
 use crate::clock::Instant;
-use crate::dialect::{Dialect, RolloutCall};
+use crate::dialect::{Dialect, RolloutRequest};
 use crate::jsonc::{Fault, Validate};
 use crate::retry_after::RetryAfter;
 
@@ -23,7 +23,7 @@
     dialect: &dyn Dialect,
 ) -> Result<String, OperatorError> {
     let prefix = dialect.paths().evacuations;
-    let doors = command.doors();
+    let doors = command.endpoints();
     match command {
         EvacuationCommand::Order { data_hall, .. } => {
             call_doors(doors, Method::POST, &format!("{prefix}{}", escape(data_hall))).await?;
@@ -48,7 +48,7 @@
     let prefix = dialect.paths().poison;
     match command {
         PoisonCommand::List(doors) => call_doors(doors, Method::GET, prefix).await,
-        PoisonCommand::Lift { doors, fingerprint } => {
+        PoisonCommand::Lift { endpoints: doors, fingerprint } => {
             call_doors(doors, Method::DELETE, &format!("{prefix}{fingerprint}")).await?;
             Ok(format!("{fingerprint} is sent to targets again"))
         }
@@ -64,11 +64,12 @@
     dialect: &dyn Dialect,
 ) -> Result<String, OperatorError> {
     let path = dialect.paths().rollouts;
-    let doors = command.doors();
+    let doors = command.endpoints();
     match command {
         RolloutCommand::Start { within_s, service, version, .. } => {
             let lasts_ms = within_s.saturating_mul(1_000);
-            let call = RolloutCall { service: service.clone(), version: version.clone(), lasts_ms };
+            let call =
+                RolloutRequest { service: service.clone(), version: version.clone(), lasts_ms };
             let faults = call.faults();
             if !faults.is_empty() {
                 return Err(OperatorError::Faulty(faults));
@@ -93,13 +94,17 @@
 }
 
 /// Calls members, each no sooner than it has said, until one gives a clear answer; returns its body.
-async fn call_doors(doors: &Doors, method: Method, path: &str) -> Result<String, OperatorError> {
+async fn call_doors(
+    doors: &MemberEndpoints,
+    method: Method,
+    path: &str,
+) -> Result<String, OperatorError> {
     send_to_doors(doors, method, path, String::new()).await
 }
 
 /// The same with a body.
 async fn send_to_doors(
-    doors: &Doors,
+    doors: &MemberEndpoints,
     method: Method,
     path: &str,
     body: String,
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -12,7 +12,7 @@
 use crate::account::Account;
 use crate::cli::{ChangeArgs, Remote, TemplateCommand};
 use crate::clock::Instant;
-use crate::explain::Story;
+use crate::explain::Timeline;
 use crate::gateway::settings::GatewaySettings;
 use crate::group::settings::MemberSettings;
 use crate::jsonc::{self, Fault, Validate};
@@ -113,7 +113,7 @@
             |source| OperatorError::Unreadable { path: "standard input".into(), source };
         texts.push(std::io::read_to_string(std::io::stdin()).map_err(unreadable)?);
     }
-    let story = Story::of(id, texts.iter().flat_map(|text| text.lines()));
+    let story = Timeline::of(id, texts.iter().flat_map(|text| text.lines()));
     if json {
         return Ok(serde_json::to_string_pretty(&story).unwrap_or_default());
     }
@@ -269,7 +269,7 @@
             if !again || Instant::now() >= self.deadline {
                 return Err(error.into());
             }
-            self.group.turn(&error);
+            self.group.switch_member(&error);
             tokio::time::sleep(TRY_PAUSE).await;
         }
     }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -16,7 +16,7 @@
 pub struct PlatformError(#[from] reqwest::Error);
 
 /// Age of the list, in milliseconds, as the platform tells it with every answer.
-const LIST_AGE: &str = "x-list-age-ms";
+const LIST_AGE_HEADER: &str = "x-list-age-ms";
 
 /// A client of the platform.
 #[derive(Clone, Debug)]
@@ -24,18 +24,18 @@
     http: reqwest::Client,
     list_url: String,
     /// The last list read, with its tag: an unchanged list is not sent again.
-    last: Arc<Mutex<Option<Tagged>>>,
+    last: Arc<Mutex<Option<CachedList>>>,
 }
 
 #[derive(Clone, Debug)]
-struct Tagged {
+struct CachedList {
     tag: HeaderValue,
     listing: Listing,
 }
 
 /// A list that was read.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ReadList {
+pub struct ListResponse {
     /// The list.
     pub listing: Listing,
     /// Bytes sent for it: URL and tag.
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     /// When it is not answered whole within `timeout`.
-    pub async fn list(&self, timeout: Duration) -> Result<ReadList, PlatformError> {
+    pub async fn list(&self, timeout: Duration) -> Result<ListResponse, PlatformError> {
         let last = self.last.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut request = self.http.get(&self.list_url).timeout(timeout);
         let mut sent_bytes = self.list_url.len();
@@ -64,7 +64,8 @@
             sent_bytes += last.tag.len();
         }
         let answer = request.send().await?.error_for_status()?;
-        let age = answer.headers().get(LIST_AGE).and_then(|age| age.to_str().ok()?.parse().ok());
+        let age =
+            answer.headers().get(LIST_AGE_HEADER).and_then(|age| age.to_str().ok()?.parse().ok());
         let tag = answer.headers().get(ETAG).cloned();
         let unchanged = last.filter(|_| answer.status() == StatusCode::NOT_MODIFIED);
         let (mut listing, received_bytes) = match unchanged {
@@ -76,10 +77,10 @@
         };
         listing.age_ms = age.unwrap_or(listing.age_ms);
         if let Some(tag) = tag {
-            let tagged = Tagged { tag, listing: listing.clone() };
-            *self.last.lock().unwrap_or_else(PoisonError::into_inner) = Some(tagged);
+            let cached = CachedList { tag, listing: listing.clone() };
+            *self.last.lock().unwrap_or_else(PoisonError::into_inner) = Some(cached);
         }
-        Ok(ReadList { listing, sent_bytes, received_bytes })
+        Ok(ListResponse { listing, sent_bytes, received_bytes })
     }
 
     /// Reads `path` of the target at `url`.
--- a/src/process.rs
+++ b/src/process.rs
@@ -14,7 +14,7 @@
 use crate::gateway::settings::GatewaySettings;
 use crate::group::GroupMember;
 use crate::group::settings::MemberSettings;
-use crate::jsonc::{self, Open, Validate};
+use crate::jsonc::{self, Lenient, Validate};
 use crate::logging;
 use crate::router::Router;
 use crate::settings::{Settings, SettingsError};
@@ -42,9 +42,9 @@
     let mut interrupt = signal(SignalKind::interrupt()).wrap_err("SIGINT can't be handled")?;
     let control = start_control(&settings, roles, &log).await?;
     let router = start_router(&settings, roles, &log).await?;
-    let failed = wait(control, &mut stop, &mut interrupt).await;
+    let failed = wait_for_stop(control, &mut stop, &mut interrupt).await;
     match failed {
-        Stopped::Signal(control) => {
+        StopCause::Signal(control) => {
             info!(log, "planned stop"; "event" => "stop");
             stop_router(router, &mut stop, &mut interrupt, &log).await;
             if let Some(control) = control {
@@ -52,7 +52,7 @@
             }
             Ok(())
         }
-        Stopped::Disk(error) => {
+        StopCause::Disk(error) => {
             stop_router(router, &mut stop, &mut interrupt, &log).await;
             Err(error).wrap_err("the control member had to stop")
         }
@@ -84,23 +84,27 @@
     Ok(Some(Router::start(settings, router, log).await?))
 }
 
-enum Stopped {
+enum StopCause {
     Signal(Option<Control>),
     Disk(crate::raft::WalError),
 }
 
-async fn wait(control: Option<Control>, stop: &mut Signal, interrupt: &mut Signal) -> Stopped {
+async fn wait_for_stop(
+    control: Option<Control>,
+    stop: &mut Signal,
+    interrupt: &mut Signal,
+) -> StopCause {
     let Some(mut control) = control else {
         tokio::select! {
             _ = stop.recv() => {}
             _ = interrupt.recv() => {}
         }
-        return Stopped::Signal(None);
+        return StopCause::Signal(None);
     };
     tokio::select! {
-        _ = stop.recv() => Stopped::Signal(Some(control)),
-        _ = interrupt.recv() => Stopped::Signal(Some(control)),
-        error = control.failed() => Stopped::Disk(error),
+        _ = stop.recv() => StopCause::Signal(Some(control)),
+        _ = interrupt.recv() => StopCause::Signal(Some(control)),
+        error = control.failed() => StopCause::Disk(error),
     }
 }
 
@@ -123,7 +127,7 @@
 
 /// Roles that speak a dialect with the outside.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outside {
+pub enum FleetRole {
     /// A gateway.
     Gateway,
     /// A member of a control group that forms itself.
@@ -134,19 +138,19 @@
 ///
 /// # Errors
 /// When the settings have faults, an address can't be used, or the disk of a member fails.
-pub async fn run_outside(
+pub async fn run_fleet_role(
     process: Process,
-    role: Outside,
+    role: FleetRole,
     dialect: SharedDialect,
 ) -> eyre::Result<()> {
     let level = if process.verbose { Level::Debug } else { Level::Info };
     let mut stop = signal(SignalKind::terminate()).wrap_err("SIGTERM can't be handled")?;
     let mut interrupt = signal(SignalKind::interrupt()).wrap_err("SIGINT can't be handled")?;
     match role {
-        Outside::Gateway => {
-            let read = read::<GatewaySettings>(&process.settings)?;
+        FleetRole::Gateway => {
+            let read = read_settings::<GatewaySettings>(&process.settings)?;
             let log = logging::logger_to(std::io::stdout(), &read.document.host, level);
-            let settings = known(read, &log);
+            let settings = into_known_settings(read, &log);
             let gateway = RunningGateway::start(settings, dialect, &log).await?;
             let mut reload = Reload::new(&process, &log)?;
             loop {
@@ -162,10 +166,10 @@
                 _ = interrupt.recv() => warn!(log, "second signal"; "event" => "stop_now"),
             }
         }
-        Outside::Member => {
-            let read = read::<MemberSettings>(&process.settings)?;
+        FleetRole::Member => {
+            let read = read_settings::<MemberSettings>(&process.settings)?;
             let log = logging::logger_to(std::io::stdout(), &read.document.host, level);
-            let settings = known(read, &log);
+            let settings = into_known_settings(read, &log);
             let mut member = GroupMember::start(settings, dialect, &log).await?;
             let mut reload = Reload::new(&process, &log)?;
             loop {
@@ -185,11 +189,11 @@
 }
 
 /// Between two looks at the settings file, which may change without a signal.
-const SETTINGS_LOOK: Duration = Duration::from_secs(10);
+const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(10);
 
 /// Watches a settings file.
 struct Reload {
-    hang_up: Signal,
+    sighup: Signal,
     path: PathBuf,
     /// The text that was last taken or refused.
     text: String,
@@ -198,10 +202,10 @@
 
 impl Reload {
     fn new(process: &Process, log: &Logger) -> eyre::Result<Self> {
-        let hang_up = signal(SignalKind::hangup()).wrap_err("SIGHUP can't be handled")?;
+        let sighup = signal(SignalKind::hangup()).wrap_err("SIGHUP can't be handled")?;
         let path = process.settings.clone();
         let text = std::fs::read_to_string(&path).unwrap_or_default();
-        Ok(Reload { hang_up, path, text, log: log.clone() })
+        Ok(Reload { sighup, path, text, log: log.clone() })
     }
 
     /// Waits until the file holds other settings that are sound. Faulty ones are logged, and those
@@ -209,8 +213,8 @@
     async fn changed<T: serde::de::DeserializeOwned + Validate>(&mut self) -> T {
         loop {
             tokio::select! {
-                _ = self.hang_up.recv() => {}
-                () = tokio::time::sleep(SETTINGS_LOOK) => {}
+                _ = self.sighup.recv() => {}
+                () = tokio::time::sleep(SETTINGS_POLL_INTERVAL) => {}
             }
             let Ok(text) = std::fs::read_to_string(&self.path) else {
                 continue;
@@ -218,12 +222,12 @@
             if text == self.text {
                 continue;
             }
-            let parsed = jsonc::from_open_str(&text);
+            let parsed = jsonc::from_str_lenient(&text);
             self.text = text;
             match parsed {
                 Ok(settings) => {
                     info!(self.log, "settings changed"; "event" => "settings_changed");
-                    return known(settings, &self.log);
+                    return into_known_settings(settings, &self.log);
                 }
                 Err(faults) => {
                     warn!(self.log, "settings refused"; "event" => "settings_refused",
@@ -235,15 +239,17 @@
 }
 
 /// Reads and checks a settings file.
-fn read<T: serde::de::DeserializeOwned + Validate>(path: &Path) -> Result<Open<T>, SettingsError> {
+fn read_settings<T: serde::de::DeserializeOwned + Validate>(
+    path: &Path,
+) -> Result<Lenient<T>, SettingsError> {
     let unreadable = |source| SettingsError::Unreadable { path: path.to_owned(), source };
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
     let faulty = |faults| SettingsError::Faulty { path: path.to_owned(), faults };
-    jsonc::from_open_str(&text).map_err(faulty)
+    jsonc::from_str_lenient(&text).map_err(faulty)
 }
 
 /// The settings that this version knows; a later one may have been told more.
-fn known<T>(read: Open<T>, log: &Logger) -> T {
+fn into_known_settings<T>(read: Lenient<T>, log: &Logger) -> T {
     if let Some(first) = read.unknown.first() {
         warn!(log, "unknown settings passed over"; "event" => "settings_unknown",
             "first" => %first, "fields" => read.unknown.len());
--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -75,7 +75,7 @@
                 }
                 Err(error) => ControlError::from(error),
             };
-            members.turn(&error);
+            members.switch_member(&error);
             tokio::time::sleep(PAUSE).await;
         }
         // A claim that arrives late is not to stand in the way of a resent request.
@@ -91,7 +91,7 @@
             for _ in 0..members.len() {
                 match members.current().release(key.clone(), release).await {
                     Ok(()) => return,
-                    Err(error) => members.turn(&error.into()),
+                    Err(error) => members.switch_member(&error.into()),
                 }
             }
         });
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -33,7 +33,7 @@
         let sent_at = shared.now();
         let request = SyncRequest {
             router: shared.host.clone(),
-            addr: shared.settings.reached_at(),
+            addr: shared.settings.advertised_addr(),
             routers_known: shared.slots.routers_known(),
             group,
             known: shared.config().revision(),
@@ -57,7 +57,7 @@
             }
             Err(error) => {
                 warn!(shared.log, "no configuration"; "event" => "sync_failed", "error" => %error);
-                members.turn(&error);
+                members.switch_member(&error);
                 tokio::time::sleep(SYNC_PAUSE).await;
             }
         }
--- a/src/router/forward.rs
+++ b/src/router/forward.rs
@@ -135,7 +135,7 @@
 
     pub(super) fn rest_left(&self, work: &Work) -> Option<Duration> {
         let config = self.config();
-        lock(&self.targets).rest_left(self.now(), need(work), |name| config.closed(name))
+        lock(&self.targets).backoff_left(self.now(), need(work), |name| config.closed(name))
     }
 
     /// Tries until an answer begins or the request is given up on.
@@ -252,10 +252,10 @@
             return Err(Reason::WrongAnswer);
         }
         if let Some(incarnation) = number(headers, LEAVING) {
-            lock(&self.targets).leave(&target.name, incarnation);
+            lock(&self.targets).mark_leaving(&target.name, incarnation);
         }
         if let Some(rest) = RetryAfter::of_refusal(answer.status(), headers) {
-            lock(&self.targets).rest(self.now(), target, rest);
+            lock(&self.targets).back_off(self.now(), target, rest);
             self.metrics.rests.inc();
             info!(self.log, "target asks for rest"; "event" => "target_rests",
                 "target" => &target.name, "rest" => ?rest);
--- a/src/router/metrics.rs
+++ b/src/router/metrics.rs
@@ -96,7 +96,7 @@
             )?,
             config_revision: set
                 .gauge("latchmount_config_revision", "Revision of the configuration in force.")?,
-            config_age: set.fraction(
+            config_age: set.float_gauge(
                 "latchmount_config_age_seconds",
                 "Time since the configuration was proven fresh; -1 before.",
             )?,
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -32,7 +32,7 @@
 
 /// A member that asks to be brought in.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct Newcomer {
+pub struct JoinRequest {
     /// Identity of its store.
     pub store: StoreId,
     /// Where it takes calls.
@@ -174,7 +174,7 @@
 
     /// Bring a member in.
     #[method(name = "join")]
-    async fn join(&self, key: String, newcomer: Newcomer) -> Result<(), ErrorObjectOwned>;
+    async fn join(&self, key: String, newcomer: JoinRequest) -> Result<(), ErrorObjectOwned>;
 
     /// Form a group of all members in the settings; every one of them must be blank.
     #[method(name = "form")]
@@ -341,7 +341,7 @@
     }
 
     /// Turns to the leader that an error names, else to the next member.
-    pub fn turn(&mut self, error: &ControlError) {
+    pub fn switch_member(&mut self, error: &ControlError) {
         let hint = match error {
             ControlError::NotLeader { leader } => *leader,
             _ => None,
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -193,7 +193,7 @@
 
 impl ControlSettings {
     /// Where the others reach this member.
-    pub fn reached_at(&self) -> Option<SocketAddr> {
+    pub fn advertised_addr(&self) -> Option<SocketAddr> {
         self.advertise.or(self.listen)
     }
 
@@ -214,7 +214,7 @@
     fn check(&self, faults: &mut Vec<Fault>) {
         check_listen(faults, "control.listen", self.listen);
         check_addrs(faults, "control.peers", &self.peers);
-        let own = self.reached_at();
+        let own = self.advertised_addr();
         if own.is_some_and(|own| !self.peers.is_empty() && !self.peers.contains(&own)) {
             let message = "must contain this member's own address";
             faults.push(Fault::new("control.peers", message));
@@ -260,7 +260,7 @@
     }
 
     /// Where other routers reach this one.
-    pub fn reached_at(&self) -> Option<SocketAddr> {
+    pub fn advertised_addr(&self) -> Option<SocketAddr> {
         self.advertise.or(self.listen)
     }
 
--- a/src/small_server.rs
+++ b/src/status_server.rs
@@ -14,9 +14,9 @@
 use tokio::net::TcpListener;
 
 /// Pause after a listener fails, for example without descriptors.
-const PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 /// Longest time that a connection is idle, or takes for the head of a request.
-const IDLE: Duration = Duration::from_secs(10);
+const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// Answers every request from memory.
 pub(crate) async fn serve(
@@ -26,7 +26,7 @@
     let answer = Arc::new(answer);
     loop {
         let Ok((stream, _)) = listener.accept().await else {
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         let answer = answer.clone();
@@ -39,7 +39,7 @@
             });
             let _ = http1::Builder::new()
                 .timer(TokioTimer::new())
-                .header_read_timeout(IDLE)
+                .header_read_timeout(HEADER_READ_TIMEOUT)
                 .serve_connection(TokioIo::new(stream), service)
                 .await;
         });
--- a/src/targets.rs
+++ b/src/targets.rs
@@ -14,12 +14,13 @@
 /// Failures in a row that open a target's circuit.
 const CIRCUIT_FAILURES: u32 = 3;
 /// First and longest time that a circuit stays open.
-const CIRCUIT_OPEN: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(10));
+const CIRCUIT_OPEN_RANGE: (Duration, Duration) =
+    (Duration::from_millis(500), Duration::from_secs(10));
 /// How long a target that left the list is remembered, so that a stale list can't revive it.
-const TOMBSTONE_KEPT: Duration = Duration::from_secs(600);
+const TOMBSTONE_RETENTION: Duration = Duration::from_secs(600);
 
 /// Time over which the routers come back to a target after a rest.
-const RETURN_OVER: Duration = Duration::from_secs(1);
+const BACKOFF_RETURN_SPREAD: Duration = Duration::from_secs(1);
 
 /// The platform's list of targets, as it publishes it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
@@ -120,19 +121,19 @@
             circuit: Circuit::default(),
             listed: listed.clone(),
         };
-        target.take(listed);
+        target.update(listed);
         target
     }
 
     /// Takes what the list says of this incarnation. Once it leaves, no later list revives it.
-    fn take(&mut self, listed: Listed) {
+    fn update(&mut self, listed: Listed) {
         if listed.leaving {
             self.availability.says_leaving();
         }
         self.listed = listed;
     }
 
-    fn choice(&self) -> Choice {
+    fn to_choice(&self) -> Choice {
         Choice {
             name: self.listed.name.clone(),
             url: self.listed.url.clone(),
@@ -154,8 +155,8 @@
         self.failures += 1;
         if self.failures >= CIRCUIT_FAILURES {
             let doublings = (self.failures - CIRCUIT_FAILURES).min(8);
-            let open = CIRCUIT_OPEN.0 * 2u32.pow(doublings);
-            self.open_until = now + open.min(CIRCUIT_OPEN.1);
+            let open = CIRCUIT_OPEN_RANGE.0 * 2u32.pow(doublings);
+            self.open_until = now + open.min(CIRCUIT_OPEN_RANGE.1);
         }
     }
 
@@ -190,15 +191,15 @@
             target.missing_since = target.missing_since.or(Some(now));
         }
         for listed in listing.targets {
-            self.take(listed);
+            self.update(listed);
         }
         self.known.retain(|_, target| {
-            let forgotten = target.missing_since.is_some_and(|at| now >= at + TOMBSTONE_KEPT);
+            let forgotten = target.missing_since.is_some_and(|at| now >= at + TOMBSTONE_RETENTION);
             target.in_flight > 0 || !forgotten
         });
     }
 
-    fn take(&mut self, listed: Listed) {
+    fn update(&mut self, listed: Listed) {
         let Some(target) = self.known.get_mut(&listed.name) else {
             self.known.insert(listed.name.clone(), Target::new(listed));
             return;
@@ -212,11 +213,11 @@
             target.circuit = Circuit::default();
         }
         target.missing_since = None;
-        target.take(listed);
+        target.update(listed);
     }
 
     /// Marks a target as leaving, on its own word.
-    pub fn leave(&mut self, name: &str, incarnation: u64) {
+    pub fn mark_leaving(&mut self, name: &str, incarnation: u64) {
         if let Some(target) = self.known.get_mut(name)
             && target.listed.incarnation <= incarnation
         {
@@ -225,28 +226,28 @@
     }
 
     /// The target has turned a request away and wants nothing for a while; another incarnation begins clean.
-    pub fn rest(&mut self, now: Duration, choice: &Choice, rest: RetryAfter) {
+    pub fn back_off(&mut self, now: Duration, choice: &Choice, backoff: RetryAfter) {
         if let Some(target) = self.known.get_mut(&choice.name)
             && target.listed.incarnation == choice.incarnation
         {
             let chance = rand::random();
-            target.availability.rests(now, rest, RETURN_OVER, chance);
+            target.availability.rests(now, backoff, BACKOFF_RETURN_SPREAD, chance);
         }
     }
 
     /// Time until the first target that could meet the need ends its rest; `None` where none rests.
-    pub fn rest_left(
+    pub fn backoff_left(
         &self,
         now: Duration,
         need: Need<'_>,
-        closed: impl Fn(&str) -> bool,
+        excluded: impl Fn(&str) -> bool,
     ) -> Option<Duration> {
-        let suitable = self.suitable(now, need, &closed);
+        let suitable = self.suitable(now, need, &excluded);
         suitable.filter_map(|target| target.availability.standing(now).rest_left(now)).min()
     }
 
     /// Whether the platform's list is too old to prove that a target lives.
-    pub fn list_suspect(&self, now: Duration) -> bool {
+    pub fn list_is_stale(&self, now: Duration) -> bool {
         self.list_made_at.is_none_or(|made_at| now > made_at + self.list_max_age)
     }
 
@@ -255,16 +256,16 @@
         &self,
         now: Duration,
         need: Need<'_>,
-        closed: impl Fn(&str) -> bool,
+        excluded: impl Fn(&str) -> bool,
     ) -> Vec<Choice> {
-        let usable = self.suitable(now, need, &closed);
+        let usable = self.suitable(now, need, &excluded);
         let usable = usable.filter(|target| target.availability.standing(now).takes_work());
-        let (hesitant, sound): (Vec<_>, Vec<_>) = usable.partition(|target| {
+        let (ramping_up, fully_open): (Vec<_>, Vec<_>) = usable.partition(|target| {
             let in_flight = u32::try_from(target.in_flight).unwrap_or(u32::MAX);
             target.availability.standing(now).hesitates(in_flight)
         });
-        let usable = if sound.is_empty() { hesitant } else { sound };
-        usable.into_iter().map(Target::choice).collect()
+        let usable = if fully_open.is_empty() { ramping_up } else { fully_open };
+        usable.into_iter().map(Target::to_choice).collect()
     }
 
     /// Targets that meet the need and live, whether or not they take work now.
@@ -272,18 +273,18 @@
         &'a self,
         now: Duration,
         need: Need<'a>,
-        closed: &'a impl Fn(&str) -> bool,
+        excluded: &'a impl Fn(&str) -> bool,
     ) -> impl Iterator<Item = &'a Target> {
-        let suspect = self.list_suspect(now);
+        let stale = self.list_is_stale(now);
         self.known.values().filter(move |target| {
             let answered = target.answered_at;
-            let lives = !suspect || answered.is_some_and(|at| now < at + self.list_max_age);
+            let alive = !stale || answered.is_some_and(|at| now < at + self.list_max_age);
             need.met_by(&target.listed.serves)
-                && lives
+                && alive
                 && target.missing_since.is_none()
                 && target.circuit.closed(now)
-                && !closed(&target.listed.name)
-                && !closed(&target.listed.host)
+                && !excluded(&target.listed.name)
+                && !excluded(&target.listed.host)
         })
     }
 
--- a/src/template.rs
+++ b/src/template.rs
@@ -155,16 +155,16 @@
 /// A text that is no [`Spec`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is not MODEL@VERSION or MODEL@VERSION+ADAPTER")]
-pub struct NotASpec(String);
+pub struct ParseSpecError(String);
 
 impl TryFrom<String> for Spec {
-    type Error = NotASpec;
+    type Error = ParseSpecError;
 
-    fn try_from(text: String) -> Result<Self, NotASpec> {
-        let (model, rest) = text.split_once('@').ok_or_else(|| NotASpec(text.clone()))?;
+    fn try_from(text: String) -> Result<Self, ParseSpecError> {
+        let (model, rest) = text.split_once('@').ok_or_else(|| ParseSpecError(text.clone()))?;
         let (version, adapter) = rest.split_once('+').unwrap_or((rest, ""));
         if model.is_empty() || version.is_empty() {
-            return Err(NotASpec(text));
+            return Err(ParseSpecError(text));
         }
         let (model, version, adapter) = (model.to_owned(), version.to_owned(), adapter.to_owned());
         Ok(Spec { model, version, adapter })
--- a/tests/account.rs
+++ b/tests/account.rs
@@ -53,7 +53,7 @@
     log.extend(b"somebody else's words\n\xff\xfe\x00\n\nlevel=INFO at_ms=2 event=answered rea");
     let mut account = Account::default();
     account.read(log.as_slice()).expect("a log in memory");
-    assert_eq!((account.requests(), account.foreign()), (1, 3));
+    assert_eq!((account.requests(), account.unparsed()), (1, 3));
 }
 
 /// However many seconds and routes a log tells of, the rows are bounded, and no request is lost.
@@ -61,10 +61,10 @@
 fn rows_are_bounded() {
     let mut account = Account::default();
     for at in 0..120_000_u64 {
-        account.take(&line(at * 1_000, "event=given_up reason=deadline route=a"));
+        account.add_line(&line(at * 1_000, "event=given_up reason=deadline route=a"));
     }
     for at in 0..20_000 {
-        account.take(&line(1, &format!("event=refused reason=no_route path=/p{at}/x")));
+        account.add_line(&line(1, &format!("event=refused reason=no_route path=/p{at}/x")));
     }
     assert_eq!(account.requests(), 140_000);
     assert!(account.rows().len() <= 60_000);
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -3,7 +3,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use latchmount::clock::{Instant, Suspensions};
+use latchmount::clock::{Instant, SuspendDetector};
 use latchmount::run_clock::RunTime;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -36,10 +36,10 @@
     #[case] steady_ms: u64,
     #[case] suspended_ms: Option<u64>,
 ) {
-    let mut suspensions = Suspensions::since(ms(1_000), ms(1_000));
-    let found = suspensions.between(ms(counted_ms), ms(steady_ms));
+    let mut suspensions = SuspendDetector::from_readings(ms(1_000), ms(1_000));
+    let found = suspensions.update(ms(counted_ms), ms(steady_ms));
     assert_eq!(found, suspended_ms.map(ms));
-    let again = suspensions.between(ms(counted_ms + 300), ms(steady_ms + 300));
+    let again = suspensions.update(ms(counted_ms + 300), ms(steady_ms + 300));
     assert_eq!(again, None, "it is told once");
 }
 
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -4,7 +4,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use latchmount::explain::Story;
+use latchmount::explain::Timeline;
 use latchmount::logging::logger_to;
 use latchmount::logline::LogLine;
 use latchmount::sampler::Sampler;
@@ -64,19 +64,19 @@
         "level=INFO msg=x host=g1 at_ms=1100 event=configuration version=5",
         "level=INFO msg=x host=g1 at_ms=1000 event=attempt id=r-2 outcome=answered target=i-1",
     ];
-    let story = Story::of("r-1", lines.into_iter());
+    let story = Timeline::of("r-1", lines.into_iter());
     let events: Vec<&str> = story.steps.iter().map(|step| step.event.as_str()).collect();
     assert_eq!(events, ["attempt", "given_up"]);
     let told = |at: usize| -> Vec<(&str, u64, &str)> {
-        let beliefs = story.steps[at].beliefs.iter();
-        beliefs.map(|belief| (belief.matter, belief.age_ms, belief.told.as_str())).collect()
+        let known_state = story.steps[at].known_state.iter();
+        known_state.map(|belief| (belief.topic, belief.age_ms, belief.state.as_str())).collect()
     };
     let paused = ("paused target", 50, "target=i-1 outcome=Failed");
     assert_eq!(told(0), [("configuration", 100, "version=4"), paused]);
     assert_eq!(told(1), [("configuration", 100, "version=5")]);
     let text = story.to_string();
     assert!(text.contains("reason=not_run") && text.contains("told 100 ms before"), "{text}");
-    assert!(Story::of("r-9", lines.into_iter()).to_string().contains("no line tells"));
+    assert!(Timeline::of("r-9", lines.into_iter()).to_string().contains("no line tells"));
 }
 
 #[test]
@@ -86,8 +86,8 @@
         "level=INFO msg=x host=g1 at_ms=950 event=gateway_started version=0.1.0",
         "level=INFO msg=x host=g1 at_ms=960 event=refused id=r-1 reason=no_configuration",
     ];
-    let story = Story::of("r-1", lines.into_iter());
-    let matters: Vec<&str> = story.steps[0].beliefs.iter().map(|belief| belief.matter).collect();
+    let story = Timeline::of("r-1", lines.into_iter());
+    let matters: Vec<&str> = story.steps[0].known_state.iter().map(|belief| belief.topic).collect();
     assert_eq!(matters, ["start"]);
 }
 
--- a/tests/fleet/stories.rs
+++ b/tests/fleet/stories.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use latchmount::explain::{Step, Story};
+use latchmount::explain::{Step, Timeline};
 use rstest::rstest;
 
 use crate::doors::configuration;
@@ -11,10 +11,10 @@
 use crate::standin::{Behaviour, Standin};
 
 /// The story of a request once its last step is there.
-async fn story(fleet: &Fleet, id: &str, last_event: &str) -> Story {
+async fn story(fleet: &Fleet, id: &str, last_event: &str) -> Timeline {
     eventually(&format!("{last_event} of {id} is logged"), async || {
         let log = fleet.gateways[0].log();
-        let story = Story::of(id, log.lines());
+        let story = Timeline::of(id, log.lines());
         let last = story.steps.last()?;
         (last.event == last_event).then_some(story)
     })
@@ -41,7 +41,7 @@
     let step = &story.steps[0];
     assert_eq!((detail(step, "reason"), detail(step, "version")), (reason, "4"));
     assert!(detail(step, "news_age_ms").parse::<i64>().is_ok());
-    let matters: Vec<&str> = step.beliefs.iter().map(|belief| belief.matter).collect();
+    let matters: Vec<&str> = step.known_state.iter().map(|belief| belief.topic).collect();
     assert!(matters.contains(&"configuration"), "{matters:?}");
 }
 
@@ -124,7 +124,7 @@
     eventually("the request is too late", async || {
         late.send(fleet.front(0)).await.ok()?;
         let log = fleet.gateways[0].log();
-        let story = Story::of("late", log.lines());
+        let story = Timeline::of("late", log.lines());
         let given_up = story.steps.iter().find(|step| step.event == "given_up")?;
         (detail(given_up, "reason") == "too_late").then_some(())
     })
@@ -133,7 +133,7 @@
     eventually("the request is refused", async || {
         Ask::new("/safe/x", "stale").send(fleet.front(0)).await.ok()?;
         let log = fleet.gateways[0].log();
-        let story = Story::of("stale", log.lines());
+        let story = Timeline::of("stale", log.lines());
         let refused = story.steps.iter().find(|step| step.event == "refused")?;
         let age: i64 = detail(refused, "news_age_ms").parse().ok()?;
         (detail(refused, "reason") == "stale_configuration" && age >= 400).then_some(())
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -1,7 +1,7 @@
 //! What is said of, and passed on with, a single request.
 
 use http::{HeaderMap, HeaderValue};
-use latchmount::dialect::{Dialect, OwnDialect};
+use latchmount::dialect::{Dialect, NativeDialect};
 use latchmount::gateway::outgoing::forwarded_headers;
 use latchmount::gateway::refusal::{Refusal, RetryHints};
 use latchmount::gateway::reuse::Reuse;
@@ -21,7 +21,7 @@
 
 #[test]
 fn no_header_that_only_gateways_set_comes_from_a_client() {
-    let dialect = OwnDialect::default();
+    let dialect = NativeDialect::default();
     let names = dialect.headers();
     let mut client = HeaderMap::new();
     for name in names.set_by_routers() {
--- a/tests/gateway/words.rs
+++ b/tests/gateway/words.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use http::{HeaderMap, HeaderName, HeaderValue, StatusCode};
-use latchmount::dialect::{Dialect, OwnDialect, TargetLoad};
+use latchmount::dialect::{Dialect, NativeDialect, TargetLoad};
 use latchmount::gateway::unknown_headers::UnknownHeaders;
 use latchmount::retry_after::RetryAfter;
 use rstest::rstest;
@@ -19,7 +19,7 @@
 fn rest(status: u16, values: &[&str]) -> Option<RetryAfter> {
     let pairs: Vec<(&str, &str)> = values.iter().map(|value| ("retry-after", *value)).collect();
     let status = StatusCode::from_u16(status).expect("a status");
-    OwnDialect::default().word(status, &headers(&pairs)).rest
+    NativeDialect::default().target_status(status, &headers(&pairs)).backoff
 }
 
 const fn millis(ms: u64) -> Option<RetryAfter> {
@@ -71,7 +71,7 @@
 #[case::says_nothing_known("perhaps", false)]
 fn a_target_says_that_it_leaves(#[case] value: &str, #[case] leaving: bool) {
     let head = headers(&[("latchmount-leaving", value), ("latchmount-load", "3,1")]);
-    let word = OwnDialect::default().word(StatusCode::OK, &head);
+    let word = NativeDialect::default().target_status(StatusCode::OK, &head);
     assert_eq!(word.leaving, leaving);
     let load = TargetLoad { running: 3, waiting: 1, strain_percent: None };
     assert_eq!(word.load, Some(load));
@@ -79,11 +79,11 @@
 
 #[test]
 fn a_header_of_the_dialect_that_nothing_reads_is_told_of_once_and_names_are_bounded() {
-    let dialect = OwnDialect::default();
+    let dialect = NativeDialect::default();
     let own = |name: &str| name.parse::<HeaderName>().expect("a name");
-    assert!(dialect.headers().unread(&own("latchmount-mood")));
-    assert!(!dialect.headers().unread(&own("latchmount-load")));
-    assert!(!dialect.headers().unread(&own("content-type")));
+    assert!(dialect.headers().is_unknown(&own("latchmount-mood")));
+    assert!(!dialect.headers().is_unknown(&own("latchmount-load")));
+    assert!(!dialect.headers().is_unknown(&own("content-type")));
     let mut names = UnknownHeaders::default();
     assert_eq!(names.note(&own("latchmount-mood")), (true, "latchmount-mood"));
     assert_eq!(names.note(&own("latchmount-mood")), (false, "latchmount-mood"));
--- a/tests/promises/accepted_config.rs
+++ b/tests/promises/accepted_config.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use latchmount::rpc::{ControlClient, ControlError, Newcomer, Status, SyncRequest, connect};
+use latchmount::rpc::{ControlClient, ControlError, JoinRequest, Status, SyncRequest, connect};
 use latchmount::store::{Answer, Drain};
 use nix::sys::signal::Signal;
 use rstest::rstest;
@@ -359,7 +359,7 @@
     };
     let change = json!({ "id": "foreign", "base": 1, "template": version("foreign") });
     let newcomer =
-        Newcomer { store: latchmount::raft::StoreId(1), addr: ([127, 0, 0, 1], 1).into() };
+        JoinRequest { store: latchmount::raft::StoreId(1), addr: ([127, 0, 0, 1], 1).into() };
     let errors = [
         client.change(wrong(), change).await.err(),
         client.drain(wrong(), drain).await.err(),
