--- a/src/control/registry.rs
+++ b/src/control/registry.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::raft::Time;
-use crate::rpc::{LiveRouters, Report, RouterStatus, SyncRequest, WaitReply};
+use crate::rpc::{LiveRouters, RouterReport, RouterStatus, SyncRequest, WaitReply};
 use crate::store::Revision;
 
 #[derive(Clone, Debug)]
@@ -13,7 +13,7 @@
     at: Time,
     revision: Revision,
     addr: Option<SocketAddr>,
-    report: Report,
+    report: RouterReport,
 }
 
 /// Routers heard within one freshness lease.
--- a/src/dialect.rs
+++ b/src/dialect.rs
@@ -1,7 +1,7 @@
-//! How the outside speaks: names of headers, paths of calls and forms of bodies.
+//! External HTTP interface of the fleet: header names, paths and body formats.
 //!
-//! Routers and members decide nothing by these names; they ask a [`Dialect`]. [`NativeDialect`] is the
-//! project's own. Another one may be given to a process at its start.
+//! The rest of the code uses no such name directly but asks a [`Dialect`], so that the fleet can run behind different
+//! external interfaces. [`NativeDialect`] is the default; the option `--dialect` selects another one.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,52 +17,52 @@
 use crate::retry_after::RetryAfter;
 use crate::rollout::{Rollout, Stage};
 
-/// Names of the headers that routers read and write.
+/// Names of the headers that gateways read and write.
 #[derive(Clone, Debug)]
 pub struct Headers {
-    /// Identity of a request; targets echo it.
+    /// Id of a request; targets echo it in their answers.
     pub request_id: HeaderName,
-    /// Milliseconds that the sender still waits.
+    /// Time left until the deadline of the request, in milliseconds.
     pub deadline_ms: HeaderName,
-    /// Key of the caller.
+    /// API key of the client.
     pub credential: HeaderName,
-    /// Team that holds the key, told to targets.
+    /// Team that the API key belongs to; sent to targets.
     pub team: HeaderName,
-    /// Identity of the target that a request is meant for.
+    /// Id of the target that a request is meant for.
     pub expect_target: HeaderName,
-    /// In an answer: the target did not run the request.
+    /// In an answer: present if the target did not run the request.
     pub not_run: HeaderName,
     /// In an answer: signature of the target.
     pub stamp: HeaderName,
-    /// In an answer: load of the target.
+    /// In an answer: load that the target reports.
     pub load: HeaderName,
-    /// In an answer: the target is about to leave.
+    /// In an answer: `1` if the target is shutting down.
     pub leaving: HeaderName,
-    /// Begin the names of headers that are the dialect's own.
+    /// Prefixes of header names that belong to the dialect.
     pub prefixes: &'static [&'static str],
-    /// Further headers of the dialect's own that are only passed on.
+    /// Further headers of the dialect that gateways forward without reading them.
     pub forwarded: Vec<HeaderName>,
-    /// Parts of the prompt.
+    /// Ids and lengths of the parts of the prompt.
     pub prompt: HeaderName,
-    /// Target from which another is to fetch what it keeps of the prompt.
+    /// Target from which the receiving target is to fetch its cached prefix of the prompt.
     pub fetch_from: HeaderName,
-    /// Rank of a request, told to targets.
+    /// Priority of a request; sent to targets.
     pub priority: HeaderName,
-    /// Last event of a stream that the sender has.
+    /// Id of the last event of a stream that the sender has received.
     pub last_event_id: HeaderName,
-    /// Further headers that only routers may set on requests to targets.
+    /// Further headers that only gateways may set on requests to targets.
     pub reserved: Vec<HeaderName>,
 }
 
 impl Headers {
-    /// Every header that only routers set on requests to targets: whatever a client sends under
-    /// these names is dropped, since it would act on a target in the system's name.
+    /// Headers that only gateways may set on requests to targets. A client's headers of these names are dropped, since
+    /// targets would take them for set by a gateway.
     pub fn set_by_routers(&self) -> impl Iterator<Item = &HeaderName> {
         let own = [&self.credential, &self.team, &self.expect_target, &self.fetch_from];
         own.into_iter().chain([&self.priority]).chain(&self.reserved)
     }
 
-    /// Whether a header of an answer is one of the dialect's own that is neither read nor known to be only passed on.
+    /// Whether the header of an answer has a prefix of the dialect, but is neither read nor listed in `forwarded`.
     pub fn is_unknown(&self, name: &HeaderName) -> bool {
         let own = self.prefixes.iter().any(|prefix| name.as_str().starts_with(prefix));
         let read = [&self.request_id, &self.not_run, &self.stamp, &self.load, &self.leaving];
@@ -70,51 +70,51 @@
     }
 }
 
-/// A call at the door of a member.
+/// A call to the HTTP API of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ApiCall<'a> {
-    /// An operator sends a configuration.
+    /// An operator replaces the configuration.
     PutConfiguration,
     /// An operator reads the configuration.
     GetConfiguration,
     /// A target sends a heartbeat.
     Announce {
-        /// The target.
+        /// Id of the target.
         id: &'a str,
     },
-    /// A target leaves.
+    /// A target is removed, since it shuts down.
     Remove {
-        /// The target.
+        /// Id of the target.
         id: &'a str,
     },
-    /// An operator evacuates a data hall, or takes it back into use.
+    /// An operator orders or withdraws the evacuation of a data hall.
     Order {
-        /// The hall as the path names it, with its escapes.
+        /// Name of the data hall as in the path, still percent-encoded.
         data_hall: &'a str,
-        /// True for the order, false for its withdrawal.
+        /// True to order the evacuation, false to withdraw it.
         evacuate: bool,
     },
-    /// An operator asks which data halls are evacuated.
+    /// An operator lists the evacuated data halls.
     ListOrders,
-    /// An operator wants the traffic of a service to move to another version.
+    /// An operator starts to move the traffic of a service to another version.
     StartRollout,
-    /// An operator asks how far the roll-out of a service is.
+    /// An operator reads the progress of the roll-out of a service.
     ShowRollout {
-        /// The service as the path names it, with its escapes.
+        /// Name of the service as in the path, still percent-encoded.
         service: &'a str,
     },
-    /// An operator asks for all roll-outs.
+    /// An operator lists the last roll-out of each service.
     ListRollouts,
-    /// An operator wants a service's roll-out undone.
+    /// An operator withdraws the roll-out of a service.
     WithdrawRollout {
-        /// The service as the path names it, with its escapes.
+        /// Name of the service as in the path, still percent-encoded.
         service: &'a str,
     },
-    /// An operator asks which requests are sent nowhere because targets ended under them.
+    /// An operator lists the poison requests, which are sent to no target since targets ended while running them.
     ListPoison,
-    /// An operator has such a request sent again.
+    /// An operator unblocks a poison request.
     LiftPoison {
-        /// Its fingerprint, as the path has it.
+        /// Fingerprint of the request, as in the path.
         fingerprint: &'a str,
     },
 }
@@ -122,68 +122,69 @@
 /// One part of a prompt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PromptPart<'a> {
-    /// Identity of the text.
+    /// Id of its text.
     pub id: &'a str,
-    /// Its length, in tokens.
+    /// Length in tokens.
     pub tokens: u64,
 }
 
-/// Load of a target, by its own word.
+/// Load of a target, as it reports it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TargetLoad {
-    /// Requests that it works on.
+    /// Number of requests that it is running.
     pub running: u32,
-    /// Requests that wait there.
+    /// Number of requests in its queue.
     pub waiting: u32,
-    /// How long work takes there now, in percent of what is usual, where it tells: its machine is shared with others.
-    pub strain_percent: Option<u32>,
+    /// How long work takes at the target now, in percent of the usual time, if it reports that. Work slows down when other
+    /// processes use the same machine.
+    pub slowdown_percent: Option<u32>,
 }
 
-/// What an answer says of the target that gives it.
+/// What the head of an answer reports about its target.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct TargetStatus {
-    /// Its load, where it tells.
+    /// Load of the target, if it reports one.
     pub load: Option<TargetLoad>,
-    /// Whether it is about to leave.
-    pub leaving: bool,
-    /// Whether it did not run the request.
+    /// Whether the target is shutting down.
+    pub draining: bool,
+    /// Whether the target rejected the request without running it.
     pub turned_away: bool,
-    /// For how long it wants nothing more, where it turned the request away.
+    /// Retry-After of a rejection: how long the target is to be sent nothing.
     pub backoff: Option<RetryAfter>,
 }
 
-/// Paths of calls.
+/// Paths of the HTTP API.
 #[derive(Clone, Copy, Debug)]
 pub struct Paths {
-    /// Where a router tells whether it is ready.
+    /// Readiness check of a gateway.
     pub ready: &'static str,
-    /// Where the configuration is put and read.
+    /// Where the configuration is replaced (PUT) and read (GET).
     pub configuration: &'static str,
-    /// What precedes the identity of a target.
+    /// Prefix of paths that end in the id of a target.
     pub targets: &'static str,
-    /// What precedes the name of a data hall in orders about it.
+    /// Prefix of paths that end in the name of a data hall; the list of evacuations by itself.
     pub evacuations: &'static str,
-    /// Where roll-outs are ordered and listed, and what precedes the name of a service, without the last slash.
+    /// Where roll-outs are started and listed. Followed by a slash, the prefix of paths that end in the name of a service.
     pub rollouts: &'static str,
-    /// What precedes the fingerprint of a request under which targets ended.
+    /// Prefix of paths that end in the fingerprint of a poison request; the list of them by itself.
     pub poison: &'static str,
 }
 
-/// How the outside speaks.
+/// An external HTTP interface: header names, paths and body formats.
 pub trait Dialect: Send + Sync + 'static {
-    /// Names of the headers.
+    /// The header names.
     fn headers(&self) -> &Headers;
 
-    /// Paths of the calls.
+    /// The paths of the HTTP API.
     fn paths(&self) -> Paths;
 
-    /// Decodes a configuration; its values are checked by the caller.
+    /// Decodes a configuration. The caller validates its values.
     ///
     /// # Errors
-    /// What can't be read, with the path of the field.
+    /// The faults found, with the path of each field.
     fn configuration(&self, bytes: &[u8]) -> Result<Configuration, Vec<Fault>>;
 
-    /// Name, in this dialect, of a field of a configuration that is known here as `path`.
+    /// Path in this dialect of the configuration field `path`.
     fn field(&self, path: &str) -> String {
         path.to_owned()
     }
@@ -191,13 +192,13 @@
     /// Decodes a heartbeat of the target `id`.
     ///
     /// # Errors
-    /// What can't be read, with the path of the field.
+    /// The faults found, with the path of each field.
     fn announcement(&self, id: &str, bytes: &[u8]) -> Result<Announcement, Vec<Fault>>;
 
-    /// Decodes what a target says that leaves for good: when it started, if it tells.
+    /// Decodes the body of a target's call to remove itself: the start time of the target, if the body holds one.
     ///
     /// # Errors
-    /// What can't be read, with the path of the field.
+    /// The faults found, with the path of each field.
     fn removal(&self, bytes: &[u8]) -> Result<Born, Vec<Fault>> {
         if bytes.is_empty() {
             return Ok(Born::default());
@@ -206,15 +207,15 @@
         Ok(Born(removal.born))
     }
 
-    /// Decodes an operator's call for a roll-out.
+    /// Decodes the body of an operator's call to start a roll-out.
     ///
     /// # Errors
-    /// What can't be read, with the path of the field.
+    /// The faults found, with the path of each field.
     fn rollout(&self, bytes: &[u8]) -> Result<RolloutRequest, Vec<Fault>> {
         jsonc::from_slice(bytes)
     }
 
-    /// Body of an operator's call for a roll-out.
+    /// Encodes the body of an operator's call to start a roll-out.
     fn rollout_body(&self, call: &RolloutRequest) -> String {
         serde_json::json!({
             "service": call.service, "version": call.version, "lasts_ms": call.lasts_ms,
@@ -222,15 +223,15 @@
         .to_string()
     }
 
-    /// What an operator is told of a roll-out.
+    /// Body of the answer to an operator who reads the state of a roll-out.
     fn rollout_answer(&self, rollout: &Rollout) -> String {
         rollout_json("version", rollout)
     }
 
-    /// Body of the answer to a heartbeat; later ones are best sent to `next`.
+    /// Body of the answer to a heartbeat. `next` is the member that the target should send its next heartbeats to.
     fn heartbeat_answer(&self, next: Option<SocketAddr>) -> String;
 
-    /// The call that a method and path make.
+    /// The API call for a method and path; `None` if there is none.
     fn api_call<'a>(&self, method: &Method, path: &'a str) -> Option<ApiCall<'a>> {
         let paths = self.paths();
         if path == paths.configuration {
@@ -266,7 +267,7 @@
         }
     }
 
-    /// Parts of a prompt, in order: `ID:TOKENS`, joined by commas.
+    /// Decodes the parts of a prompt, in order: `ID:TOKENS`, separated by commas. Malformed parts are skipped.
     fn prompt<'a>(&self, value: &'a str) -> Vec<PromptPart<'a>> {
         let part = |text: &'a str| {
             let (id, tokens) = text.trim().split_once(':')?;
@@ -275,41 +276,41 @@
         value.split(',').filter_map(part).collect()
     }
 
-    /// Load that a target tells of itself: requests running and waiting, joined by a comma; more
-    /// numbers may follow.
+    /// Decodes the load that a target reports: the number of running and of waiting requests, separated by a comma. Further
+    /// numbers may follow and are ignored.
     fn load(&self, value: &str) -> Option<TargetLoad> {
         let mut numbers = value.split(',').map(|number| number.trim().parse());
         let running = numbers.next()?.ok()?;
         let waiting = numbers.next()?.ok()?;
-        Some(TargetLoad { running, waiting, strain_percent: None })
+        Some(TargetLoad { running, waiting, slowdown_percent: None })
     }
 
-    /// What the head of an answer says of its target.
+    /// Decodes what the head of an answer reports about its target.
     fn target_status(&self, status: StatusCode, headers: &HeaderMap) -> TargetStatus {
         let names = self.headers();
         let text = |name| headers.get(name).and_then(|value: &HeaderValue| value.to_str().ok());
         TargetStatus {
             load: text(&names.load).and_then(|value| self.load(value)),
-            leaving: text(&names.leaving).is_some_and(|value| value.trim() == "1"),
+            draining: text(&names.leaving).is_some_and(|value| value.trim() == "1"),
             turned_away: headers.contains_key(&names.not_run),
             backoff: RetryAfter::of_refusal(status, headers),
         }
     }
 }
 
-/// What an operator wants of a roll-out.
+/// An operator's call to start a roll-out.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct RolloutRequest {
-    /// The service.
+    /// The service whose traffic is to move.
     pub service: String,
-    /// Version that its traffic is to move to.
+    /// Version that the traffic is to move to.
     pub version: String,
-    /// Time in which that is to be done, in milliseconds.
+    /// Duration of the roll-out, in milliseconds.
     pub lasts_ms: u64,
 }
 
-/// Longest roll-out: a day.
+/// Maximum duration of a roll-out: a day.
 const MAX_ROLLOUT_MS: u64 = 86_400_000;
 
 impl Validate for RolloutRequest {
@@ -323,7 +324,7 @@
     }
 }
 
-/// The call that a method makes on what follows the path of roll-outs.
+/// The API call for a method and the part of the path after that of the roll-outs; `None` if there is none.
 fn rollout_api_call<'a>(method: &Method, rest: &'a str) -> Option<ApiCall<'a>> {
     let service = rest.strip_prefix('/').unwrap_or(rest);
     match (method, service.is_empty()) {
@@ -335,23 +336,23 @@
     }
 }
 
-/// A roll-out as text, the version under the given name.
+/// The state of a roll-out as JSON, with its version under the key `version`.
 pub fn rollout_json(version: &str, rollout: &Rollout) -> String {
     let state = match rollout.stage {
         Stage::Part(_) | Stage::Shifted => "running",
         Stage::Completed => "completed",
         Stage::RolledBack => "rolled_back",
     };
-    let mut told = serde_json::Map::new();
-    told.insert("state".to_owned(), state.into());
-    told.insert(version.to_owned(), rollout.order.version.as_str().into());
-    serde_json::Value::Object(told).to_string()
+    let mut fields = serde_json::Map::new();
+    fields.insert("state".to_owned(), state.into());
+    fields.insert(version.to_owned(), rollout.order.version.as_str().into());
+    serde_json::Value::Object(fields).to_string()
 }
 
-/// A dialect shared by the parts of a process.
+/// A dialect that several parts of a process share.
 pub type SharedDialect = Arc<dyn Dialect>;
 
-/// The project's own dialect.
+/// The default dialect, with headers that start with `latchmount-`.
 pub struct NativeDialect {
     headers: Headers,
 }
@@ -382,7 +383,7 @@
     }
 }
 
-/// A heartbeat in the project's own form.
+/// Body of a heartbeat in the default dialect.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 struct NativeHeartbeat {
@@ -400,7 +401,7 @@
     sequence: u64,
 }
 
-/// What a target says that leaves for good.
+/// Body of a target's call to remove itself, in the default dialect.
 #[derive(Debug, Deserialize)]
 struct Removal {
     #[serde(default)]
@@ -421,7 +422,7 @@
     }
 }
 
-/// The answer to a heartbeat in the project's own form.
+/// Body of the answer to a heartbeat in the default dialect.
 #[derive(Debug, Serialize)]
 struct NativeHeartbeatAnswer {
     next: Option<SocketAddr>,
--- a/src/gateway/metrics.rs
+++ b/src/gateway/metrics.rs
@@ -8,7 +8,7 @@
 use super::connection::{ConnectError, ProbeResult};
 use super::refusal::Refusal;
 use crate::link::LinkError;
-use crate::metrics::{MetricSet, SECONDS, SHORT_SECONDS};
+use crate::metrics::{DURATION_BUCKETS, MetricSet, SHORT_DURATION_BUCKETS};
 
 /// All metrics of one gateway.
 pub(super) struct GatewayMetrics {
@@ -140,19 +140,19 @@
             answer_seconds: set.histograms(
                 "latchmount_gateway_answer_seconds",
                 "Time from a request's head to its answer, for streams to the first event.",
-                &SECONDS,
+                &DURATION_BUCKETS,
                 &["service"],
             )?,
             whole_answer_seconds: set.histograms(
                 "latchmount_gateway_whole_answer_seconds",
                 "Time from a request's head to the end of its answer.",
-                &SECONDS,
+                &DURATION_BUCKETS,
                 &["service"],
             )?,
             connect_seconds: set.histograms(
                 "latchmount_gateway_connect_seconds",
                 "Time to open a connection to a target, or to fail to.",
-                &SHORT_SECONDS,
+                &SHORT_DURATION_BUCKETS,
                 &["outcome"],
             )?,
             attempts: set.counters(
@@ -233,7 +233,7 @@
             in_force: set.histogram(
                 "latchmount_gateway_in_force_seconds",
                 "Time from the last word of a member that held nothing newer until a newer configuration came into force.",
-                &SECONDS,
+                &DURATION_BUCKETS,
             )?,
             targets: set.gauge("latchmount_gateway_targets", "Targets known.")?,
             gateways: set.gauge("latchmount_gateway_gateways", "Gateways alive.")?,
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -300,7 +300,7 @@
         if let Some(load) = report.load.filter(|_| self.uses(Mechanism::TargetLoads)) {
             target.note_reported_load(self.now(), load);
         }
-        if report.leaving {
+        if report.draining {
             let known = target.draining();
             trace::target_shutting_down(self, target, target.note_draining(), known);
         }
--- a/src/gateway/target.rs
+++ b/src/gateway/target.rs
@@ -241,7 +241,7 @@
         *others =
             Some(OthersLoad { received_at: now, expires_at: now + REPORTED_LOAD_TTL, requests });
         drop(others);
-        if let Some(percent) = load.strain_percent {
+        if let Some(percent) = load.slowdown_percent {
             lock(&self.slowdown).note(now, percent);
         }
     }
--- a/src/group/metrics.rs
+++ b/src/group/metrics.rs
@@ -7,7 +7,7 @@
 
 use super::Shared;
 use crate::clock::Instant;
-use crate::metrics::{MetricSet, SECONDS, SHORT_SECONDS};
+use crate::metrics::{DURATION_BUCKETS, MetricSet, SHORT_DURATION_BUCKETS};
 use crate::raft::Standing;
 use crate::status_server;
 use crate::sync::lock;
@@ -100,12 +100,12 @@
             sync: histogram(
                 "sync_seconds",
                 "Time for the disk to hold what was written.",
-                &SHORT_SECONDS,
+                &SHORT_DURATION_BUCKETS,
             )?,
             commit: histogram(
                 "commit_seconds",
                 "Time from a proposal at the leader to its answer.",
-                &SHORT_SECONDS,
+                &SHORT_DURATION_BUCKETS,
             )?,
             large_blobs: set.counters(
                 "latchmount_member_large_parcels_total",
@@ -115,12 +115,12 @@
             in_force: histogram(
                 "in_force_seconds",
                 "Time from a configuration's arrival here, or a gateway's if it was later, until the gateway has it.",
-                &SECONDS,
+                &DURATION_BUCKETS,
             )?,
             evacuation_in_force: histogram(
                 "evacuation_in_force_seconds",
                 "Time from an order about a data hall, or a gateway's arrival if it was later, until the gateway obeys.",
-                &SECONDS,
+                &DURATION_BUCKETS,
             )?,
             announcements_waiting: gauge(
                 "announcements_waiting",
--- a/src/metrics.rs
+++ b/src/metrics.rs
@@ -1,4 +1,4 @@
-//! A set of metrics that one process serves, in the Prometheus text format.
+//! The metrics that a process serves in the Prometheus text format.
 
 use prometheus::core::Collector;
 use prometheus::{
@@ -6,26 +6,26 @@
     IntGaugeVec, Opts, Registry, TextEncoder,
 };
 
-/// Upper bounds of histograms of waiting times between processes, in seconds.
-pub const SECONDS: [f64; 10] = [0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
-/// Upper bounds of histograms of short steps, such as a sync or a connect, in seconds.
-pub const SHORT_SECONDS: [f64; 10] =
+/// Bucket bounds for histograms of durations across processes, such as answer times, in seconds.
+pub const DURATION_BUCKETS: [f64; 10] = [0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.6, 3.2, 6.4, 12.8];
+/// Bucket bounds for histograms of short operations, such as a disk sync or a connect, in seconds.
+pub const SHORT_DURATION_BUCKETS: [f64; 10] =
     [0.000_5, 0.001, 0.002, 0.005, 0.01, 0.025, 0.1, 0.25, 1.0, 4.0];
 
-/// The metrics of one role. Each call makes a metric, puts it into the set and returns it.
+/// The metrics of one role. Each method except [`MetricSet::render`] creates a metric, registers it and returns it.
 ///
 /// # Errors
-/// Every call fails when the metrics library refuses a name: a fault of the caller.
+/// These methods fail when a metric's name or label is invalid or its name is already registered, a bug in the caller.
 #[derive(Clone, Debug, Default)]
 pub struct MetricSet(Registry);
 
 impl MetricSet {
-    /// A counter.
+    /// Registers a counter.
     pub fn counter(&self, name: &str, help: &str) -> Result<IntCounter, prometheus::Error> {
         self.add(IntCounter::new(name, help)?)
     }
 
-    /// A counter for each value of the labels.
+    /// Registers a counter for each combination of label values.
     pub fn counters(
         &self,
         name: &str,
@@ -35,17 +35,17 @@
         self.add(IntCounterVec::new(Opts::new(name, help), labels)?)
     }
 
-    /// A number that goes up and down.
+    /// Registers a gauge of whole numbers.
     pub fn gauge(&self, name: &str, help: &str) -> Result<IntGauge, prometheus::Error> {
         self.add(IntGauge::new(name, help)?)
     }
 
-    /// The same with fractions.
+    /// Registers a gauge of floating-point numbers.
     pub fn float_gauge(&self, name: &str, help: &str) -> Result<Gauge, prometheus::Error> {
         self.add(Gauge::new(name, help)?)
     }
 
-    /// A number for each value of the labels.
+    /// Registers a gauge of whole numbers for each combination of label values.
     pub fn gauges(
         &self,
         name: &str,
@@ -55,7 +55,7 @@
         self.add(IntGaugeVec::new(Opts::new(name, help), labels)?)
     }
 
-    /// A histogram of seconds.
+    /// Registers a histogram of seconds with the given bucket bounds.
     pub fn histogram(
         &self,
         name: &str,
@@ -65,7 +65,7 @@
         self.add(Histogram::with_opts(HistogramOpts::new(name, help).buckets(bounds.to_vec()))?)
     }
 
-    /// A histogram of seconds for each value of the labels.
+    /// Registers a histogram of seconds for each combination of label values.
     pub fn histograms(
         &self,
         name: &str,
@@ -82,10 +82,10 @@
         Ok(metric)
     }
 
-    /// The text for a scrape.
+    /// All metrics in the text format, the body of the answer to a scrape.
     pub fn render(&self) -> Vec<u8> {
         let mut text = Vec::new();
-        // Writing to memory fails only on a metric without samples, which is then left out.
+        // Encoding into memory fails only for a metric without samples, which is then left out.
         let _ = TextEncoder::new().encode(&self.0.gather(), &mut text);
         text
     }
--- a/src/router/forward.rs
+++ b/src/router/forward.rs
@@ -252,7 +252,7 @@
             return Err(Reason::WrongAnswer);
         }
         if let Some(incarnation) = number(headers, LEAVING) {
-            lock(&self.targets).mark_leaving(&target.name, incarnation);
+            lock(&self.targets).mark_draining(&target.name, incarnation);
         }
         if let Some(rest) = RetryAfter::of_refusal(answer.status(), headers) {
             lock(&self.targets).back_off(self.now(), target, rest);
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -1,4 +1,4 @@
-//! Calls to a control member: by other members, by routers and by the operators' client.
+//! JSON-RPC interface of a control member, used by other members, routers and the operators' command line.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -18,89 +18,89 @@
 use crate::store::{Answer, Delta, Drain, Moving, Revision, Stored};
 use crate::targets::Listed;
 
-/// Largest call or answer, in bytes: a snapshot of 1,000 large templates fits.
+/// Maximum size of a call or answer; a snapshot of 1,000 large templates fits.
 pub const MAX_CALL_BYTES: u32 = 256 * 1024 * 1024;
 
-/// Identity of a member that may not belong to a group yet.
+/// Identity of a member, which may not belong to a group yet.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct Identity {
-    /// Identity of its store.
+    /// Id of its store.
     pub store: StoreId,
-    /// Group it belongs to; 0 while blank.
+    /// Group it belongs to; 0 if none yet.
     pub group: GroupId,
 }
 
-/// A member that asks to be brought in.
+/// A member's request to join the group.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
 pub struct JoinRequest {
-    /// Identity of its store.
+    /// Id of its store.
     pub store: StoreId,
-    /// Where it takes calls.
+    /// Address of its RPC server.
     pub addr: SocketAddr,
 }
 
-/// A router asks for the configuration in force.
+/// A router's request for the configuration in force.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SyncRequest {
     /// Host of the router.
     pub router: String,
-    /// Where other routers reach it.
+    /// Address at which other routers reach it.
     pub addr: Option<SocketAddr>,
-    /// Digest of the live routers that it knows; 0 for none.
+    /// Digest of the set of live routers that it knows, see [`LiveRouters::digest`]; 0 for none.
     pub routers_known: u64,
-    /// Group whose configuration it has; 0 for none yet.
+    /// Group whose configuration it has; 0 if none yet.
     pub group: GroupId,
-    /// Revision it has in force.
+    /// Revision of the configuration that it has in force.
     pub known: Revision,
-    /// How long to wait for a newer revision, in milliseconds.
+    /// How long the member is to wait for a newer revision before it answers, in milliseconds.
     pub wait_ms: u64,
-    /// Counts since the start of the router.
-    pub report: Report,
+    /// The counts that the router reports.
+    pub report: RouterReport,
 }
 
-/// What a router tells of itself.
+/// Counts that a router reports, since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Report {
-    /// Requests admitted.
+pub struct RouterReport {
+    /// Number of requests admitted.
     pub admitted: u64,
-    /// Refusals by reason code.
+    /// Number of requests refused, by reason code.
     pub refused: BTreeMap<String, u64>,
 }
 
-/// The configuration in force, proven by the leader's lease.
+/// Answer to a [`SyncRequest`]: the configuration in force, as guaranteed by the lease of the leader.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SyncReply {
     /// Group that answers.
     pub group: GroupId,
     /// Term of the leader that answers.
     pub term: Term,
-    /// What the router lacks.
+    /// Difference from the configuration that the router has.
     pub delta: Delta,
-    /// The live routers, when they are surely known and differ from those that the router knows.
+    /// The live routers; `None` if the leader does not know them for certain or the router knows the same set.
     pub routers: Option<LiveRouters>,
-    /// How long the router may serve on it, from the sending of its request, in milliseconds.
+    /// How long the router may use the configuration, counted from when it sent its request, in milliseconds.
     pub lease_ms: u64,
 }
 
-/// Routers that may be admitting, by host.
+/// Routers that may be admitting requests: their addresses by host.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LiveRouters(pub BTreeMap<String, SocketAddr>);
 
 impl LiveRouters {
-    /// Tells two sets apart.
+    /// Hash of the set, to compare two sets.
     pub fn digest(&self) -> u64 {
         xxh3_64(format!("{:?}", self.0).as_bytes())
     }
 }
 
-/// Whether a revision is in force at every live router.
+/// Answer to `wait`: whether a revision is in force at every live router.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct WaitReply {
-    /// Whether it is.
+    /// Whether the revision is in force at every live router.
     pub in_force: bool,
-    /// Routers that may still serve an older revision.
+    /// Routers that may still use an older revision.
     pub behind: Vec<String>,
-    /// Routers that have it.
+    /// Routers that use this revision or a later one.
     pub ready: Vec<String>,
 }
 
@@ -109,9 +109,9 @@
 pub struct Status {
     /// Partner that the group belongs to.
     pub partner: String,
-    /// Leader's term.
+    /// Term of the leader.
     pub term: Term,
-    /// The leader's store.
+    /// Id of the leader's store.
     pub leader: StoreId,
     /// Revision in force.
     pub revision: Revision,
@@ -119,24 +119,24 @@
     pub commit: u64,
     /// Members of the group.
     pub members: Vec<MemberStatus>,
-    /// Routers heard within the freshness lease.
+    /// Routers that called within the freshness lease.
     pub routers: Vec<RouterStatus>,
-    /// Hosts and targets being drained.
+    /// Names of the hosts and targets being drained.
     pub drains: BTreeSet<String>,
-    /// Engines on their way to another model.
+    /// Engines that are switching to another model.
     pub moving: BTreeMap<String, Moving>,
-    /// Targets on the platform's list; `None` where it can't be read.
+    /// Targets on the platform's list; `None` when it can't be read.
     pub targets: Option<Vec<Listed>>,
 }
 
 /// One member, as the leader sees it.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// Identity, address and standing.
+    /// Id, address and role.
     pub member: Member,
     /// Whether it answered the leader within an election period.
     pub live: bool,
-    /// Last log index known to be on its disk.
+    /// Index of the last log entry known to be on its disk.
     pub matched: u64,
 }
 
@@ -145,25 +145,25 @@
 pub struct RouterStatus {
     /// Host of the router.
     pub host: String,
-    /// Revision it has in force.
+    /// Revision of the configuration that it has in force.
     pub revision: Revision,
-    /// Time since it was heard, in milliseconds.
+    /// Time since its last call, in milliseconds.
     pub heard_ms_ago: u64,
-    /// What it told of itself.
-    pub report: Report,
+    /// Counts that it reported last.
+    pub report: RouterReport,
 }
 
-/// The calls.
+/// The RPC methods of a control member.
 ///
-/// `key` is the secret of the partner's hosts, `token` an operator's bearer token; a wrong one is
-/// answered by [`ControlError::Unauthorized`] and nothing else.
+/// `key` is the secret shared by the partner's hosts, `token` an operator's bearer token. A call with a wrong one fails with
+/// [`ControlError::Unauthorized`] and has no effect.
 #[rpc(client, server, namespace = "latchmount")]
 pub trait Control {
-    /// Who is this member?
+    /// Returns the identity of this member.
     #[method(name = "identify")]
     async fn identify(&self, key: String) -> Result<Identity, ErrorObjectOwned>;
 
-    /// Messages of the member at `from`.
+    /// Receives Raft messages from the member at `from`.
     #[method(name = "deliver")]
     async fn deliver(
         &self,
@@ -172,39 +172,39 @@
         messages: Vec<Envelope>,
     ) -> Result<(), ErrorObjectOwned>;
 
-    /// Bring a member in.
+    /// Adds a member to the group.
     #[method(name = "join")]
     async fn join(&self, key: String, newcomer: JoinRequest) -> Result<(), ErrorObjectOwned>;
 
-    /// Form a group of all members in the settings; every one of them must be blank.
+    /// Forms a group of all members in the settings. None of them may belong to a group yet.
     #[method(name = "form")]
     async fn form(&self, token: String) -> Result<GroupId, ErrorObjectOwned>;
 
-    /// The configuration in force, for a router.
+    /// Returns the configuration in force to a router.
     #[method(name = "sync")]
     async fn sync(&self, key: String, request: SyncRequest) -> Result<SyncReply, ErrorObjectOwned>;
 
-    /// Claim a request that must run at most once, for a router.
+    /// Claims a request that must run at most once, for a router.
     #[method(name = "claim")]
     async fn claim(&self, key: String, claim: Claim) -> Result<Verdict, ErrorObjectOwned>;
 
-    /// Give a claim back.
+    /// Releases a claim.
     #[method(name = "release")]
     async fn release(&self, key: String, release: Release) -> Result<(), ErrorObjectOwned>;
 
-    /// Submit or revise a template; `change` is a [`crate::store::Change`].
+    /// Submits or revises a template; `change` is a [`crate::store::Change`].
     #[method(name = "change")]
     async fn change(&self, token: String, change: Value) -> Result<Answer, ErrorObjectOwned>;
 
-    /// Start or end a drain.
+    /// Starts or ends the drain of a host or target.
     #[method(name = "drain")]
     async fn drain(&self, token: String, drain: Drain) -> Result<Answer, ErrorObjectOwned>;
 
-    /// Every template in force.
+    /// Returns every template in force.
     #[method(name = "templates")]
     async fn templates(&self, token: String) -> Result<Vec<Stored>, ErrorObjectOwned>;
 
-    /// Wait until `revision` is in force at every live router, at most `timeout_ms`.
+    /// Waits until `revision` is in force at every live router, at most `timeout_ms`.
     #[method(name = "wait")]
     async fn wait(
         &self,
@@ -213,28 +213,28 @@
         timeout_ms: u64,
     ) -> Result<WaitReply, ErrorObjectOwned>;
 
-    /// State of the group.
+    /// Returns the state of the group.
     #[method(name = "status")]
     async fn status(&self, token: String) -> Result<Status, ErrorObjectOwned>;
 }
 
-/// Why a control member did not do what it was asked.
+/// Error of a call to a control member.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum ControlError {
-    /// Wrong or missing key or token.
+    /// The key or token is wrong or missing.
     #[error("not authorized: check the token or key")]
     Unauthorized,
-    /// This member does not lead; nothing was done.
+    /// The member is not the leader; the call had no effect.
     #[error("this member does not lead the group; ask {}", .leader.map_or("another".into(), |addr| addr.to_string()))]
     NotLeader {
         /// The leader's address, where known.
         leader: Option<SocketAddr>,
     },
-    /// The leader can't prove that it still leads, or lost its place meanwhile; a change may have
-    /// been accepted, so resend it under the same id.
+    /// The leader can't prove that it is still the leader, or lost leadership during the call. A change may have been
+    /// accepted, so it must be resent with the same id.
     #[error("the outcome is not known; resend the same change id")]
     Unknown,
-    /// The content has faults; nothing was done.
+    /// The content is invalid; the call had no effect.
     #[error("the content has faults: {}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("; "))]
     Invalid(Vec<Fault>),
     /// The group can't be formed.
@@ -243,7 +243,7 @@
     /// The member is stopping.
     #[error("the member is stopping")]
     Stopping,
-    /// The call failed on its way.
+    /// The call could not be delivered or answered.
     #[error("the call failed: {0}")]
     Call(String),
 }
@@ -287,14 +287,15 @@
     }
 }
 
+/// Decodes the data of an error object; `None` when there is none or it does not match.
 fn data<T: serde::de::DeserializeOwned>(object: &ErrorObjectOwned) -> Option<T> {
     serde_json::from_str(object.data()?.get()).ok()
 }
 
-/// A client of the member at `addr`.
+/// Creates a client for the member at `addr`.
 ///
 /// # Errors
-/// When the address makes no URL.
+/// When the client can't be built.
 pub fn connect(addr: SocketAddr, timeout: Duration) -> Result<HttpClient, ControlError> {
     HttpClientBuilder::default()
         .request_timeout(timeout)
@@ -304,30 +305,30 @@
         .map_err(ControlError::from)
 }
 
-/// Clients of all members of a group; begins with any of them and follows the leader.
+/// Clients for all members of a group. Starts with a random member and switches to the leader when an error names it.
 #[derive(Clone)]
 pub struct Group {
     clients: Vec<(SocketAddr, HttpClient)>,
-    at: usize,
+    current: usize,
 }
 
 impl Group {
-    /// Clients of the members at `addrs`.
+    /// Creates clients for the members at `addrs`.
     ///
     /// # Errors
-    /// When an address makes no URL.
+    /// When a client can't be built.
     pub fn new(addrs: &[SocketAddr], timeout: Duration) -> Result<Self, ControlError> {
         let clients = addrs
             .iter()
             .map(|addr| Ok((*addr, connect(*addr, timeout)?)))
             .collect::<Result<Vec<_>, ControlError>>()?;
-        let at = rand::random_range(0..clients.len().max(1));
-        Ok(Group { clients, at })
+        let current = rand::random_range(0..clients.len().max(1));
+        Ok(Group { clients, current })
     }
 
-    /// Client of the member to ask next.
+    /// Client for the member to call next.
     pub fn current(&self) -> &HttpClient {
-        &self.clients[self.at].1
+        &self.clients[self.current].1
     }
 
     /// Number of members.
@@ -335,18 +336,18 @@
         self.clients.len()
     }
 
-    /// Whether there is no member.
+    /// Whether there are no members.
     pub fn is_empty(&self) -> bool {
         self.clients.is_empty()
     }
 
-    /// Turns to the leader that an error names, else to the next member.
+    /// Switches to the leader that `error` names, otherwise to the next member.
     pub fn switch_member(&mut self, error: &ControlError) {
         let hint = match error {
             ControlError::NotLeader { leader } => *leader,
             _ => None,
         };
         let named = hint.and_then(|hint| self.clients.iter().position(|(addr, _)| *addr == hint));
-        self.at = named.unwrap_or((self.at + 1) % self.clients.len());
+        self.current = named.unwrap_or((self.current + 1) % self.clients.len());
     }
 }
--- a/src/targets.rs
+++ b/src/targets.rs
@@ -1,5 +1,5 @@
-//! The targets as one router sees them: the platform's lagging list, marks of leaving targets, and
-//! the router's own evidence.
+//! What one router knows of the targets: from the platform's list, which lags behind reality, from targets that report
+//! their shutdown, and from the outcomes of the router's own requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,21 +11,22 @@
 use crate::retry_after::RetryAfter;
 use crate::template::Spec;
 
-/// Failures in a row that open a target's circuit.
+/// Number of consecutive failures that open a target's circuit.
 const CIRCUIT_FAILURES: u32 = 3;
-/// First and longest time that a circuit stays open.
+/// Initial and maximum time that a circuit stays open.
 const CIRCUIT_OPEN_RANGE: (Duration, Duration) =
     (Duration::from_millis(500), Duration::from_secs(10));
-/// How long a target that left the list is remembered, so that a stale list can't revive it.
+/// How long a target that is missing from the list is remembered, so that a stale list can't bring back one that shut
+/// down.
 const TOMBSTONE_RETENTION: Duration = Duration::from_secs(600);
 
-/// Time over which the routers come back to a target after a rest.
+/// Time over which the routers spread their return to a target after its back-off.
 const BACKOFF_RETURN_SPREAD: Duration = Duration::from_secs(1);
 
 /// The platform's list of targets, as it publishes it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// Age of the list when it was answered, in milliseconds.
+    /// Age of the list when the platform sent it, in milliseconds.
     pub age_ms: u64,
     /// The targets.
     pub targets: Vec<Listed>,
@@ -42,33 +43,33 @@
     pub data_hall: String,
     /// Base URL.
     pub url: String,
-    /// Grows with each start of the target.
+    /// Number that increases with each start of the target.
     pub incarnation: u64,
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// Partner whose control group gives it orders; routers of both may send it work.
+    /// Partner whose control group gives it orders; the routers of both partners may send it requests.
     pub partner: String,
-    /// Whether it refuses orders older than the newest it has carried out.
+    /// Whether it refuses orders that are older than the newest one that it has carried out.
     #[serde(default)]
     pub fenced: bool,
-    /// What it does.
+    /// What it serves.
     pub serves: Serves,
 }
 
-/// What a target does.
+/// What a target serves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Serves {
-    /// An engine, with what it has loaded.
+    /// An engine, with the models that it has loaded.
     Models(Vec<Spec>),
-    /// A plain service, by name.
+    /// A plain service of this name.
     Service(String),
 }
 
-/// What a request needs.
+/// What a request needs of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need<'a> {
-    /// An engine that has this loaded.
+    /// An engine that has this model loaded.
     Model(&'a Spec),
     /// This plain service.
     Service(&'a str),
@@ -93,7 +94,7 @@
     pub url: String,
     /// Its incarnation.
     pub incarnation: u64,
-    /// What the choice is made on.
+    /// Properties by which targets are compared.
     pub candidate: Candidate,
 }
 
@@ -101,9 +102,9 @@
 struct Target {
     listed: Listed,
     hash: NameHash,
-    /// Whether it may be sent anything; begins anew with each incarnation.
+    /// Whether it may be sent requests; reset for each incarnation.
     availability: Availability,
-    /// When it was missing from the list first; `None` while it is listed.
+    /// When it was first missing from the list; `None` while it is listed.
     missing_since: Option<Duration>,
     answered_at: Option<Duration>,
     in_flight: usize,
@@ -125,7 +126,7 @@
         target
     }
 
-    /// Takes what the list says of this incarnation. Once it leaves, no later list revives it.
+    /// Applies the entry of the list for this incarnation. One that is shutting down stays so, whatever a later list has.
     fn update(&mut self, listed: Listed) {
         if listed.leaving {
             self.availability.says_leaving();
@@ -143,7 +144,7 @@
     }
 }
 
-/// Keeps work away from a target that fails again and again.
+/// Circuit breaker: keeps requests away from a target that fails repeatedly.
 #[derive(Clone, Copy, Debug, Default)]
 struct Circuit {
     failures: u32,
@@ -165,22 +166,22 @@
     }
 }
 
-/// All targets that a router knows of.
+/// All targets that a router knows.
 #[derive(Clone, Debug)]
 pub struct Targets {
     known: BTreeMap<String, Target>,
-    /// When the newest list was made.
+    /// When the platform made the newest list that was applied.
     list_made_at: Option<Duration>,
     list_max_age: Duration,
 }
 
 impl Targets {
-    /// No targets yet; a list older than `list_max_age` no longer proves that a target lives.
+    /// Creates an empty set. A list older than `list_max_age` is no longer proof that a target is alive.
     pub fn new(list_max_age: Duration) -> Self {
         Targets { known: BTreeMap::new(), list_made_at: None, list_max_age }
     }
 
-    /// Takes a list received at `now`; one older than the newest is ignored.
+    /// Applies a list received at `now`; one older than the newest applied is ignored.
     pub fn apply(&mut self, now: Duration, listing: Listing) {
         let made_at = now.saturating_sub(Duration::from_millis(listing.age_ms));
         if self.list_made_at.is_some_and(|newest| made_at < newest) {
@@ -216,8 +217,8 @@
         target.update(listed);
     }
 
-    /// Marks a target as leaving, on its own word.
-    pub fn mark_leaving(&mut self, name: &str, incarnation: u64) {
+    /// Records that a target reported its own shutdown.
+    pub fn mark_draining(&mut self, name: &str, incarnation: u64) {
         if let Some(target) = self.known.get_mut(name)
             && target.listed.incarnation <= incarnation
         {
@@ -225,7 +226,7 @@
         }
     }
 
-    /// The target has turned a request away and wants nothing for a while; another incarnation begins clean.
+    /// Records that the target rejected a request and asked for a back-off, which ends with its incarnation.
     pub fn back_off(&mut self, now: Duration, choice: &Choice, backoff: RetryAfter) {
         if let Some(target) = self.known.get_mut(&choice.name)
             && target.listed.incarnation == choice.incarnation
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Time until the first target that could meet the need ends its rest; `None` where none rests.
+    /// Time until the first back-off of a suitable target ends; `None` when none is backing off.
     pub fn backoff_left(
         &self,
         now: Duration,
@@ -246,12 +247,14 @@
         suitable.filter_map(|target| target.availability.standing(now).rest_left(now)).min()
     }
 
-    /// Whether the platform's list is too old to prove that a target lives.
+    /// Whether the platform's list is too old to be proof that a target is alive.
     pub fn list_is_stale(&self, now: Duration) -> bool {
         self.list_made_at.is_none_or(|made_at| now > made_at + self.list_max_age)
     }
 
-    /// Targets that may take a new request; `closed` tells of hosts and targets that get none.
+    /// Targets that may be sent a new request. `excluded` returns true for names of hosts and targets to be sent none.
+    ///
+    /// A target that returns from a back-off and has its allowed number of requests is a candidate only if there is no other.
     pub fn candidates(
         &self,
         now: Duration,
@@ -268,7 +271,7 @@
         usable.into_iter().map(Target::to_choice).collect()
     }
 
-    /// Targets that meet the need and live, whether or not they take work now.
+    /// Targets that serve the need and are alive, including those that are backing off or shutting down.
     fn suitable<'a>(
         &'a self,
         now: Duration,
@@ -288,21 +291,21 @@
         })
     }
 
-    /// Notes that a request goes to `name`.
+    /// Records that a request is sent to `name`.
     pub fn begin(&mut self, name: &str) {
         if let Some(target) = self.known.get_mut(name) {
             target.in_flight += 1;
         }
     }
 
-    /// Notes that a request at `name` has ended.
+    /// Records that a request at `name` has ended.
     pub fn end(&mut self, name: &str) {
         if let Some(target) = self.known.get_mut(name) {
             target.in_flight = target.in_flight.saturating_sub(1);
         }
     }
 
-    /// Notes an answer of `name`.
+    /// Records that `name` answered a request.
     pub fn succeeded(&mut self, now: Duration, name: &str) {
         if let Some(target) = self.known.get_mut(name) {
             target.answered_at = Some(now);
@@ -311,14 +314,14 @@
         }
     }
 
-    /// Notes that `name` failed to answer.
+    /// Records that `name` failed to answer a request.
     pub fn failed(&mut self, now: Duration, name: &str) {
         if let Some(target) = self.known.get_mut(name) {
             target.circuit.fail(now);
         }
     }
 
-    /// The pool of each engine: all engines that serve the same model and version.
+    /// The pool of each listed engine. Engines of the same model and version form a pool.
     pub fn pools(&self) -> BTreeMap<NameHash, NameHash> {
         let listed = self.known.values().filter(|target| target.missing_since.is_none());
         listed
@@ -332,7 +335,7 @@
             .collect()
     }
 
-    /// Requests in flight at each target.
+    /// Number of requests in flight from this router at each target.
     pub fn in_flight(&self) -> impl Iterator<Item = (&str, usize)> {
         self.known.iter().map(|(name, target)| (name.as_str(), target.in_flight))
     }
--- a/tests/gateway/words.rs
+++ b/tests/gateway/words.rs
@@ -72,8 +72,8 @@
 fn a_target_says_that_it_leaves(#[case] value: &str, #[case] leaving: bool) {
     let head = headers(&[("latchmount-leaving", value), ("latchmount-load", "3,1")]);
     let word = NativeDialect::default().target_status(StatusCode::OK, &head);
-    assert_eq!(word.leaving, leaving);
-    let load = TargetLoad { running: 3, waiting: 1, strain_percent: None };
+    assert_eq!(word.draining, leaving);
+    let load = TargetLoad { running: 3, waiting: 1, slowdown_percent: None };
     assert_eq!(word.load, Some(load));
 }
 
