--- a/src/cli.rs
+++ b/src/cli.rs
@@ -1,13 +1,13 @@
-//! Command line.
+//! Command-line interface. The doc comments of the types below are its help texts.
 
 use std::path::PathBuf;
 
 use bpaf::Bpaf;
 
-/// A router fleet for very many returning chats.
+/// A fleet of HTTP routers for services and recurring chats.
 ///
-/// Exit codes: 0 done; 1 failed; 2 wrong use or faults in a file; 3 a conflict with the version in
-/// force; 4 not authorized.
+/// Exit codes: 0 success; 1 failure; 2 wrong usage or an invalid file; 3 conflict with the version in force; 4 not
+/// authorized.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 pub enum Cli {
@@ -17,23 +17,23 @@
     /// Run a control member.
     #[bpaf(command)]
     Control(#[bpaf(external(process))] Process),
-    /// Run whatever the settings have a section for: a router, a control member or both.
+    /// Run a router, a control member or both, depending on the sections of the settings.
     #[bpaf(command)]
     Serve(#[bpaf(external(process))] Process),
-    /// Run a gateway: it takes requests by host and path.
+    /// Run a gateway, which routes requests to targets by host and path.
     #[bpaf(command)]
     Gateway(#[bpaf(external(process))] Process),
-    /// Run a member of a control group that forms and mends itself.
+    /// Run a member of a self-forming group, which replaces failed members by itself.
     #[bpaf(command)]
     Member(#[bpaf(external(process))] Process),
-    /// Print every fault of a settings or template file.
+    /// Check a settings or template file and print all its faults.
     #[bpaf(command)]
     Check {
-        /// File with settings or a template.
+        /// Settings or template file.
         #[bpaf(positional("FILE"))]
         file: PathBuf,
     },
-    /// Tell the story of one request from log files.
+    /// Print the timeline of one request, from log files.
     #[bpaf(command)]
     Explain {
         /// Print JSON rather than text.
@@ -41,7 +41,7 @@
         /// Id of the request.
         #[bpaf(positional("REQUEST-ID"))]
         id: String,
-        /// Log files of any processes; standard input without any.
+        /// Log files of any processes; standard input if none is given.
         #[bpaf(positional("FILE"))]
         files: Vec<PathBuf>,
     },
@@ -50,59 +50,59 @@
     Account {
         /// Print JSON rather than text.
         json: bool,
-        /// Log files of any processes; standard input without any.
+        /// Log files of any processes; standard input if none is given.
         #[bpaf(positional("FILE"))]
         files: Vec<PathBuf>,
     },
-    /// Form a group of blank control members; needed once.
+    /// Form a group of new control members; needed once.
     #[bpaf(command)]
     Init(#[bpaf(external(remote))] Remote),
-    /// Submit, revise and look at team templates.
+    /// Submit, revise and read team templates.
     #[bpaf(command)]
     Template {
-        /// What to do.
+        /// Subcommand.
         #[bpaf(external(template_command))]
         command: TemplateCommand,
     },
-    /// Members, routers, revisions in force and refusals by reason.
+    /// Print members, routers, revisions in force and refusals by reason.
     #[bpaf(command)]
     Status {
         /// Print JSON rather than a table.
         json: bool,
-        /// Whom to ask.
+        /// Control members to call.
         #[bpaf(external(remote))]
         remote: Remote,
     },
-    /// Send no new work to a host or target.
+    /// Drain a host or target: send it no new requests.
     #[bpaf(command)]
     Drain {
-        /// Take it back into use.
+        /// Put it back into use.
         undo: bool,
-        /// Whom to tell.
+        /// Control members to call.
         #[bpaf(external(remote))]
         remote: Remote,
         /// Host or target.
         #[bpaf(positional("NAME"))]
         name: String,
     },
-    /// Look at requests that are sent nowhere because targets ended under them.
+    /// List or unblock requests that are sent to no target, since targets ended while running them.
     #[bpaf(command)]
     Poison {
-        /// What to do.
+        /// Subcommand.
         #[bpaf(external(poison_command))]
         command: PoisonCommand,
     },
     /// Move the traffic of services to other versions.
     #[bpaf(command)]
     Rollout {
-        /// What to do.
+        /// Subcommand.
         #[bpaf(external(rollout_command))]
         command: RolloutCommand,
     },
-    /// Evacuate data halls, and take them back into use.
+    /// Evacuate data halls and put them back into use.
     #[bpaf(command)]
     Evacuation {
-        /// What to do.
+        /// Subcommand.
         #[bpaf(external(evacuation_command))]
         command: EvacuationCommand,
     },
@@ -114,15 +114,15 @@
     /// Settings file: JSON with comments.
     #[bpaf(short, long, argument("FILE"))]
     pub settings: PathBuf,
-    /// Write events of debugging too.
+    /// Log debug events too.
     #[bpaf(short, long)]
     pub verbose: bool,
-    /// Dialect that the outside speaks; only for gateways and members.
+    /// Dialect of the external HTTP interface; only for gateways and members.
     #[bpaf(long, argument("NAME"))]
     pub dialect: Option<String>,
 }
 
-/// How to reach a partner's control members.
+/// How to reach the control members of a partner.
 #[derive(Clone, Debug, Bpaf)]
 pub struct Remote {
     /// Address of a control member; may be given several times.
@@ -137,12 +137,12 @@
     /// File that holds the operator's bearer token.
     #[bpaf(short, long, argument("FILE"), env("LATCHMOUNT_TOKEN_FILE"))]
     pub token_file: PathBuf,
-    /// Longest time to try, in seconds.
+    /// Time after which to give up, in seconds.
     #[bpaf(long, argument("SECONDS"), fallback(30))]
     pub timeout_s: u64,
 }
 
-/// How to reach the members of a group that forms itself.
+/// How to reach the members of a self-forming group.
 #[derive(Clone, Debug, Bpaf)]
 pub struct MemberEndpoints {
     /// Address of a member; may be given several times.
@@ -154,44 +154,44 @@
         some("name a member with --member")
     )]
     pub member: Vec<std::net::SocketAddr>,
-    /// Dialect that the members speak with the outside.
+    /// Dialect of the members' HTTP interface.
     #[bpaf(long, argument("NAME"))]
     pub dialect: Option<String>,
-    /// Longest time to try, in seconds; an order must not be sent again for long after it was made.
+    /// Time after which to give up, in seconds. Keep it short: an order must not be resent long after it was given.
     #[bpaf(long, argument("SECONDS"), fallback(5))]
     pub timeout_s: u64,
 }
 
-/// Commands on evacuations.
+/// Subcommands of `evacuation`.
 #[derive(Clone, Debug, Bpaf)]
 pub enum EvacuationCommand {
-    /// Have the targets of a data hall sent nothing more.
+    /// Evacuate a data hall: send its targets no more requests.
     #[bpaf(command)]
     Order {
-        /// Whom to tell.
+        /// Members to send the call to.
         #[bpaf(external(member_endpoints))]
         endpoints: MemberEndpoints,
         /// Data hall.
         #[bpaf(positional("HALL"))]
         data_hall: String,
     },
-    /// Take a data hall back into use.
+    /// Put a data hall back into use.
     #[bpaf(command)]
     Withdraw {
-        /// Whom to tell.
+        /// Members to send the call to.
         #[bpaf(external(member_endpoints))]
         endpoints: MemberEndpoints,
         /// Data hall.
         #[bpaf(positional("HALL"))]
         data_hall: String,
     },
-    /// List the data halls that are evacuated.
+    /// List the evacuated data halls.
     #[bpaf(command)]
     List(#[bpaf(external(member_endpoints))] MemberEndpoints),
 }
 
 impl EvacuationCommand {
-    /// Whom to tell or ask.
+    /// The members to send the call to.
     pub fn endpoints(&self) -> &MemberEndpoints {
         match self {
             EvacuationCommand::Order { endpoints, .. }
@@ -201,52 +201,52 @@
     }
 }
 
-/// Commands on roll-outs.
+/// Subcommands of `rollout`.
 #[derive(Clone, Debug, Bpaf)]
 pub enum RolloutCommand {
-    /// Move the traffic of a service to targets of another version, unless that proves to be bad.
+    /// Move the traffic of a service to targets of another version, and back if those turn out worse.
     #[bpaf(command)]
     Start {
-        /// Whom to tell.
+        /// Members to send the call to.
         #[bpaf(external(member_endpoints))]
         endpoints: MemberEndpoints,
-        /// Time in which it is to be done, in seconds.
+        /// Duration of the roll-out, in seconds.
         #[bpaf(long, argument("SECONDS"))]
         within_s: u64,
-        /// The service.
+        /// Name of the service.
         #[bpaf(positional("SERVICE"))]
         service: String,
-        /// The version.
+        /// Version to move the traffic to.
         #[bpaf(positional("VERSION"))]
         version: String,
     },
-    /// Tell how far the roll-out of a service is.
+    /// Print the progress of the roll-out of a service.
     #[bpaf(command)]
     Show {
-        /// Whom to ask.
+        /// Members to send the call to.
         #[bpaf(external(member_endpoints))]
         endpoints: MemberEndpoints,
-        /// The service.
+        /// Name of the service.
         #[bpaf(positional("SERVICE"))]
         service: String,
     },
     /// List the last roll-out of each service.
     #[bpaf(command)]
     List(#[bpaf(external(member_endpoints))] MemberEndpoints),
-    /// Send the new version of a service nothing more.
+    /// Withdraw a roll-out: send no more requests to the new version of the service.
     #[bpaf(command)]
     Withdraw {
-        /// Whom to tell.
+        /// Members to send the call to.
         #[bpaf(external(member_endpoints))]
         endpoints: MemberEndpoints,
-        /// The service.
+        /// Name of the service.
         #[bpaf(positional("SERVICE"))]
         service: String,
     },
 }
 
 impl RolloutCommand {
-    /// Whom to tell or ask.
+    /// The members to send the call to.
     pub fn endpoints(&self) -> &MemberEndpoints {
         match self {
             RolloutCommand::Start { endpoints, .. }
@@ -257,26 +257,26 @@
     }
 }
 
-/// Commands on requests under which targets ended.
+/// Subcommands of `poison`.
 #[derive(Clone, Debug, Bpaf)]
 pub enum PoisonCommand {
-    /// List the requests that are sent nowhere, with their teams, routes and ends.
+    /// List the blocked requests, with their teams, routes and numbers of ended targets.
     #[bpaf(command)]
     List(#[bpaf(external(member_endpoints))] MemberEndpoints),
-    /// Have one sent to targets again, at all gateways.
+    /// Unblock a request at all gateways.
     #[bpaf(command)]
     Lift {
-        /// Whom to tell.
+        /// Members to send the call to.
         #[bpaf(external(member_endpoints))]
         endpoints: MemberEndpoints,
-        /// Fingerprint of the request, as logs and the list have it.
+        /// Fingerprint of the request, as in the logs and in the list.
         #[bpaf(positional("FINGERPRINT"))]
         fingerprint: crate::poison::Fingerprint,
     },
 }
 
 impl PoisonCommand {
-    /// Whom to tell or ask.
+    /// The members to send the call to.
     pub fn endpoints(&self) -> &MemberEndpoints {
         match self {
             PoisonCommand::List(endpoints) | PoisonCommand::Lift { endpoints, .. } => endpoints,
@@ -284,7 +284,7 @@
     }
 }
 
-/// Commands on templates.
+/// Subcommands of `template`.
 #[derive(Clone, Debug, Bpaf)]
 pub enum TemplateCommand {
     /// Submit a new template.
@@ -296,17 +296,17 @@
         /// Version that the revision is based on.
         #[bpaf(short, long, argument("VERSION"))]
         base: u64,
-        /// The rest.
+        /// Arguments of the change.
         #[bpaf(external(change_args))]
         args: ChangeArgs,
     },
     /// Print a template in force, as JSON.
     #[bpaf(command)]
     Show {
-        /// Whom to ask.
+        /// Control members to call.
         #[bpaf(external(remote))]
         remote: Remote,
-        /// Template.
+        /// Name of the template.
         #[bpaf(positional("NAME"))]
         name: String,
     },
@@ -316,17 +316,17 @@
     /// List the versions of a template.
     #[bpaf(command)]
     History {
-        /// Whom to ask.
+        /// Control members to call.
         #[bpaf(external(remote))]
         remote: Remote,
-        /// Template.
+        /// Name of the template.
         #[bpaf(positional("NAME"))]
         name: String,
     },
     /// Wait until a revision is in force at every live router.
     #[bpaf(command)]
     Wait {
-        /// Whom to ask.
+        /// Control members to call.
         #[bpaf(external(remote))]
         remote: Remote,
         /// Revision, as printed by submit and revise.
@@ -335,13 +335,13 @@
     },
 }
 
-/// Arguments of a change.
+/// Arguments of a change to a template.
 #[derive(Clone, Debug, Bpaf)]
 pub struct ChangeArgs {
-    /// Id of the change; give the same one to resend a change whose answer was lost.
+    /// Id of the change. To resend a change whose answer was lost, give the same id.
     #[bpaf(long, argument("ID"))]
     pub change_id: Option<String>,
-    /// Whom to tell.
+    /// Control members to call.
     #[bpaf(external(remote))]
     pub remote: Remote,
     /// Template file: JSON with comments.
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The `latchmount` binary: parses the command line, calls the library and prints.
+//! The `latchmount` binary: parses the command line, calls the library and prints the result.
 
 use std::process::ExitCode;
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 #[path = "../platform/mod.rs"]
 mod platform;
 
-/// Longest time for the last log lines once a process has ended its work.
+/// Maximum time for writing the last log lines when a process exits.
 const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 fn main() -> ExitCode {
@@ -31,7 +31,7 @@
     runtime.block_on(run(command))
 }
 
-/// Gateways and members run on small machines, where a second thread costs more than it gives.
+/// Creates the async runtime. Gateways and members run on small machines, where a second thread costs more than it gains.
 fn runtime(command: &Cli) -> std::io::Result<Runtime> {
     match command {
         Cli::Gateway(_) | Cli::Member(_) => Builder::new_current_thread().enable_all().build(),
@@ -39,7 +39,7 @@
     }
 }
 
-/// The dialect that a command names; the project's own without a name.
+/// The dialect called `name`; the default one without a name. `None` for an unknown name.
 fn dialect(name: Option<&str>) -> Option<SharedDialect> {
     match name {
         None => Some(Arc::new(NativeDialect::default())),
@@ -50,11 +50,11 @@
 
 async fn run_fleet_role(process: Process, role: FleetRole) -> ExitCode {
     let Some(dialect) = dialect(process.dialect.as_deref()) else {
-        return fail(&"--dialect: no such dialect", 2);
+        return fail_unknown_dialect(process.dialect.as_deref());
     };
     let ended = process::run_fleet_role(process, role, dialect).await;
     let code = i32::from(ended.is_err());
-    // The last lines may wait for a reader that stands still; the process must end all the same.
+    // A blocked reader of the log may keep the last lines from being written; the process must exit all the same.
     std::thread::spawn(move || {
         std::thread::sleep(LOG_FLUSH_TIMEOUT);
         std::process::exit(code);
@@ -87,21 +87,21 @@
 
 async fn evacuation(command: EvacuationCommand) -> ExitCode {
     let Some(dialect) = dialect(command.endpoints().dialect.as_deref()) else {
-        return fail(&"--dialect: no such dialect", 2);
+        return fail_unknown_dialect(command.endpoints().dialect.as_deref());
     };
     print(operator::evacuation(&command, dialect.as_ref()).await)
 }
 
 async fn poison(command: PoisonCommand) -> ExitCode {
     let Some(dialect) = dialect(command.endpoints().dialect.as_deref()) else {
-        return fail(&"--dialect: no such dialect", 2);
+        return fail_unknown_dialect(command.endpoints().dialect.as_deref());
     };
     print(operator::poison(&command, dialect.as_ref()).await)
 }
 
 async fn rollout(command: RolloutCommand) -> ExitCode {
     let Some(dialect) = dialect(command.endpoints().dialect.as_deref()) else {
-        return fail(&"--dialect: no such dialect", 2);
+        return fail_unknown_dialect(command.endpoints().dialect.as_deref());
     };
     print(operator::rollout(&command, dialect.as_ref()).await)
 }
@@ -123,6 +123,10 @@
     }
 }
 
+fn fail_unknown_dialect(name: Option<&str>) -> ExitCode {
+    fail(&format!("--dialect: unknown dialect {:?}", name.unwrap_or_default()), 2)
+}
+
 fn fail(error: &dyn std::fmt::Display, code: u8) -> ExitCode {
     eprintln!("latchmount: {error}");
     ExitCode::from(code)
--- a/src/process.rs
+++ b/src/process.rs
@@ -1,4 +1,4 @@
-//! One process: starts the roles of its settings and stops them as planned on a signal.
+//! Runs the roles of one process and stops them in an orderly way on a signal.
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -19,21 +19,21 @@
 use crate::router::Router;
 use crate::settings::{Settings, SettingsError};
 
-/// Roles that a command asks for.
+/// Roles of the older mode that a command runs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Roles {
     /// A router.
     Router,
     /// A control member.
     Control,
-    /// All that the settings have a section for.
+    /// Each role that the settings have a section for.
     All,
 }
 
-/// Runs until a signal ends it as planned.
+/// Runs routers and control members until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// When the settings have faults, a role can't start, or the disk of a control member fails.
+/// When the settings are invalid, a role can't start, or the disk of a control member fails.
 pub async fn run(process: Process, roles: Roles) -> eyre::Result<()> {
     let settings = Settings::read(&process.settings)?;
     let level = if process.verbose { Level::Debug } else { Level::Info };
@@ -45,7 +45,7 @@
     let failed = wait_for_stop(control, &mut stop, &mut interrupt).await;
     match failed {
         StopCause::Signal(control) => {
-            info!(log, "planned stop"; "event" => "stop");
+            info!(log, "stopping on a signal"; "event" => "stop");
             stop_router(router, &mut stop, &mut interrupt, &log).await;
             if let Some(control) = control {
                 control.stop().await;
@@ -54,7 +54,7 @@
         }
         StopCause::Disk(error) => {
             stop_router(router, &mut stop, &mut interrupt, &log).await;
-            Err(error).wrap_err("the control member had to stop")
+            Err(error).wrap_err("the control member stopped because its disk failed")
         }
     }
 }
@@ -66,7 +66,7 @@
 ) -> eyre::Result<Option<Control>> {
     match (&settings.control, roles) {
         (_, Roles::Router) | (None, Roles::All) => Ok(None),
-        (None, Roles::Control) => bail!("the settings have no section control"),
+        (None, Roles::Control) => bail!("the settings have no `control` section"),
         (Some(control), _) => Ok(Some(Control::start(settings, control, log).await?)),
     }
 }
@@ -80,12 +80,15 @@
         return Ok(None);
     }
     let router = settings.router.as_ref();
-    let router = router.ok_or_eyre("the settings have no section router")?;
+    let router = router.ok_or_eyre("the settings have no `router` section")?;
     Ok(Some(Router::start(settings, router, log).await?))
 }
 
+/// Why the process stops.
 enum StopCause {
+    /// A signal; with the running control member, if there is one.
     Signal(Option<Control>),
+    /// A disk error of the control member.
     Disk(crate::raft::WalError),
 }
 
@@ -108,7 +111,7 @@
     }
 }
 
-/// Stops the router as planned; a second signal cuts off what is in flight.
+/// Stops the router, which waits for its requests in flight; a second signal cuts them off.
 async fn stop_router(
     router: Option<Router>,
     stop: &mut Signal,
@@ -120,24 +123,24 @@
     };
     tokio::select! {
         _ = router.stop() => {}
-        _ = stop.recv() => warn!(log, "second signal"; "event" => "stop_now"),
-        _ = interrupt.recv() => warn!(log, "second signal"; "event" => "stop_now"),
+        _ = stop.recv() => warn!(log, "second signal: stopping at once"; "event" => "stop_now"),
+        _ = interrupt.recv() => warn!(log, "second signal: stopping at once"; "event" => "stop_now"),
     }
 }
 
-/// Roles that speak a dialect with the outside.
+/// Roles that use a dialect for their external interface.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FleetRole {
     /// A gateway.
     Gateway,
-    /// A member of a control group that forms itself.
+    /// A member of a self-forming group.
     Member,
 }
 
-/// Runs a gateway or a member until a signal ends it as planned.
+/// Runs a gateway or a member until SIGTERM or SIGINT.
 ///
 /// # Errors
-/// When the settings have faults, an address can't be used, or the disk of a member fails.
+/// When the settings are invalid, the role can't start, or the disk of a member fails.
 pub async fn run_fleet_role(
     process: Process,
     role: FleetRole,
@@ -152,18 +155,18 @@
             let log = logging::logger_to(std::io::stdout(), &read.document.host, level);
             let settings = into_known_settings(read, &log);
             let gateway = RunningGateway::start(settings, dialect, &log).await?;
-            let mut reload = Reload::new(&process, &log)?;
+            let mut watcher = SettingsWatcher::new(&process, &log)?;
             loop {
                 tokio::select! {
                     _ = stop.recv() => break,
                     _ = interrupt.recv() => break,
-                    settings = reload.changed() => gateway.reload(&settings),
+                    settings = watcher.changed() => gateway.reload(&settings),
                 }
             }
-            info!(log, "planned stop"; "event" => "stop");
+            info!(log, "stopping on a signal"; "event" => "stop");
             tokio::select! {
                 () = gateway.stop() => {}
-                _ = interrupt.recv() => warn!(log, "second signal"; "event" => "stop_now"),
+                _ = interrupt.recv() => warn!(log, "second signal: stopping at once"; "event" => "stop_now"),
             }
         }
         FleetRole::Member => {
@@ -171,45 +174,44 @@
             let log = logging::logger_to(std::io::stdout(), &read.document.host, level);
             let settings = into_known_settings(read, &log);
             let mut member = GroupMember::start(settings, dialect, &log).await?;
-            let mut reload = Reload::new(&process, &log)?;
+            let mut watcher = SettingsWatcher::new(&process, &log)?;
             loop {
                 tokio::select! {
                     _ = stop.recv() => break,
                     _ = interrupt.recv() => break,
-                    settings = reload.changed() => member.reload(&settings),
+                    settings = watcher.changed() => member.reload(&settings),
                     error = member.failed() => {
-                        return Err(error).wrap_err("the member had to stop");
+                        return Err(error).wrap_err("the member stopped because its disk failed");
                     }
                 }
             }
-            info!(log, "planned stop"; "event" => "stop");
+            info!(log, "stopping on a signal"; "event" => "stop");
         }
     }
     Ok(())
 }
 
-/// Between two looks at the settings file, which may change without a signal.
+/// Interval between checks of the settings file, which may change without a SIGHUP.
 const SETTINGS_POLL_INTERVAL: Duration = Duration::from_secs(10);
 
-/// Watches a settings file.
-struct Reload {
+/// Watches the settings file for changes.
+struct SettingsWatcher {
     sighup: Signal,
     path: PathBuf,
-    /// The text that was last taken or refused.
+    /// Content of the file at the last check, whether it was valid or not.
     text: String,
     log: Logger,
 }
 
-impl Reload {
+impl SettingsWatcher {
     fn new(process: &Process, log: &Logger) -> eyre::Result<Self> {
         let sighup = signal(SignalKind::hangup()).wrap_err("SIGHUP can't be handled")?;
         let path = process.settings.clone();
         let text = std::fs::read_to_string(&path).unwrap_or_default();
-        Ok(Reload { sighup, path, text, log: log.clone() })
+        Ok(SettingsWatcher { sighup, path, text, log: log.clone() })
     }
 
-    /// Waits until the file holds other settings that are sound. Faulty ones are logged, and those
-    /// in force stay.
+    /// Waits for new, valid settings in the file. Invalid ones are logged, and the settings in force stay.
     async fn changed<T: serde::de::DeserializeOwned + Validate>(&mut self) -> T {
         loop {
             tokio::select! {
@@ -226,11 +228,11 @@
             self.text = text;
             match parsed {
                 Ok(settings) => {
-                    info!(self.log, "settings changed"; "event" => "settings_changed");
+                    info!(self.log, "settings file changed"; "event" => "settings_changed");
                     return into_known_settings(settings, &self.log);
                 }
                 Err(faults) => {
-                    warn!(self.log, "settings refused"; "event" => "settings_refused",
+                    warn!(self.log, "changed settings are invalid; keeping those in force"; "event" => "settings_refused",
                         "fault" => %faults[0], "faults" => faults.len());
                 }
             }
@@ -238,20 +240,20 @@
     }
 }
 
-/// Reads and checks a settings file.
+/// Reads and validates a settings file.
 fn read_settings<T: serde::de::DeserializeOwned + Validate>(
     path: &Path,
 ) -> Result<Lenient<T>, SettingsError> {
     let unreadable = |source| SettingsError::Unreadable { path: path.to_owned(), source };
     let text = std::fs::read_to_string(path).map_err(unreadable)?;
-    let faulty = |faults| SettingsError::Faulty { path: path.to_owned(), faults };
-    jsonc::from_str_lenient(&text).map_err(faulty)
+    let invalid = |faults| SettingsError::Invalid { path: path.to_owned(), faults };
+    jsonc::from_str_lenient(&text).map_err(invalid)
 }
 
-/// The settings that this version knows; a later one may have been told more.
+/// Logs the settings that this version does not know, which may be those of a later version, and returns the others.
 fn into_known_settings<T>(read: Lenient<T>, log: &Logger) -> T {
     if let Some(first) = read.unknown.first() {
-        warn!(log, "unknown settings passed over"; "event" => "settings_unknown",
+        warn!(log, "ignoring unknown settings"; "event" => "settings_unknown",
             "first" => %first, "fields" => read.unknown.len());
     }
     read.document
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one process, read from JSON with comments and checked before anything starts.
+//! Settings of a router or control member, read from JSON with comments and validated before anything starts.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -12,16 +12,16 @@
 use crate::slots::Bounds;
 use crate::template::check_name;
 
-/// Shortest key between the hosts of a partner, in bytes.
+/// Minimum length of the secret shared by the hosts of a partner.
 const MIN_KEY_BYTES: usize = 16;
-/// Hex digits of a SHA-256.
+/// Number of hex digits of a SHA-256 hash.
 const SHA256_HEX_LEN: usize = 64;
-/// Longest freshness lease: an accepted change is in force everywhere within it, in milliseconds.
+/// Maximum freshness lease. An accepted change is in force at every router when the lease has passed.
 const MAX_LEASE_MS: u64 = 19_000;
-/// Longest of any other interval, in milliseconds: a day.
+/// Maximum of all other intervals: a day.
 const MAX_INTERVAL_MS: u64 = 86_400_000;
 
-/// Settings can't be used.
+/// Error reading a settings file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -29,15 +29,15 @@
     Unreadable {
         /// The file.
         path: PathBuf,
-        /// Why.
+        /// Cause.
         source: std::io::Error,
     },
-    /// The file has faults; each stands on a line of its own.
+    /// The file has faults. The message names the first of them; `latchmount check` prints them all.
     #[error("{path} has {} fault(s); run `latchmount check` on it: {}", .faults.len(), .faults[0])]
-    Faulty {
+    Invalid {
         /// The file.
         path: PathBuf,
-        /// All of them.
+        /// All faults.
         faults: Vec<Fault>,
     },
 }
@@ -52,13 +52,13 @@
     pub data_hall: String,
     /// Partner that this host belongs to.
     pub partner: String,
-    /// Secret that the hosts of a partner show each other, at least 16 bytes.
+    /// Secret with which the hosts of a partner authenticate to each other, at least 16 bytes.
     pub key: String,
-    /// Where the platform publishes its list of hosts and targets.
+    /// Base URL of the platform, which publishes its list of hosts and targets under `/targets`.
     pub platform_url: String,
-    /// Settings of the router, where this process runs one.
+    /// Settings of the router, if this process runs one.
     pub router: Option<RouterSettings>,
-    /// Settings of the control member, where this process runs one.
+    /// Settings of the control member, if this process runs one.
     pub control: Option<ControlSettings>,
 }
 
@@ -66,45 +66,45 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct RouterSettings {
-    /// Where callers connect; also serves `/healthz` and `/metrics`.
+    /// Address to listen on for clients; also serves `/healthz` and `/metrics`.
     pub listen: Option<SocketAddr>,
-    /// Where other routers reach this one, when that is not `listen`.
+    /// Address at which other routers reach this one, if it is not `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Control members of the partner.
+    /// Addresses of the partner's control members.
     pub control: Vec<SocketAddr>,
-    /// Between two reads of the platform's list.
+    /// Interval between reads of the platform's list.
     pub list_poll_ms: u64,
-    /// Age from which the list no longer proves that a target lives.
+    /// Age beyond which the list is no longer proof that a target is alive.
     pub list_max_age_ms: u64,
-    /// Longest time to connect to a target.
+    /// Timeout for connecting to a target.
     pub connect_timeout_ms: u64,
-    /// Deadline of a request that names none.
+    /// Deadline of a request that sets none.
     pub default_deadline_ms: u64,
-    /// Longest time to take a caller's body.
+    /// Timeout for receiving the body of a request.
     pub body_timeout_ms: u64,
-    /// Largest body of a caller.
+    /// Maximum size of the body of a request.
     pub max_body_kib: usize,
-    /// Most connections of callers.
+    /// Maximum number of connections from clients.
     pub max_connections: usize,
-    /// No engine gets more than this multiple of the mean load.
+    /// Maximum load of an engine, as a multiple of the mean load.
     pub load_bound: f64,
-    /// The same for the first turn of a chat; lower, so that slots stay for chats that return.
+    /// The same for the first turn of a chat; lower than `load_bound`, to keep slots free for returning chats.
     pub first_turn_bound: f64,
-    /// Most requests in flight at one engine from all routers; shares are parts of all of these.
+    /// Maximum number of requests in flight at one engine from all routers. The teams' shares divide the sum over all engines.
     pub engine_slots: usize,
-    /// Chats whose prefixes one engine's cache holds.
+    /// Number of chats whose prefixes fit into the cache of one engine.
     pub cached_chats: usize,
-    /// Most requests in flight at one target from this router.
+    /// Maximum number of requests in flight at one target from this router.
     pub max_in_flight_per_target: usize,
-    /// Most requests that wait while every target is at its bound.
+    /// Maximum number of requests queued while every target is at its bound.
     pub queue_len: usize,
-    /// Longest time that a request waits there.
+    /// Maximum time that a request is queued.
     pub queue_wait_ms: u64,
-    /// Retries allowed, as a share of recent successes.
+    /// Retries allowed, as a percentage of recent successes.
     pub retry_percent: f64,
-    /// Longest time a planned stop waits for requests in flight.
+    /// Maximum time that an orderly stop waits for requests in flight.
     pub stop_timeout_ms: u64,
-    /// How long health fails before a planned stop refuses new work.
+    /// How long the health check fails at the start of an orderly stop before new requests are refused.
     pub stop_notice_ms: u64,
 }
 
@@ -139,27 +139,27 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ControlSettings {
-    /// Where other members, routers and operators connect.
+    /// Address to listen on for other members, routers and operators.
     pub listen: Option<SocketAddr>,
-    /// Where the others reach this member, when that is not `listen`.
+    /// Address at which the others reach this member, if it is not `listen`.
     pub advertise: Option<SocketAddr>,
-    /// Addresses of all members, this one included, as they reach each other.
+    /// Addresses at which the members reach each other, including that of this one.
     pub peers: Vec<SocketAddr>,
-    /// Folder for the durable state.
+    /// Folder for the state kept on disk.
     pub data_dir: PathBuf,
     /// Operators of the partner.
     pub operators: Vec<Operator>,
-    /// Between two heartbeats of the leader.
+    /// Interval between heartbeats of the leader.
     pub heartbeat_ms: u64,
-    /// Shortest silence of the leader before an election.
+    /// Minimum time without a heartbeat from the leader before an election.
     pub election_min_ms: u64,
-    /// Longest silence of the leader before an election.
+    /// Maximum time without a heartbeat from the leader before an election.
     pub election_max_ms: u64,
-    /// How long a router may serve on a configuration after it was proven fresh.
+    /// How long a router may use a configuration after a leader has confirmed that it is in force.
     pub freshness_lease_ms: u64,
-    /// Entries in the log before a snapshot takes their place.
+    /// Number of log entries at which they are replaced by a snapshot.
     pub compact_after_entries: usize,
-    /// Loads of models that the weight store allows in a minute.
+    /// Number of model loads per minute that the weight store allows.
     pub loads_per_minute: u32,
 }
 
@@ -185,19 +185,19 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Operator {
-    /// Name in the history.
+    /// Name under which the history records the operator's changes.
     pub name: String,
     /// SHA-256 of the bearer token, in hex.
     pub token_sha256: String,
 }
 
 impl ControlSettings {
-    /// Where the others reach this member.
+    /// Address at which the others reach this member.
     pub fn advertised_addr(&self) -> Option<SocketAddr> {
         self.advertise.or(self.listen)
     }
 
-    /// Intervals of the agreement protocol.
+    /// Heartbeat and election timing of Raft.
     pub fn timing(&self) -> Timing {
         Timing {
             heartbeat: Duration::from_millis(self.heartbeat_ms),
@@ -206,7 +206,7 @@
         }
     }
 
-    /// How long a router may serve on a configuration after it was proven fresh.
+    /// How long a router may use a configuration after a leader has confirmed that it is in force.
     pub fn freshness_lease(&self) -> Duration {
         Duration::from_millis(self.freshness_lease_ms)
     }
@@ -249,7 +249,7 @@
 }
 
 impl RouterSettings {
-    /// How far an engine may lie above the mean load.
+    /// Load limits of the engines.
     pub fn bounds(&self) -> Bounds {
         Bounds {
             returning: self.load_bound,
@@ -259,7 +259,7 @@
         }
     }
 
-    /// Where other routers reach this one.
+    /// Address at which other routers reach this one.
     pub fn advertised_addr(&self) -> Option<SocketAddr> {
         self.advertise.or(self.listen)
     }
@@ -308,7 +308,7 @@
 }
 
 impl Settings {
-    /// Reads and checks the settings in `path`.
+    /// Reads and validates the settings in `path`.
     ///
     /// # Errors
     /// [`SettingsError`] when the file can't be read or has faults.
@@ -316,7 +316,7 @@
         let text = std::fs::read_to_string(path)
             .map_err(|source| SettingsError::Unreadable { path: path.to_owned(), source })?;
         jsonc::from_str(&text)
-            .map_err(|faults| SettingsError::Faulty { path: path.to_owned(), faults })
+            .map_err(|faults| SettingsError::Invalid { path: path.to_owned(), faults })
     }
 }
 
@@ -341,7 +341,7 @@
             control.check(&mut faults);
         }
         if self.router.is_none() && self.control.is_none() {
-            faults.push(Fault::new("", "needs a section router, control or both"));
+            faults.push(Fault::new("", "needs a `router` section, a `control` section or both"));
         }
         faults
     }
@@ -360,7 +360,7 @@
     let mut seen = BTreeSet::new();
     for (at, addr) in addrs.iter().enumerate() {
         if !seen.insert(addr) {
-            faults.push(Fault::new(format!("{path}[{at}]"), format!("{addr} stands here twice")));
+            faults.push(Fault::new(format!("{path}[{at}]"), format!("{addr} is listed twice")));
         }
     }
 }
@@ -378,7 +378,7 @@
         let path = format!("control.operators[{at}]");
         check_name(faults, &format!("{path}.name"), &operator.name);
         if !seen.insert(&operator.name) {
-            faults.push(Fault::new(format!("{path}.name"), "stands here twice"));
+            faults.push(Fault::new(format!("{path}.name"), "is the name of an earlier operator"));
         }
         let hex = operator.token_sha256.bytes().all(|byte| byte.is_ascii_hexdigit());
         if !hex || operator.token_sha256.len() != SHA256_HEX_LEN {
--- a/tests/check.rs
+++ b/tests/check.rs
@@ -61,7 +61,7 @@
     "line 3: data_hall: must be given",
     "line 4: key: must have at least 16 bytes",
     "line 5: platform_url: must be a URL",
-    "line 8: router.control[1]: 10.0.0.1:7000 stands here twice",
+    "line 8: router.control[1]: 10.0.0.1:7000 is listed twice",
     "line 9: router.load_bound: must be 1 to 10",
     "line 10: router.list_pol_ms: unknown field",
     "line 11: router.default_deadline_ms: invalid type",
