--- a/src/account.rs
+++ b/src/account.rs
@@ -1,7 +1,7 @@
-//! A day's requests by how they ended, from the logs of the gateways.
+//! Counts a day's requests by how they ended, from the logs of the gateways.
 //!
-//! Reads line by line, so that logs of any length take little memory. Lines that others wrote, or that
-//! were cut off, are counted and passed over.
+//! Logs are read line by line and the number of rows is bounded, so that logs of any length take little memory.
+//! Lines in another format and truncated lines are counted and skipped.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,55 +11,54 @@
 
 use crate::logline::LogLine;
 
-/// Most rows that are kept apart; what would make more is counted without its second.
+/// Maximum number of rows. Beyond it, requests are counted without the second they ended in.
 const MAX_ROWS: usize = 50_000;
-/// Most ends that are kept apart; clients choose paths, so that there may be any number.
+/// Maximum number of distinct ends. Clients choose the paths, so their number is not bounded otherwise.
 const MAX_ENDS: usize = 2_000;
-/// Stands for the routes and paths beyond those.
+/// Route of the requests beyond [`MAX_ENDS`].
 const OTHER_ROUTES: &str = "others";
-/// Routes of a reason that the text shows, those with most requests.
+/// Maximum number of routes shown for each reason in the text output, those with the most requests.
 const MAX_ROUTES_SHOWN: usize = 8;
-/// Seconds that the text shows, those with most requests that were not answered.
+/// Maximum number of seconds shown in the text output, those with the most unanswered requests.
 const MAX_SECONDS_SHOWN: usize = 12;
-/// Milliseconds of a second.
 const SECOND_MS: u64 = 1_000;
 
 /// How a request ended.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct End {
-    /// What happened: `answered`, or the event of a refusal, a failure or a client that left.
+    /// Event of the log line: `answered`, `refused`, `given_up`, `stream_cut` or `client_left`.
     pub event: String,
-    /// Its reason; the status of an answer.
+    /// The logged reason; for `answered`, the HTTP status.
     pub reason: String,
-    /// The route; for a request without one, its path up to the second slash.
+    /// The route; for a request without one, the first segment of its path.
     pub route: String,
 }
 
-/// Requests of one kind of end.
+/// Number of requests that ended in one way, in one second.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Row {
-    /// How they ended.
+    /// How the requests ended.
     #[serde(flatten)]
     pub end: End,
-    /// Second of the day, counted from the first line; none where there are too many rows.
+    /// Second, counted from the time of the first line; `None` for requests beyond [`MAX_ROWS`].
     pub second: Option<u64>,
-    /// Requests.
+    /// Number of requests.
     pub requests: u64,
 }
 
-/// Requests by how they ended.
+/// Counts of requests by how they ended and in which second.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
     ended: BTreeMap<End, BTreeMap<Option<u64>, u64>>,
     rows: usize,
     first_ms: Option<u64>,
-    /// Lines read.
+    /// Number of lines read.
     lines: u64,
-    /// Lines that tell of nothing that can be read.
+    /// Number of lines that are not empty and could not be parsed.
     unparsed: u64,
 }
 
-/// The account as JSON.
+/// The counts as written to JSON.
 #[derive(Serialize)]
 struct Report {
     requests: u64,
@@ -69,10 +68,10 @@
 }
 
 impl Account {
-    /// Takes all lines of a log.
+    /// Counts the requests in all lines of a log.
     ///
     /// # Errors
-    /// When the log can't be read; bytes that are no text are no error.
+    /// When reading fails; invalid UTF-8 is not an error.
     pub fn read(&mut self, mut log: impl BufRead) -> io::Result<()> {
         let mut line = Vec::new();
         while log.read_until(b'\n', &mut line)? > 0 {
@@ -82,7 +81,7 @@
         Ok(())
     }
 
-    /// Takes one line.
+    /// Counts the request whose end a line reports, if it reports one.
     pub fn add_line(&mut self, line: &str) {
         self.lines += 1;
         let Some(line) = LogLine::parse(line) else {
@@ -110,12 +109,12 @@
         self.rows += seconds.len() - before;
     }
 
-    /// Requests in all.
+    /// Total number of requests.
     pub fn requests(&self) -> u64 {
         self.ended.values().flat_map(BTreeMap::values).sum()
     }
 
-    /// Lines that could not be read.
+    /// Number of lines that are not empty and could not be parsed.
     pub fn unparsed(&self) -> u64 {
         self.unparsed
     }
@@ -134,10 +133,10 @@
         self.ended.iter().flat_map(row).collect()
     }
 
-    /// The account as JSON.
+    /// Formats the counts as JSON.
     ///
     /// # Errors
-    /// Those of the JSON library.
+    /// When `serde_json` fails to serialize them.
     pub fn to_json(&self) -> Result<String, serde_json::Error> {
         let report = Report {
             requests: self.requests(),
@@ -148,7 +147,7 @@
         serde_json::to_string_pretty(&report)
     }
 
-    /// Requests by event and reason, the most first.
+    /// Requests by event and reason, each with its routes, in descending order of requests.
     fn reasons(&self) -> Vec<(String, BTreeMap<&str, u64>)> {
         let mut reasons: BTreeMap<String, BTreeMap<&str, u64>> = BTreeMap::new();
         for (end, seconds) in &self.ended {
@@ -160,7 +159,7 @@
         reasons
     }
 
-    /// Seconds by requests that were not answered, the most first.
+    /// The seconds with the most requests that were not answered, in descending order.
     fn worst_seconds(&self) -> Vec<(u64, u64)> {
         let mut seconds: BTreeMap<u64, u64> = BTreeMap::new();
         for row in self.rows().into_iter().filter(|row| row.end.event != ANSWERED) {
@@ -175,10 +174,10 @@
     }
 }
 
-/// The event of an answer.
+/// Event of a request that was answered.
 const ANSWERED: &str = "answered";
 
-/// How the request of a line ended, if the line is the last that tells of one.
+/// How a request ended, if the event of the line is one that ends a request.
 fn end(line: &LogLine) -> Option<End> {
     let reason = match line.event() {
         ANSWERED => line.get("status")?,
@@ -191,7 +190,7 @@
     Some(End { event: line.event().to_owned(), reason: reason.to_owned(), route })
 }
 
-/// A path up to its second slash.
+/// The path up to its second slash.
 fn first_segment(path: &str) -> String {
     let second = path.match_indices('/').nth(1).map_or(path.len(), |(at, _)| at);
     path[..second].to_owned()
--- a/src/jsonc.rs
+++ b/src/jsonc.rs
@@ -1,4 +1,4 @@
-//! JSON with comments, decoded with every fault reported by field path and line.
+//! Decodes and validates JSON with comments, and reports every fault with its field path and line.
 
 use std::fmt;
 
@@ -8,22 +8,22 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The three bytes that some editors put before UTF-8.
+/// UTF-8 byte-order mark, which some editors write at the start of a file.
 const BYTE_ORDER_MARK: &[u8] = b"\xef\xbb\xbf";
 
-/// One thing wrong with a document.
+/// An error in a document.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Fault {
     /// Dotted path of the field, for example `control.peers[1]`; empty for the document itself.
     pub path: String,
-    /// Line of the field in the text, from 1; 0 where the document came without a text.
+    /// Line of the field in the text, counted from 1; 0 when it is not known.
     pub line: usize,
-    /// What is wrong and what is expected.
+    /// Description of the error and of what is expected.
     pub message: String,
 }
 
 impl Fault {
-    /// A fault at `path` whose line is not known yet.
+    /// Creates a fault at `path` whose line is not known.
     pub fn new(path: impl Into<String>, message: impl Into<String>) -> Self {
         Fault { path: path.into(), line: 0, message: message.into() }
     }
@@ -41,13 +41,13 @@
     }
 }
 
-/// A document type that checks its own values after decoding.
+/// A document type that validates its values after decoding.
 pub trait Validate {
-    /// Every impossible value, with its path below this document.
+    /// A fault for every invalid value, with its path in this document.
     fn faults(&self) -> Vec<Fault>;
 }
 
-/// Decodes `text` and checks it.
+/// Decodes and validates `text`; unknown fields are faults.
 ///
 /// # Errors
 /// All faults found, ordered by line.
@@ -60,16 +60,16 @@
     from_value(value).map_err(|faults| with_lines(text, faults))
 }
 
-/// A document that may have fields of a later version.
+/// A decoded document that may have unknown fields, for example those of a later version.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Lenient<T> {
     /// The document.
     pub document: T,
-    /// Fields that are unknown here and were passed over.
+    /// Faults for the unknown fields, which were ignored.
     pub unknown: Vec<Fault>,
 }
 
-/// Decodes `text` and checks it; fields that are unknown here are no faults.
+/// Decodes and validates `text`; unknown fields are ignored and listed in the result.
 ///
 /// # Errors
 /// All other faults found, ordered by line.
@@ -95,10 +95,10 @@
     faults
 }
 
-/// Decodes the body of a call and checks it.
+/// Decodes and validates the body of a call; unknown fields are faults.
 ///
 /// # Errors
-/// All faults found, ordered by line.
+/// All faults found; only a syntax error has a line.
 pub fn from_slice<T: DeserializeOwned + Validate>(bytes: &[u8]) -> Result<T, Vec<Fault>> {
     if bytes.starts_with(BYTE_ORDER_MARK) {
         return Err(vec![Fault::new("", "begins with a byte-order mark; send plain UTF-8")]);
@@ -109,15 +109,15 @@
     from_value(value)
 }
 
-/// Decodes the body of a call that may have fields unknown here, and checks it.
+/// Decodes and validates the body of a call; unknown fields are ignored.
 ///
 /// # Errors
-/// The first field that can't be read, or else every impossible value.
+/// The first field that can't be decoded, or else a fault for every invalid value.
 pub fn from_slice_lenient<T: DeserializeOwned + Validate>(bytes: &[u8]) -> Result<T, Vec<Fault>> {
     if bytes.starts_with(BYTE_ORDER_MARK) {
         return Err(vec![Fault::new("", "begins with a byte-order mark; send plain UTF-8")]);
     }
-    // Fields that nobody reads are not checked by the reader.
+    // Checks UTF-8 up front, since serde_json does not check it in the fields that it ignores.
     let text = std::str::from_utf8(bytes).map_err(|_| vec![Fault::new("", "is not UTF-8")])?;
     let mut reader = serde_json::Deserializer::from_str(text);
     let document: T = serde_path_to_error::deserialize(&mut reader).map_err(|error| {
@@ -132,7 +132,7 @@
     if faults.is_empty() { Ok(document) } else { Err(faults) }
 }
 
-/// Decodes a value that came without a text, for example in a remote call, and checks it.
+/// Decodes and validates a parsed value, for example from a remote call; unknown fields are faults.
 ///
 /// # Errors
 /// All faults found, without lines.
@@ -146,7 +146,7 @@
                 return if faults.is_empty() { Ok(document) } else { Err(dedup_by_path(faults)) };
             }
             Err(fault) => {
-                // Drop the faulty field and go on, so that later faults are found too.
+                // Removes the faulty field and decodes again, to find further faults.
                 let removed = remove(&mut value, &fault.path);
                 faults.push(fault);
                 if !removed {
@@ -188,7 +188,7 @@
     Ok((document, unknown))
 }
 
-/// Turns the dotted index of `serde_ignored` (`peers.1`) into the usual `peers[1]`.
+/// Converts the path format of `serde_ignored` (`peers.1`) into ours (`peers[1]`).
 fn indexed(path: &str) -> String {
     let mut out = String::new();
     for step in path.split('.').filter(|step| *step != "?") {
@@ -204,7 +204,8 @@
     out
 }
 
-/// A field that was dropped as faulty decodes to its default, whose own fault is not the author's.
+/// Keeps the first fault of each path. A field that was removed as faulty decodes to its default value, which may be
+/// invalid too; that second fault would mislead the author of the document.
 fn dedup_by_path(faults: Vec<Fault>) -> Vec<Fault> {
     let mut kept: Vec<Fault> = Vec::new();
     for fault in faults {
@@ -216,7 +217,7 @@
     kept
 }
 
-/// The steps of a path: field names and indexes.
+/// Splits a path into its field names and indexes.
 fn steps(path: &str) -> Vec<String> {
     path.replace('[', ".")
         .replace(']', "")
@@ -226,7 +227,7 @@
         .collect()
 }
 
-/// Removes the field at `path`, or the whole list when the path ends in an index.
+/// Removes the field at `path`, or the whole list when the path ends in an index. Returns whether there was one.
 fn remove(value: &mut Value, path: &str) -> bool {
     let mut steps = steps(path);
     let Some(mut last) = steps.pop() else {
@@ -252,7 +253,7 @@
     at.as_object_mut().is_some_and(|fields| fields.remove(&last).is_some())
 }
 
-/// The line of the deepest part of `path` that stands in the text; 1 when none does.
+/// The line of the deepest part of `path` that exists in the text; 1 when none does.
 fn line_of(text: &str, path: &str) -> usize {
     let Ok(parsed) = parse_to_ast(text, &CollectOptions::default(), &ParseOptions::default())
     else {
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,18 +1,21 @@
-//! Latchmount: a router fleet for very many returning chats.
+//! Latchmount: a fleet of HTTP routers for services and for large numbers of recurring chats.
 //!
-//! A router takes callers' requests and gives each to a target: an engine that serves models, or a
-//! plain service. A control group of each partner holds the team templates that drive the routers.
+//! Gateways ([`gateway`]) forward clients' requests to targets (back ends). Members ([`group`]) form a Raft group that
+//! holds the configuration and the directory of targets, and push updates to the gateways.
+//!
+//! An older mode runs routers ([`router`]), which forward requests to engines that serve models or to plain services, and
+//! one control group for each partner ([`control`]), which holds the team templates that the routers apply:
 //!
 //! ```
 //! use latchmount::jsonc;
 //! use latchmount::template::Template;
 //!
 //! let text = r#"{
-//!   // Dispute summaries for the operator's agents.
+//!   // Summaries of disputes for the operator's agents.
 //!   "name": "disputes", "model": "m7", "version": "3",
 //!   "teams": { "agents": { "share_percent": 40 } }
 //! }"#;
-//! let template: Template = jsonc::from_str(text).expect("a sound template");
+//! let template: Template = jsonc::from_str(text).expect("a valid template");
 //! let policy = template.policy("agents").expect("a known team");
 //! assert_eq!(policy.spec.to_string(), "m7@3");
 //! ```
--- a/src/logging.rs
+++ b/src/logging.rs
@@ -1,29 +1,32 @@
 //! Logs: one line of key=value pairs for each event.
 //!
-//! Lines wait in a bounded queue for a thread that writes them, so that a reader that stands still
-//! delays no request: what does not fit is dropped, and the count of dropped lines is logged.
+//! A separate thread writes the lines from a bounded queue, so that a blocked reader of the log delays no request.
+//! Lines that do not fit into the queue are dropped, and their number is logged.
 
 use slog::{Drain, FnValue, Level, LevelFilter, Logger, Record, o};
 use slog_logfmt::Logfmt;
 use std::io::Write;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Lines that wait to be written before further ones are dropped and counted.
+/// Maximum number of lines in the queue; further ones are dropped.
 const QUEUE_LEN: usize = 4_096;
 
-/// A logger for `host` that writes events of `level` and above to standard error.
+/// A logger for the process on `host` that writes events of `level` and above to standard error.
 ///
-/// Values are quoted and escaped, so that no caller's bytes can forge a line.
+/// Values are quoted and escaped, so that bytes sent by a client can't forge a log line.
 pub fn logger(host: &str, level: Level) -> Logger {
     logger_to(std::io::stderr(), host, level)
 }
 
-/// The same to any writer.
+/// Like [`logger`], but writes to `out`.
 pub fn logger_to(out: impl Write + Send + 'static, host: &str, level: Level) -> Logger {
     let format = Logfmt::new(out).no_prefix().print_level(true).print_msg(true).build().fuse();
     let queue = slog_async::Async::new(format).chan_size(QUEUE_LEN).build().fuse();
     let filtered = LevelFilter::new(queue, level).fuse();
-    #[expect(clippy::disallowed_methods, reason = "lines bear the time of day, for readers alone")]
+    #[expect(
+        clippy::disallowed_methods,
+        reason = "the wall-clock time is only for readers of the log"
+    )]
     let at = FnValue(|_: &Record<'_>| {
         let since = SystemTime::now().duration_since(UNIX_EPOCH);
         since.map_or(0, |since| since.as_millis() as u64)
@@ -31,7 +34,7 @@
     Logger::root(filtered, o!("at_ms" => at, "host" => host.to_owned()))
 }
 
-/// A logger that writes nothing.
+/// A logger that discards all events.
 pub fn discard() -> Logger {
     Logger::root(slog::Discard, o!())
 }
--- a/src/logline.rs
+++ b/src/logline.rs
@@ -1,13 +1,13 @@
-//! Reads back the lines that [`crate::logging`] writes.
+//! Parses log lines written by [`crate::logging`].
 
-/// One log line: pairs of key and value, in order.
+/// A parsed log line: its keys and values in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogLine {
     fields: Vec<(String, String)>,
 }
 
 impl LogLine {
-    /// Reads a line; `None` when it is not one of ours.
+    /// Parses a line; `None` when it is not in `key=value` format, or has no `event` or no valid `at_ms`.
     pub fn parse(line: &str) -> Option<LogLine> {
         let mut fields = Vec::new();
         let mut rest = line.trim();
@@ -21,35 +21,35 @@
         (line.get("event").is_some() && line.at_ms().is_some()).then_some(line)
     }
 
-    /// The value of a key.
+    /// The value of `key`.
     pub fn get(&self, key: &str) -> Option<&str> {
         self.fields.iter().find(|(name, _)| name == key).map(|(_, value)| value.as_str())
     }
 
-    /// Time of day, in milliseconds since 1970.
+    /// When the line was logged, in milliseconds since 1970.
     pub fn at_ms(&self) -> Option<u64> {
         self.get("at_ms")?.parse().ok()
     }
 
-    /// What happened.
+    /// Value of the key `event`; empty without one.
     pub fn event(&self) -> &str {
         self.get("event").unwrap_or("")
     }
 
-    /// Host of the process.
+    /// Host of the process that logged the line; empty without one.
     pub fn host(&self) -> &str {
         self.get("host").unwrap_or("")
     }
 
-    /// All pairs that tell of the event itself, in order.
+    /// The pairs that are specific to the event, in order: all but those that every line has, and the request id.
     pub fn details(&self) -> impl Iterator<Item = (&str, &str)> {
         const COMMON: [&str; 7] = ["level", "msg", "role", "host", "at_ms", "event", "id"];
-        let own = self.fields.iter().filter(|(key, _)| !COMMON.contains(&key.as_str()));
-        own.map(|(key, value)| (key.as_str(), value.as_str()))
+        let specific = self.fields.iter().filter(|(key, _)| !COMMON.contains(&key.as_str()));
+        specific.map(|(key, value)| (key.as_str(), value.as_str()))
     }
 }
 
-/// A value, quoted or bare, and what follows it.
+/// Splits off the value at the start of `text`, quoted or not. `None` when a quote is not closed.
 fn split_value(text: &str) -> Option<(String, &str)> {
     let Some(quoted) = text.strip_prefix('"') else {
         let end = text.find(' ').unwrap_or(text.len());
--- a/src/millis.rs
+++ b/src/millis.rs
@@ -1,43 +1,43 @@
-//! Durations in documents, as whole milliseconds.
+//! Serializes durations as whole milliseconds, for `#[serde(with = "millis")]`.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Writes whole milliseconds.
+/// Serializes a duration as whole milliseconds.
 ///
 /// # Errors
-/// Those of the serializer.
+/// When the serializer fails.
 pub fn serialize<S: Serializer>(duration: &Duration, to: S) -> Result<S::Ok, S::Error> {
     (duration.as_millis() as u64).serialize(to)
 }
 
-/// Reads whole milliseconds.
+/// Deserializes a duration from whole milliseconds.
 ///
 /// # Errors
-/// When there is no whole number.
+/// When the value is not a non-negative whole number.
 pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Duration, D::Error> {
     u64::deserialize(from).map(Duration::from_millis)
 }
 
-/// The same for a duration that may be missing.
+/// The same for optional durations.
 pub mod option {
     use std::time::Duration;
 
     use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-    /// Writes whole milliseconds or null.
+    /// Serializes a duration as whole milliseconds, or null.
     ///
     /// # Errors
-    /// Those of the serializer.
+    /// When the serializer fails.
     pub fn serialize<S: Serializer>(duration: &Option<Duration>, to: S) -> Result<S::Ok, S::Error> {
         duration.map(|duration| duration.as_millis() as u64).serialize(to)
     }
 
-    /// Reads whole milliseconds or null.
+    /// Deserializes a duration from whole milliseconds or null.
     ///
     /// # Errors
-    /// When there is no whole number.
+    /// When the value is neither a non-negative whole number nor null.
     pub fn deserialize<'de, D: Deserializer<'de>>(from: D) -> Result<Option<Duration>, D::Error> {
         Ok(Option::<u64>::deserialize(from)?.map(Duration::from_millis))
     }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,4 +1,5 @@
-//! The platform's side: its lagging list of hosts and targets, and calls to single targets.
+//! HTTP client for the platform that hosts the targets: reads its list of targets, which lags behind reality, and calls
+//! single targets.
 
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::Duration;
@@ -10,51 +11,52 @@
 
 use crate::targets::Listing;
 
-/// The platform or a target did not answer as it should.
+/// A request to the platform or to a target failed.
 #[derive(Debug, thiserror::Error)]
-#[error("the platform can't be asked: {0}")]
+#[error("request to the platform or a target failed: {0}")]
 pub struct PlatformError(#[from] reqwest::Error);
 
-/// Age of the list, in milliseconds, as the platform tells it with every answer.
+/// Answer header with the age of the list, in milliseconds.
 const LIST_AGE_HEADER: &str = "x-list-age-ms";
 
-/// A client of the platform.
+/// A client for the platform and its targets.
 #[derive(Clone, Debug)]
 pub struct Platform {
     http: reqwest::Client,
     list_url: String,
-    /// The last list read, with its tag: an unchanged list is not sent again.
+    /// The last list read, for conditional requests: the platform does not send an unchanged list again.
     last: Arc<Mutex<Option<CachedList>>>,
 }
 
+/// A list with its entity tag.
 #[derive(Clone, Debug)]
 struct CachedList {
     tag: HeaderValue,
     listing: Listing,
 }
 
-/// A list that was read.
+/// Result of reading the list.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListResponse {
     /// The list.
     pub listing: Listing,
-    /// Bytes sent for it: URL and tag.
+    /// Size of the URL and tag sent, in bytes.
     pub sent_bytes: usize,
-    /// Bytes received: the body, empty when nothing has changed.
+    /// Size of the body received, in bytes; 0 when the list has not changed.
     pub received_bytes: usize,
 }
 
 impl Platform {
-    /// A client of the platform at `url`.
+    /// Creates a client for the platform at `url`.
     pub fn new(http: reqwest::Client, url: &str) -> Self {
         let list_url = format!("{}/targets", url.trim_end_matches('/'));
         Platform { http, list_url, last: Arc::default() }
     }
 
-    /// Reads the list, or finds that it has not changed.
+    /// Reads the list; the cached one if it has not changed.
     ///
     /// # Errors
-    /// When it is not answered whole within `timeout`.
+    /// When the request fails or there is no complete answer within `timeout`.
     pub async fn list(&self, timeout: Duration) -> Result<ListResponse, PlatformError> {
         let last = self.last.lock().unwrap_or_else(PoisonError::into_inner).clone();
         let mut request = self.http.get(&self.list_url).timeout(timeout);
@@ -86,7 +88,7 @@
     /// Reads `path` of the target at `url`.
     ///
     /// # Errors
-    /// When it is not answered whole within `timeout`.
+    /// When the request fails or there is no complete answer within `timeout`.
     pub async fn get<T: DeserializeOwned>(
         &self,
         url: &str,
@@ -101,7 +103,7 @@
     /// Sends `message` to `path` of the target at `url`.
     ///
     /// # Errors
-    /// When the target refuses, or does not answer within `timeout`.
+    /// When the target answers with an error status, or does not answer within `timeout`.
     pub async fn post(
         &self,
         url: &str,
--- a/src/reason.rs
+++ b/src/reason.rs
@@ -1,15 +1,15 @@
-//! Reason codes of refusals and retries: stable names for callers, metrics and the operators' page.
+//! Reason codes of refusals, failures and retries: stable names for clients, metrics and the operators' documentation.
 
 use std::fmt;
 use std::time::Duration;
 
 use serde::Serialize;
 
-/// Whether a request given up on has run at a target.
+/// Whether a request that was refused or given up has run at a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// No target ran it: no byte of it was written to one, or the target itself said so.
+    /// No target ran it: no byte of it was written to a target, or the target reported that it did not run it.
     NotRun,
     /// A target ran it.
     Ran,
@@ -17,56 +17,56 @@
     Unknown,
 }
 
-/// Why a request was refused or given up on.
+/// Why a request was refused or given up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Reason {
-    /// A header or the body can't be used as it is.
+    /// A header or the body is malformed.
     BadRequest,
-    /// The body is larger than the router takes.
+    /// The body is larger than the router accepts.
     BodyTooLarge,
-    /// The caller sent its body too slowly.
+    /// The client did not send the whole body in time.
     SlowCaller,
     /// No template in force covers the team.
     UnknownTeam,
-    /// The router can't prove that its configuration is the one in force.
+    /// The router can't prove that its configuration is the one in force, since its freshness lease has expired.
     StaleConfig,
     /// The router is stopping.
     Stopping,
     /// No live target serves the model or service.
     NoTarget,
-    /// The live targets that serve it have asked this router for rest.
+    /// Every live target that serves it has asked this router to back off (Retry-After).
     Resting,
     /// Every target that could serve it is at its load bound.
     Overloaded,
-    /// The router that grants slots at the targets could not be asked in time.
+    /// The router that grants slots at the targets did not answer in time.
     OwnerSilent,
     /// The request key could not be claimed in time.
     ClaimFailed,
-    /// The request key is older than the window in which keys are remembered, or of the future.
+    /// The time in the request key is older than the window in which keys are remembered, or in the future.
     KeyTooOld,
-    /// The request key was used for another request.
+    /// The request key was used before with a different request.
     KeyReused,
-    /// A request with this key was claimed before and its answer is not at hand.
+    /// A request with this key was claimed before, and this router does not have its answer.
     OutcomeUnknown,
-    /// The deadline passed before it was sent.
+    /// The deadline passed before the request was sent.
     DeadlinePassed,
     /// Connecting to the target failed before anything was sent.
     ConnectFailed,
-    /// The target said that it did not run it.
+    /// The target reported that it did not run the request.
     TargetRefused,
-    /// The connection broke after the request was sent and before its answer began.
+    /// The connection failed after the request was sent and before its answer began.
     AnswerLost,
-    /// The answer did not come before the deadline.
+    /// The deadline passed before the answer arrived.
     AnswerLate,
-    /// The target answered another attempt's request.
+    /// The answer carries the id of another attempt.
     WrongAnswer,
     /// The answer broke off after its first byte.
     AnswerBroken,
 }
 
 impl Reason {
-    /// Every reason, in the order of the operators' page.
+    /// Every reason, in the order of the operators' documentation.
     pub const ALL: [Reason; 21] = [
         Reason::BadRequest,
         Reason::BodyTooLarge,
@@ -91,7 +91,7 @@
         Reason::AnswerBroken,
     ];
 
-    /// The stable code, as callers and metrics see it.
+    /// The stable code, as in answers to clients and in metrics.
     pub fn code(self) -> &'static str {
         match self {
             Reason::BadRequest => "bad_request",
@@ -118,7 +118,7 @@
         }
     }
 
-    /// One sentence for the caller.
+    /// Explanation for the client.
     pub fn explain(self) -> &'static str {
         match self {
             Reason::BadRequest => "the request can't be used as it is",
@@ -147,7 +147,7 @@
         }
     }
 
-    /// What a request that ends for this reason has done at its target.
+    /// Whether a request that ends for this reason has run at a target.
     pub fn outcome(self) -> Outcome {
         match self {
             Reason::AnswerLost
@@ -160,7 +160,7 @@
         }
     }
 
-    /// HTTP status of the final answer.
+    /// HTTP status of the answer to the client.
     pub fn status(self) -> u16 {
         match self {
             Reason::BadRequest | Reason::KeyTooOld => 400,
@@ -175,7 +175,7 @@
         }
     }
 
-    /// When trying again makes sense, where nothing better is known; `None` where it does not.
+    /// Default Retry-After of the answer; `None` when a retry makes no sense.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
             Reason::StaleConfig | Reason::NoTarget => Some(Duration::from_secs(5)),
--- a/src/status_server.rs
+++ b/src/status_server.rs
@@ -1,4 +1,4 @@
-//! A server that answers every request from memory: for the balancer's question and for scrapes.
+//! A small HTTP server for the load balancer's readiness checks and for metrics scrapes.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -13,12 +13,12 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::TcpListener;
 
-/// Pause after a listener fails, for example without descriptors.
+/// Pause after `accept` fails, for example because the process is out of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
-/// Longest time that a connection is idle, or takes for the head of a request.
+/// Maximum time that a connection may be idle or take to send the head of a request.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Answers every request from memory.
+/// Accepts connections for ever and answers each request with the status and body that `answer` returns.
 pub(crate) async fn serve(
     listener: TcpListener,
     answer: impl Fn(&Request<Incoming>) -> (StatusCode, Vec<u8>) + Send + Sync + 'static,
--- a/src/template.rs
+++ b/src/template.rs
@@ -1,4 +1,4 @@
-//! Team templates: what operators submit and revise, and all that drives the fleet.
+//! Team templates: operators submit and revise them, and routers serve requests by them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -9,12 +9,12 @@
 
 /// Highest priority a template may ask for; 0 is the lowest.
 pub const MAX_PRIORITY: u8 = 9;
-/// Longest name of a template, team, model, adapter or service, in bytes.
+/// Maximum length of a name, such as that of a template, team, model, adapter or host.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Most teams in one template.
+/// Maximum number of teams in one template.
 pub const MAX_TEAMS: usize = 1_000;
 
-/// A template for one kind of work, with parameters for each team that does it.
+/// A template for one kind of requests, with parameters for each team that sends them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Template {
@@ -26,7 +26,7 @@
     pub adapter: String,
     /// Version of the model and adapter.
     pub version: String,
-    /// Priority of the teams that name none themselves, from 0 to [`MAX_PRIORITY`].
+    /// Priority of teams that set none of their own, from 0 to [`MAX_PRIORITY`].
     pub priority: u8,
     /// Which requests may be run more than once.
     pub repeatable: Repeatable,
@@ -50,11 +50,11 @@
 pub struct Team {
     /// Guaranteed share of the partner's capacity, in percent; idle capacity may be used beyond it.
     pub share_percent: f64,
-    /// Priority in place of the template's.
+    /// Overrides the template's priority.
     pub priority: Option<u8>,
-    /// Adapter in place of the template's.
+    /// Overrides the template's adapter.
     pub adapter: Option<String>,
-    /// Repeatable requests in place of the template's.
+    /// Overrides the template's repeatable requests.
     pub repeatable: Option<Repeatable>,
 }
 
@@ -101,7 +101,7 @@
         self.teams.values().map(|team| team.share_percent).sum()
     }
 
-    /// The parameters in force for `team`, with the template's defaults filled in.
+    /// The parameters for `team`, with the template's defaults filled in; `None` if the template does not cover the team.
     pub fn policy(&self, team: &str) -> Option<Policy> {
         let own = self.teams.get(team)?;
         Some(Policy {
@@ -117,7 +117,7 @@
     }
 }
 
-/// What an engine has loaded or is to load, written `MODEL@VERSION` or `MODEL@VERSION+ADAPTER`.
+/// A model that an engine has loaded or is to load, written as `MODEL@VERSION` or `MODEL@VERSION+ADAPTER`.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct Spec {
@@ -125,12 +125,12 @@
     pub model: String,
     /// Version of model and adapter.
     pub version: String,
-    /// Adapter on the model; empty for none.
+    /// Adapter on top of the model; empty for none.
     pub adapter: String,
 }
 
 impl Spec {
-    /// The same model and version without an adapter.
+    /// The same model and version, without the adapter.
     pub fn base(&self) -> Spec {
         Spec { adapter: String::new(), ..self.clone() }
     }
@@ -152,7 +152,7 @@
     }
 }
 
-/// A text that is no [`Spec`].
+/// Error for a text that is not a valid [`Spec`].
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{0:?} is not MODEL@VERSION or MODEL@VERSION+ADAPTER")]
 pub struct ParseSpecError(String);
@@ -171,16 +171,16 @@
     }
 }
 
-/// What a router applies to one team's requests.
+/// The parameters that a router applies to the requests of one team.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Policy {
-    /// Model, version and adapter to serve with.
+    /// Model, version and adapter that serve the requests.
     pub spec: Spec,
     /// Priority, 0 to [`MAX_PRIORITY`].
     pub priority: u8,
     /// Share of the partner's capacity, in percent.
     pub share_percent: f64,
-    /// Requests that may run more than once.
+    /// Which requests may be run more than once.
     pub repeatable: Repeatable,
 }
 
