--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,9 +1,9 @@
 //! A monotonic clock that also advances while the host is suspended (`CLOCK_BOOTTIME`).
 //!
-//! With `CLOCK_MONOTONIC`, which stops during a suspension, a host would after resuming still trust a lease that another
-//! host has taken over, a list received before the suspension, or a deadline that the caller has given up on. All leases,
-//! deadlines, ages and time windows therefore use this clock. Timers of the async runtime stop during a suspension, so
-//! code that a timer wakes must read this clock to decide what has expired.
+//! With `CLOCK_MONOTONIC`, which stops during a suspension, a host would after resuming still trust a lease that
+//! another host has taken over, a list received before the suspension, or a deadline that the caller has given up on.
+//! All leases, deadlines, ages and time windows therefore use this clock. Timers of the async runtime stop during a
+//! suspension, so code that a timer wakes must read this clock to decide what has expired.
 
 use std::ops::{Add, AddAssign};
 use std::time::Duration;
@@ -51,8 +51,8 @@
     }
 }
 
-/// The time of the async runtime at which a timer for this instant is to fire. A suspension of the host before then makes
-/// the timer late.
+/// The time of the async runtime at which a timer for this instant is to fire. A suspension of the host before then
+/// makes the timer late.
 impl From<Instant> for tokio::time::Instant {
     fn from(moment: Instant) -> Self {
         let (now, timer_now) = (Instant::now(), tokio::time::Instant::now());
--- a/src/dialect.rs
+++ b/src/dialect.rs
@@ -44,7 +44,7 @@
     pub forwarded: Vec<HeaderName>,
     /// Ids and lengths of the parts of the prompt.
     pub prompt: HeaderName,
-    /// Target from which the receiving target is to fetch its cached prefix of the prompt.
+    /// Target that holds a cached prefix of the prompt, from which the receiving target is to fetch it.
     pub fetch_from: HeaderName,
     /// Priority of a request; sent to targets.
     pub priority: HeaderName,
@@ -57,7 +57,7 @@
 impl Headers {
     /// Headers that only gateways may set on requests to targets. A client's headers of these names are dropped, since
     /// targets would take them for set by a gateway.
-    pub fn set_by_routers(&self) -> impl Iterator<Item = &HeaderName> {
+    pub fn gateway_only(&self) -> impl Iterator<Item = &HeaderName> {
         let own = [&self.credential, &self.team, &self.expect_target, &self.fetch_from];
         own.into_iter().chain([&self.priority]).chain(&self.reserved)
     }
@@ -135,8 +135,8 @@
     pub running: u32,
     /// Number of requests in its queue.
     pub waiting: u32,
-    /// How long work takes at the target now, in percent of the usual time, if it reports that. Work slows down when other
-    /// processes use the same machine.
+    /// How long work takes at the target now, in percent of the usual time, if it reports that. Work slows down when
+    /// other processes use the same machine.
     pub slowdown_percent: Option<u32>,
 }
 
@@ -148,7 +148,7 @@
     /// Whether the target is shutting down.
     pub draining: bool,
     /// Whether the target rejected the request without running it.
-    pub turned_away: bool,
+    pub rejected: bool,
     /// Retry-After of a rejection: how long the target is to be sent nothing.
     pub backoff: Option<RetryAfter>,
 }
@@ -164,7 +164,8 @@
     pub targets: &'static str,
     /// Prefix of paths that end in the name of a data hall; the list of evacuations by itself.
     pub evacuations: &'static str,
-    /// Where roll-outs are started and listed. Followed by a slash, the prefix of paths that end in the name of a service.
+    /// Where roll-outs are started and listed. Followed by a slash, the prefix of paths that end in the name of a
+    /// service.
     pub rollouts: &'static str,
     /// Prefix of paths that end in the fingerprint of a poison request; the list of them by itself.
     pub poison: &'static str,
@@ -276,8 +277,8 @@
         value.split(',').filter_map(part).collect()
     }
 
-    /// Decodes the load that a target reports: the number of running and of waiting requests, separated by a comma. Further
-    /// numbers may follow and are ignored.
+    /// Decodes the load that a target reports: the number of running and of waiting requests, separated by a comma.
+    /// Further numbers may follow and are ignored.
     fn load(&self, value: &str) -> Option<TargetLoad> {
         let mut numbers = value.split(',').map(|number| number.trim().parse());
         let running = numbers.next()?.ok()?;
@@ -292,7 +293,7 @@
         TargetStatus {
             load: text(&names.load).and_then(|value| self.load(value)),
             draining: text(&names.leaving).is_some_and(|value| value.trim() == "1"),
-            turned_away: headers.contains_key(&names.not_run),
+            rejected: headers.contains_key(&names.not_run),
             backoff: RetryAfter::of_refusal(status, headers),
         }
     }
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -309,7 +309,7 @@
                 target.note_backoff(self.now(), backoff, return_spread(self.gateways()));
                 trace::backoff_requested(self, target, backoff);
             }
-            None if !report.turned_away => target.note_answered(self.now()),
+            None if !report.rejected => target.note_answered(self.now()),
             None => {}
         }
         self.note_unknown_headers(target, headers);
--- a/src/gateway/outgoing.rs
+++ b/src/gateway/outgoing.rs
@@ -143,7 +143,7 @@
 pub fn forwarded_headers(client: &HeaderMap, names: &Headers) -> HeaderMap {
     let mut headers = client.clone();
     strip_hop_by_hop(&mut headers);
-    for name in names.set_by_routers().chain([&EXPECT, &CONTENT_LENGTH]) {
+    for name in names.gateway_only().chain([&EXPECT, &CONTENT_LENGTH]) {
         headers.remove(name);
     }
     headers
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -3,8 +3,8 @@
 //! Gateways ([`gateway`]) forward clients' requests to targets (back ends). Members ([`group`]) form a Raft group that
 //! holds the configuration and the directory of targets, and push updates to the gateways.
 //!
-//! An older mode runs routers ([`router`]), which forward requests to engines that serve models or to plain services, and
-//! one control group for each partner ([`control`]), which holds the team templates that the routers apply:
+//! An older mode runs routers ([`router`]), which forward requests to engines that serve models or to plain services,
+//! and one control group for each partner ([`control`]), which holds the team templates that the routers apply:
 //!
 //! ```
 //! use latchmount::jsonc;
--- a/src/main.rs
+++ b/src/main.rs
@@ -31,7 +31,8 @@
     runtime.block_on(run(command))
 }
 
-/// Creates the async runtime. Gateways and members run on small machines, where a second thread costs more than it gains.
+/// Creates the async runtime. Gateways and members run on small machines, where a second thread costs more than it
+/// gains.
 fn runtime(command: &Cli) -> std::io::Result<Runtime> {
     match command {
         Cli::Gateway(_) | Cli::Member(_) => Builder::new_current_thread().enable_all().build(),
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -155,8 +155,8 @@
 
 /// The RPC methods of a control member.
 ///
-/// `key` is the secret shared by the partner's hosts, `token` an operator's bearer token. A call with a wrong one fails with
-/// [`ControlError::Unauthorized`] and has no effect.
+/// `key` is the secret shared by the partner's hosts, `token` an operator's bearer token. A call with a wrong one
+/// fails with [`ControlError::Unauthorized`] and has no effect.
 #[rpc(client, server, namespace = "latchmount")]
 pub trait Control {
     /// Returns the identity of this member.
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -90,7 +90,8 @@
     pub load_bound: f64,
     /// The same for the first turn of a chat; lower than `load_bound`, to keep slots free for returning chats.
     pub first_turn_bound: f64,
-    /// Maximum number of requests in flight at one engine from all routers. The teams' shares divide the sum over all engines.
+    /// Maximum number of requests in flight at one engine from all routers. The teams' shares divide the sum over all
+    /// engines.
     pub engine_slots: usize,
     /// Number of chats whose prefixes fit into the cache of one engine.
     pub cached_chats: usize,
--- a/src/sync.rs
+++ b/src/sync.rs
@@ -1,5 +1,5 @@
-//! Locks that ignore poisoning. A panic while a lock is held leaves the data consistent, since every single change to the
-//! guarded data does so.
+//! Locks that ignore poisoning. A panic while a lock is held leaves the data consistent, since every single change to
+//! the guarded data does so.
 
 use std::sync::{Mutex, MutexGuard, PoisonError, RwLock, RwLockReadGuard, RwLockWriteGuard};
 
--- a/src/targets.rs
+++ b/src/targets.rs
@@ -126,7 +126,8 @@
         target
     }
 
-    /// Applies the entry of the list for this incarnation. One that is shutting down stays so, whatever a later list has.
+    /// Applies the entry of the list for this incarnation. One that is shutting down stays so, whatever a later list
+    /// has.
     fn update(&mut self, listed: Listed) {
         if listed.leaving {
             self.availability.says_leaving();
@@ -217,7 +218,7 @@
         target.update(listed);
     }
 
-    /// Records that a target reported its own shutdown.
+    /// Records that `incarnation` of a target reported its own shutdown; ignored if a newer one is listed.
     pub fn mark_draining(&mut self, name: &str, incarnation: u64) {
         if let Some(target) = self.known.get_mut(name)
             && target.listed.incarnation <= incarnation
@@ -254,7 +255,8 @@
 
     /// Targets that may be sent a new request. `excluded` returns true for names of hosts and targets to be sent none.
     ///
-    /// A target that returns from a back-off and has its allowed number of requests is a candidate only if there is no other.
+    /// A target that returns from a back-off and has its allowed number of requests is a candidate only if there is
+    /// no other.
     pub fn candidates(
         &self,
         now: Duration,
@@ -271,7 +273,8 @@
         usable.into_iter().map(Target::to_choice).collect()
     }
 
-    /// Targets that serve the need and are alive, including those that are backing off or shutting down.
+    /// Targets that serve the need and are alive, including those that are backing off or shutting down. While the
+    /// list is stale, only a target that answered recently counts as alive.
     fn suitable<'a>(
         &'a self,
         now: Duration,
--- a/src/template.rs
+++ b/src/template.rs
@@ -101,7 +101,8 @@
         self.teams.values().map(|team| team.share_percent).sum()
     }
 
-    /// The parameters for `team`, with the template's defaults filled in; `None` if the template does not cover the team.
+    /// The parameters for `team`, with the template's defaults filled in; `None` if the template does not cover the
+    /// team.
     pub fn policy(&self, team: &str) -> Option<Policy> {
         let own = self.teams.get(team)?;
         Some(Policy {
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -24,7 +24,7 @@
     let dialect = NativeDialect::default();
     let names = dialect.headers();
     let mut client = HeaderMap::new();
-    for name in names.set_by_routers() {
+    for name in names.gateway_only() {
         client.append(name.clone(), HeaderValue::from_static("forged"));
         client.append(name.clone(), HeaderValue::from_static("forged again"));
     }
