--- a/src/jsonc.rs
+++ b/src/jsonc.rs
@@ -72,7 +72,7 @@
 /// Decodes and validates `text`; unknown fields are ignored and listed in the result.
 ///
 /// # Errors
-/// All other faults found, ordered by line.
+/// When there is any other fault: all faults found, unknown fields included, ordered by line.
 pub fn from_str_lenient<T: DeserializeOwned + Validate>(
     text: &str,
 ) -> Result<Lenient<T>, Vec<Fault>> {
