--- a/src/main.rs
+++ b/src/main.rs
@@ -1,20 +1,20 @@
-//! The `latchmount` binary: parses the command line, calls the library and prints.
+//! The `latchmount` binary: parses the command line, calls the library and prints the result.
 
 use std::process::ExitCode;
 use std::sync::Arc;
 use std::time::Duration;
 
 use latchmount::cli::{Cli, EvacuationCommand, PoisonCommand, Process, RolloutCommand, cli};
-use latchmount::dialect::{OwnDialect, SharedDialect};
+use latchmount::dialect::{NativeDialect, SharedDialect};
 use latchmount::operator::{self, OperatorError};
-use latchmount::process::{self, Outside, Roles};
+use latchmount::process::{self, FleetRole, Roles};
 use tokio::runtime::{Builder, Runtime};
 
 #[path = "../platform/mod.rs"]
 mod platform;
 
-/// Longest time for the last log lines once a process has ended its work.
-const LAST_LINES: Duration = Duration::from_millis(200);
+/// Maximum time for writing the last log lines when a process exits.
+const LOG_FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 fn main() -> ExitCode {
     let command = match cli().run_inner(bpaf::Args::current_args()) {
@@ -31,7 +31,8 @@
     runtime.block_on(run(command))
 }
 
-/// Gateways and members run on small machines, where a second thread costs more than it gives.
+/// Creates the async runtime. Gateways and members run on small machines, where a second thread costs more than it
+/// gains.
 fn runtime(command: &Cli) -> std::io::Result<Runtime> {
     match command {
         Cli::Gateway(_) | Cli::Member(_) => Builder::new_current_thread().enable_all().build(),
@@ -39,24 +40,24 @@
     }
 }
 
-/// The dialect that a command names; the project's own without a name.
+/// The dialect called `name`; the default one without a name. `None` for an unknown name.
 fn dialect(name: Option<&str>) -> Option<SharedDialect> {
     match name {
-        None => Some(Arc::new(OwnDialect::default())),
+        None => Some(Arc::new(NativeDialect::default())),
         Some(platform::NAME) => Some(Arc::new(platform::Platform::default())),
         Some(_) => None,
     }
 }
 
-async fn outside(process: Process, role: Outside) -> ExitCode {
+async fn run_fleet_role(process: Process, role: FleetRole) -> ExitCode {
     let Some(dialect) = dialect(process.dialect.as_deref()) else {
-        return fail(&"--dialect: no such dialect", 2);
+        return fail_unknown_dialect(process.dialect.as_deref());
     };
-    let ended = process::run_outside(process, role, dialect).await;
+    let ended = process::run_fleet_role(process, role, dialect).await;
     let code = i32::from(ended.is_err());
-    // The last lines may wait for a reader that stands still; the process must end all the same.
+    // A blocked reader of the log may keep the last lines from being written; the process must exit all the same.
     std::thread::spawn(move || {
-        std::thread::sleep(LAST_LINES);
+        std::thread::sleep(LOG_FLUSH_TIMEOUT);
         std::process::exit(code);
     });
     match ended {
@@ -70,8 +71,8 @@
         Cli::Router(process) => serve(process, Roles::Router).await,
         Cli::Control(process) => serve(process, Roles::Control).await,
         Cli::Serve(process) => serve(process, Roles::All).await,
-        Cli::Gateway(process) => outside(process, Outside::Gateway).await,
-        Cli::Member(process) => outside(process, Outside::Member).await,
+        Cli::Gateway(process) => run_fleet_role(process, FleetRole::Gateway).await,
+        Cli::Member(process) => run_fleet_role(process, FleetRole::Member).await,
         Cli::Check { file } => print(operator::check(&file)),
         Cli::Explain { json, id, files } => print(operator::explain(&id, &files, json)),
         Cli::Account { json, files } => print(operator::account(&files, json)),
@@ -86,22 +87,22 @@
 }
 
 async fn evacuation(command: EvacuationCommand) -> ExitCode {
-    let Some(dialect) = dialect(command.doors().dialect.as_deref()) else {
-        return fail(&"--dialect: no such dialect", 2);
+    let Some(dialect) = dialect(command.endpoints().dialect.as_deref()) else {
+        return fail_unknown_dialect(command.endpoints().dialect.as_deref());
     };
     print(operator::evacuation(&command, dialect.as_ref()).await)
 }
 
 async fn poison(command: PoisonCommand) -> ExitCode {
-    let Some(dialect) = dialect(command.doors().dialect.as_deref()) else {
-        return fail(&"--dialect: no such dialect", 2);
+    let Some(dialect) = dialect(command.endpoints().dialect.as_deref()) else {
+        return fail_unknown_dialect(command.endpoints().dialect.as_deref());
     };
     print(operator::poison(&command, dialect.as_ref()).await)
 }
 
 async fn rollout(command: RolloutCommand) -> ExitCode {
-    let Some(dialect) = dialect(command.doors().dialect.as_deref()) else {
-        return fail(&"--dialect: no such dialect", 2);
+    let Some(dialect) = dialect(command.endpoints().dialect.as_deref()) else {
+        return fail_unknown_dialect(command.endpoints().dialect.as_deref());
     };
     print(operator::rollout(&command, dialect.as_ref()).await)
 }
@@ -123,6 +124,10 @@
     }
 }
 
+fn fail_unknown_dialect(name: Option<&str>) -> ExitCode {
+    fail(&format!("--dialect: unknown dialect {:?}", name.unwrap_or_default()), 2)
+}
+
 fn fail(error: &dyn std::fmt::Display, code: u8) -> ExitCode {
     eprintln!("latchmount: {error}");
     ExitCode::from(code)
--- a/src/router/claim.rs
+++ b/src/router/claim.rs
@@ -88,7 +88,7 @@
                 }
                 Err(error) => ControlError::from(error),
             };
-            members.turn(&error);
+            members.switch_member(&error);
             tokio::time::sleep(RETRY_PAUSE).await;
         }
         // The control group may still record the claim late, which would block the request when the client repeats it.
@@ -105,7 +105,7 @@
             for _ in 0..members.len() {
                 match members.current().release(key.clone(), release).await {
                     Ok(()) => return,
-                    Err(error) => members.turn(&error.into()),
+                    Err(error) => members.switch_member(&error.into()),
                 }
             }
         });
--- a/src/router/forward.rs
+++ b/src/router/forward.rs
@@ -142,7 +142,7 @@
     /// Time until the first suitable target's back-off ends; `None` if no suitable target is backing off.
     pub(super) fn backoff_left(&self, request: &AdmittedRequest) -> Option<Duration> {
         let config = self.config();
-        lock(&self.targets).rest_left(self.now(), need(request), |name| config.closed(name))
+        lock(&self.targets).backoff_left(self.now(), need(request), |name| config.closed(name))
     }
 
     /// Makes attempts until an answer begins or retry rules, retry budget or deadline allow no other.
@@ -267,10 +267,10 @@
             return Err(Reason::WrongAnswer);
         }
         if let Some(incarnation) = number_header(headers, LEAVING) {
-            lock(&self.targets).leave(&target.name, incarnation);
+            lock(&self.targets).mark_draining(&target.name, incarnation);
         }
         if let Some(backoff) = RetryAfter::of_refusal(answer.status(), headers) {
-            lock(&self.targets).rest(self.now(), target, backoff);
+            lock(&self.targets).back_off(self.now(), target, backoff);
             self.metrics.backoffs.inc();
             info!(self.log, "target refused a request and asked for a back-off"; "event" => "target_rests",
                 "target" => &target.name, "rest" => ?backoff);
--- a/src/targets.rs
+++ b/src/targets.rs
@@ -1,5 +1,5 @@
-//! The targets as one router sees them: the platform's lagging list, marks of leaving targets, and
-//! the router's own evidence.
+//! What one router knows of the targets: from the platform's list, which lags behind reality, from targets that report
+//! their shutdown, and from the outcomes of the router's own requests.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,20 +11,22 @@
 use crate::retry_after::RetryAfter;
 use crate::template::Spec;
 
-/// Failures in a row that open a target's circuit.
+/// Number of consecutive failures that open a target's circuit.
 const CIRCUIT_FAILURES: u32 = 3;
-/// First and longest time that a circuit stays open.
-const CIRCUIT_OPEN: (Duration, Duration) = (Duration::from_millis(500), Duration::from_secs(10));
-/// How long a target that left the list is remembered, so that a stale list can't revive it.
-const TOMBSTONE_KEPT: Duration = Duration::from_secs(600);
+/// Initial and maximum time that a circuit stays open.
+const CIRCUIT_OPEN_RANGE: (Duration, Duration) =
+    (Duration::from_millis(500), Duration::from_secs(10));
+/// How long a target that is missing from the list is remembered, so that a stale list can't bring back one that shut
+/// down.
+const TOMBSTONE_RETENTION: Duration = Duration::from_secs(600);
 
-/// Time over which the routers come back to a target after a rest.
-const RETURN_OVER: Duration = Duration::from_secs(1);
+/// Time over which the routers spread their return to a target after its back-off.
+const BACKOFF_RETURN_SPREAD: Duration = Duration::from_secs(1);
 
 /// The platform's list of targets, as it publishes it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Listing {
-    /// Age of the list when it was answered, in milliseconds.
+    /// Age of the list when the platform sent it, in milliseconds.
     pub age_ms: u64,
     /// The targets.
     pub targets: Vec<Listed>,
@@ -41,33 +43,33 @@
     pub data_hall: String,
     /// Base URL.
     pub url: String,
-    /// Grows with each start of the target.
+    /// Number that increases with each start of the target.
     pub incarnation: u64,
-    /// Whether it is leaving.
+    /// Whether it is shutting down.
     pub leaving: bool,
-    /// Partner whose control group gives it orders; routers of both may send it work.
+    /// Partner whose control group gives it orders; the routers of both partners may send it requests.
     pub partner: String,
-    /// Whether it refuses orders older than the newest it has carried out.
+    /// Whether it refuses orders that are older than the newest one that it has carried out.
     #[serde(default)]
     pub fenced: bool,
-    /// What it does.
+    /// What it serves.
     pub serves: Serves,
 }
 
-/// What a target does.
+/// What a target serves.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Serves {
-    /// An engine, with what it has loaded.
+    /// An engine, with the models that it has loaded.
     Models(Vec<Spec>),
-    /// A plain service, by name.
+    /// A plain service of this name.
     Service(String),
 }
 
-/// What a request needs.
+/// What a request needs of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Need<'a> {
-    /// An engine that has this loaded.
+    /// An engine that has this model loaded.
     Model(&'a Spec),
     /// This plain service.
     Service(&'a str),
@@ -92,7 +94,7 @@
     pub url: String,
     /// Its incarnation.
     pub incarnation: u64,
-    /// What the choice is made on.
+    /// Properties by which targets are compared.
     pub candidate: Candidate,
 }
 
@@ -100,9 +102,9 @@
 struct Target {
     listed: Listed,
     hash: NameHash,
-    /// Whether it may be sent anything; begins anew with each incarnation.
+    /// Whether it may be sent requests; reset for each incarnation.
     availability: Availability,
-    /// When it was missing from the list first; `None` while it is listed.
+    /// When it was first missing from the list; `None` while it is listed.
     missing_since: Option<Duration>,
     answered_at: Option<Duration>,
     in_flight: usize,
@@ -120,19 +122,20 @@
             circuit: Circuit::default(),
             listed: listed.clone(),
         };
-        target.take(listed);
+        target.update(listed);
         target
     }
 
-    /// Takes what the list says of this incarnation. Once it leaves, no later list revives it.
-    fn take(&mut self, listed: Listed) {
+    /// Applies the entry of the list for this incarnation. One that is shutting down stays so, whatever a later list
+    /// has.
+    fn update(&mut self, listed: Listed) {
         if listed.leaving {
             self.availability.says_leaving();
         }
         self.listed = listed;
     }
 
-    fn choice(&self) -> Choice {
+    fn to_choice(&self) -> Choice {
         Choice {
             name: self.listed.name.clone(),
             url: self.listed.url.clone(),
@@ -142,7 +145,7 @@
     }
 }
 
-/// Keeps work away from a target that fails again and again.
+/// Circuit breaker: keeps requests away from a target that fails repeatedly.
 #[derive(Clone, Copy, Debug, Default)]
 struct Circuit {
     failures: u32,
@@ -154,8 +157,8 @@
         self.failures += 1;
         if self.failures >= CIRCUIT_FAILURES {
             let doublings = (self.failures - CIRCUIT_FAILURES).min(8);
-            let open = CIRCUIT_OPEN.0 * 2u32.pow(doublings);
-            self.open_until = now + open.min(CIRCUIT_OPEN.1);
+            let open = CIRCUIT_OPEN_RANGE.0 * 2u32.pow(doublings);
+            self.open_until = now + open.min(CIRCUIT_OPEN_RANGE.1);
         }
     }
 
@@ -164,22 +167,22 @@
     }
 }
 
-/// All targets that a router knows of.
+/// All targets that a router knows.
 #[derive(Clone, Debug)]
 pub struct Targets {
     known: BTreeMap<String, Target>,
-    /// When the newest list was made.
+    /// When the platform made the newest list that was applied.
     list_made_at: Option<Duration>,
     list_max_age: Duration,
 }
 
 impl Targets {
-    /// No targets yet; a list older than `list_max_age` no longer proves that a target lives.
+    /// Creates an empty set. A list older than `list_max_age` is no longer proof that a target is alive.
     pub fn new(list_max_age: Duration) -> Self {
         Targets { known: BTreeMap::new(), list_made_at: None, list_max_age }
     }
 
-    /// Takes a list received at `now`; one older than the newest is ignored.
+    /// Applies a list received at `now`; one older than the newest applied is ignored.
     pub fn apply(&mut self, now: Duration, listing: Listing) {
         let made_at = now.saturating_sub(Duration::from_millis(listing.age_ms));
         if self.list_made_at.is_some_and(|newest| made_at < newest) {
@@ -190,15 +193,15 @@
             target.missing_since = target.missing_since.or(Some(now));
         }
         for listed in listing.targets {
-            self.take(listed);
+            self.update(listed);
         }
         self.known.retain(|_, target| {
-            let forgotten = target.missing_since.is_some_and(|at| now >= at + TOMBSTONE_KEPT);
+            let forgotten = target.missing_since.is_some_and(|at| now >= at + TOMBSTONE_RETENTION);
             target.in_flight > 0 || !forgotten
         });
     }
 
-    fn take(&mut self, listed: Listed) {
+    fn update(&mut self, listed: Listed) {
         let Some(target) = self.known.get_mut(&listed.name) else {
             self.known.insert(listed.name.clone(), Target::new(listed));
             return;
@@ -212,11 +215,11 @@
             target.circuit = Circuit::default();
         }
         target.missing_since = None;
-        target.take(listed);
+        target.update(listed);
     }
 
-    /// Marks a target as leaving, on its own word.
-    pub fn leave(&mut self, name: &str, incarnation: u64) {
+    /// Records that `incarnation` of a target reported its own shutdown; ignored if a newer one is listed.
+    pub fn mark_draining(&mut self, name: &str, incarnation: u64) {
         if let Some(target) = self.known.get_mut(name)
             && target.listed.incarnation <= incarnation
         {
@@ -224,84 +227,88 @@
         }
     }
 
-    /// The target has turned a request away and wants nothing for a while; another incarnation begins clean.
-    pub fn rest(&mut self, now: Duration, choice: &Choice, rest: RetryAfter) {
+    /// Records that the target rejected a request and asked for a back-off, which ends with its incarnation.
+    pub fn back_off(&mut self, now: Duration, choice: &Choice, backoff: RetryAfter) {
         if let Some(target) = self.known.get_mut(&choice.name)
             && target.listed.incarnation == choice.incarnation
         {
             let chance = rand::random();
-            target.availability.rests(now, rest, RETURN_OVER, chance);
+            target.availability.rests(now, backoff, BACKOFF_RETURN_SPREAD, chance);
         }
     }
 
-    /// Time until the first target that could meet the need ends its rest; `None` where none rests.
-    pub fn rest_left(
+    /// Time until the first back-off of a suitable target ends; `None` when none is backing off.
+    pub fn backoff_left(
         &self,
         now: Duration,
         need: Need<'_>,
-        closed: impl Fn(&str) -> bool,
+        excluded: impl Fn(&str) -> bool,
     ) -> Option<Duration> {
-        let suitable = self.suitable(now, need, &closed);
+        let suitable = self.suitable(now, need, &excluded);
         suitable.filter_map(|target| target.availability.standing(now).rest_left(now)).min()
     }
 
-    /// Whether the platform's list is too old to prove that a target lives.
-    pub fn list_suspect(&self, now: Duration) -> bool {
+    /// Whether the platform's list is too old to be proof that a target is alive.
+    pub fn list_is_stale(&self, now: Duration) -> bool {
         self.list_made_at.is_none_or(|made_at| now > made_at + self.list_max_age)
     }
 
-    /// Targets that may take a new request; `closed` tells of hosts and targets that get none.
+    /// Targets that may be sent a new request. `excluded` returns true for names of hosts and targets to be sent none.
+    ///
+    /// A target that returns from a back-off and has its allowed number of requests is a candidate only if there is
+    /// no other.
     pub fn candidates(
         &self,
         now: Duration,
         need: Need<'_>,
-        closed: impl Fn(&str) -> bool,
+        excluded: impl Fn(&str) -> bool,
     ) -> Vec<Choice> {
-        let usable = self.suitable(now, need, &closed);
+        let usable = self.suitable(now, need, &excluded);
         let usable = usable.filter(|target| target.availability.standing(now).takes_work());
-        let (hesitant, sound): (Vec<_>, Vec<_>) = usable.partition(|target| {
+        let (ramping_up, fully_open): (Vec<_>, Vec<_>) = usable.partition(|target| {
             let in_flight = u32::try_from(target.in_flight).unwrap_or(u32::MAX);
             target.availability.standing(now).hesitates(in_flight)
         });
-        let usable = if sound.is_empty() { hesitant } else { sound };
-        usable.into_iter().map(Target::choice).collect()
+        let usable = if fully_open.is_empty() { ramping_up } else { fully_open };
+        usable.into_iter().map(Target::to_choice).collect()
     }
 
-    /// Targets that meet the need and live, whether or not they take work now.
+    /// Targets that serve the need and are alive, including those that are backing off or shutting down. While the
+    /// list is stale, only a target that answered recently counts as alive.
     fn suitable<'a>(
         &'a self,
         now: Duration,
         need: Need<'a>,
-        closed: &'a impl Fn(&str) -> bool,
+        excluded: &'a impl Fn(&str) -> bool,
     ) -> impl Iterator<Item = &'a Target> {
-        let suspect = self.list_suspect(now);
+        let stale = self.list_is_stale(now);
         self.known.values().filter(move |target| {
             let answered = target.answered_at;
-            let lives = !suspect || answered.is_some_and(|at| now < at + self.list_max_age);
+            let alive = !stale || answered.is_some_and(|at| now < at + self.list_max_age);
             need.met_by(&target.listed.serves)
-                && lives
+                && alive
                 && target.missing_since.is_none()
                 && target.circuit.closed(now)
-                && !closed(&target.listed.name)
-                && !closed(&target.listed.host)
+                && !excluded(&target.listed.name)
+                && !excluded(&target.listed.host)
         })
     }
 
-    /// Notes that a request goes to `name`.
+    /// Records that a request is sent to `name`.
     pub fn begin(&mut self, name: &str) {
         if let Some(target) = self.known.get_mut(name) {
             target.in_flight += 1;
         }
     }
 
-    /// Notes that a request at `name` has ended.
+    /// Records that a request at `name` has ended.
     pub fn end(&mut self, name: &str) {
         if let Some(target) = self.known.get_mut(name) {
             target.in_flight = target.in_flight.saturating_sub(1);
         }
     }
 
-    /// Notes an answer of `name`.
+    /// Records that `name` answered a request.
     pub fn succeeded(&mut self, now: Duration, name: &str) {
         if let Some(target) = self.known.get_mut(name) {
             target.answered_at = Some(now);
@@ -310,14 +317,14 @@
         }
     }
 
-    /// Notes that `name` failed to answer.
+    /// Records that `name` failed to answer a request.
     pub fn failed(&mut self, now: Duration, name: &str) {
         if let Some(target) = self.known.get_mut(name) {
             target.circuit.fail(now);
         }
     }
 
-    /// The pool of each engine: all engines that serve the same model and version.
+    /// The pool of each listed engine. Engines of the same model and version form a pool.
     pub fn pools(&self) -> BTreeMap<NameHash, NameHash> {
         let listed = self.known.values().filter(|target| target.missing_since.is_none());
         listed
@@ -331,7 +338,7 @@
             .collect()
     }
 
-    /// Requests in flight at each target.
+    /// Number of requests in flight from this router at each target.
     pub fn in_flight(&self) -> impl Iterator<Item = (&str, usize)> {
         self.known.iter().map(|(name, target)| (name.as_str(), target.in_flight))
     }
