--- a/src/control/calls.rs
+++ b/src/control/calls.rs
@@ -18,14 +18,14 @@
 use crate::jsonc;
 use crate::platform::Platform;
 use crate::raft::{
-    BoxedDisk, Envelope, GroupId, Members, Replica, Standing, StoreId, Time, Timing,
+    BoxedDisk, Envelope, GroupId, MemberKind, Members, Replica, StoreId, Time, Timing,
 };
 use crate::rpc::{
     ControlClient, ControlError, ControlServer, Identity, MemberStatus, Newcomer, Status,
     SyncReply, SyncRequest, WaitReply, connect,
 };
 use crate::settings::{ControlSettings, Settings};
-use crate::store::{Answer, Change, Command, Drain, Revision, Stored};
+use crate::store::{Answer, Change, Command, Drain, Revision, StoredTemplate};
 use crate::template::check_name;
 
 /// Longest time to reach another member while a group is formed.
@@ -181,7 +181,7 @@
             members.push(crate::raft::Member {
                 id: identity.store,
                 addr: *peer,
-                standing: Standing::Voter,
+                kind: MemberKind::Voter,
             });
         }
         Ok(Members(members))
@@ -324,7 +324,7 @@
         Ok(self.propose(&operator, Command::Drain(drain)).await?)
     }
 
-    async fn templates(&self, token: String) -> Result<Vec<Stored>, ErrorObjectOwned> {
+    async fn templates(&self, token: String) -> Result<Vec<StoredTemplate>, ErrorObjectOwned> {
         self.operator(&token)?;
         let templates = self.lead(|replica, _| {
             let templates = replica.store().templates().values();
@@ -369,7 +369,7 @@
 fn status_of(partner: String, replica: &Replica<BoxedDisk>, now: Time) -> Status {
     let node = replica.node();
     let members = node.members().0.iter().map(|member| {
-        let (live, matched) = node.heard(now, member.id);
+        let (live, matched) = node.follower_progress(now, member.id);
         MemberStatus { member: *member, live, matched }
     });
     Status {
--- a/src/control/member.rs
+++ b/src/control/member.rs
@@ -242,7 +242,7 @@
             self.flush()?;
             if self.remembered_at.elapsed() >= REMEMBER_INTERVAL {
                 self.remembered_at = Instant::now();
-                self.replica.remember_commit()?;
+                self.replica.persist_commit()?;
             }
         }
     }
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -14,7 +14,7 @@
 use slog::{Logger, info, o};
 use tokio::sync::oneshot;
 
-use crate::raft::{BoxedDisk, FolderDisk, Replica, WalError, fresh_store};
+use crate::raft::{BoxedDisk, FolderDisk, Replica, WalError, random_store_id};
 use crate::rpc::{ControlServer, MAX_CALL_BYTES};
 use crate::settings::{ControlSettings, Settings};
 
@@ -71,7 +71,7 @@
         let started = Member::start(&log, |now| {
             Replica::open(
                 Box::new(disk) as BoxedDisk,
-                fresh_store(),
+                random_store_id(),
                 control.timing(),
                 control.compact_after_entries,
                 now,
--- a/src/group/background.rs
+++ b/src/group/background.rs
@@ -212,7 +212,7 @@
             let list: Vec<String> = members
                 .0
                 .iter()
-                .map(|member| format!("{}={:?}", member.addr, member.standing))
+                .map(|member| format!("{}={:?}", member.addr, member.kind))
                 .collect();
             info!(shared.log, "members changed"; "event" => "members",
                 "members" => list.join(","), "term" => term);
--- a/src/group/metrics.rs
+++ b/src/group/metrics.rs
@@ -8,7 +8,7 @@
 use super::Shared;
 use crate::clock::Instant;
 use crate::metrics::{MetricSet, SECONDS, SHORT_SECONDS};
-use crate::raft::Standing;
+use crate::raft::MemberKind;
 use crate::small_server;
 use crate::sync::lock;
 
@@ -186,7 +186,7 @@
 
     fn render(&self, shared: &Shared) -> Vec<u8> {
         let (published, standing) = (shared.published(), shared.member.standing());
-        let voters = published.members.0.iter().filter(|one| one.standing == Standing::Voter);
+        let voters = published.members.0.iter().filter(|one| one.kind == MemberKind::Voter);
         let version = published.version();
         let evacuated = published.evacuations.halls().filter(|(_, order)| order.evacuated);
         self.evacuated.set(evacuated.count() as i64);
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -53,8 +53,8 @@
 use crate::level::{Level, Readiness};
 use crate::poison::{Board, Rule};
 use crate::raft::{
-    BoxedDisk, FolderDisk, GroupId, Members, PatientDisk, Replica, Standing, StoreId, Tail,
-    TimedDisk, WalError, fresh_store,
+    BoxedDisk, FolderDisk, GroupId, MemberKind, Members, Replica, RetryingDisk, StoreId,
+    TailPolicy, TimedDisk, WalError, random_store_id,
 };
 use crate::run_clock::RunClock;
 use crate::sampler::Sampler;
@@ -300,20 +300,20 @@
     log: &Logger,
 ) -> Result<Started, GroupError> {
     let folder = |source| GroupError::Folder { path: settings.data_dir.clone(), source };
-    let disk = PatientDisk::new(FolderDisk::open(&settings.data_dir).map_err(folder)?);
+    let disk = RetryingDisk::new(FolderDisk::open(&settings.data_dir).map_err(folder)?);
     let disk = TimedDisk::new(disk, syncs);
-    let fresh = founder.unwrap_or_else(fresh_store);
+    let fresh = founder.unwrap_or_else(random_store_id);
     let started = Member::start(log, |now| {
         let mut replica = Replica::open_with(
             Box::new(disk) as BoxedDisk,
-            Tail::Unsynced,
+            TailPolicy::Unsynced,
             fresh,
             settings.timing(),
             settings.compact_after_entries,
             now,
             rand::random(),
         )?;
-        replica.keep_up(settings.upkeep());
+        replica.set_membership_rules(settings.upkeep());
         Ok(replica)
     });
     Ok(started?)
@@ -329,7 +329,7 @@
     let founder = |addr: SocketAddr| crate::raft::Member {
         id: StoreId(xxh3_64(format!("founder {addr}").as_bytes())),
         addr,
-        standing: Standing::Voter,
+        kind: MemberKind::Voter,
     };
     let mut members: Vec<_> = seeds.into_iter().map(founder).collect();
     members.sort_by_key(|member| member.id);
--- a/src/group/settings.rs
+++ b/src/group/settings.rs
@@ -9,7 +9,7 @@
 
 use crate::checks::Checks;
 use crate::jsonc::{Fault, Validate};
-use crate::raft::{Timing, Upkeep};
+use crate::raft::{MembershipRules, Timing};
 
 /// Maximum value of `bear_losses`.
 const MAX_LOSSES: usize = 4;
@@ -98,11 +98,11 @@
     }
 
     /// Rules by which the leader maintains the number of voters.
-    pub fn upkeep(&self) -> Upkeep {
-        Upkeep {
+    pub fn upkeep(&self) -> MembershipRules {
+        MembershipRules {
             voters: 2 * self.bear_losses + 1,
-            silence: Duration::from_millis(self.replace_after_ms),
-            forget: Duration::from_millis(self.replace_after_ms) * 20,
+            unresponsive_after: Duration::from_millis(self.replace_after_ms),
+            remove_after: Duration::from_millis(self.replace_after_ms) * 20,
         }
     }
 
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -18,7 +18,7 @@
 use crate::jsonc::{self, Fault, Validate};
 use crate::rpc::{ControlClient, ControlError, Group, Status};
 use crate::settings::Settings;
-use crate::store::{Answer, Change, Drain, Stored};
+use crate::store::{Answer, Change, Drain, StoredTemplate};
 use crate::targets::{Listed, Serves};
 use crate::template::Template;
 
@@ -315,11 +315,11 @@
         }
     }
 
-    async fn templates(&mut self) -> Result<Vec<Stored>, OperatorError> {
+    async fn templates(&mut self) -> Result<Vec<StoredTemplate>, OperatorError> {
         self.call(async |client, token| client.templates(token).await).await
     }
 
-    async fn stored(&mut self, name: &str) -> Result<Stored, OperatorError> {
+    async fn stored(&mut self, name: &str) -> Result<StoredTemplate, OperatorError> {
         let templates = self.templates().await?;
         let mut named = templates.into_iter().filter(|stored| stored.template.name == name);
         named.next().ok_or_else(|| OperatorError::NoTemplate(name.to_owned()))
@@ -369,7 +369,7 @@
     ));
     lines.extend(status.members.iter().map(|status| {
         let member = status.member;
-        let standing = format!("{:?}", member.standing).to_lowercase();
+        let standing = format!("{:?}", member.kind).to_lowercase();
         let (id, addr) = (member.id.to_string(), member.addr.to_string());
         format!("{id:<18} {addr:<22} {standing:<8} {:<5} {}", status.live, status.matched)
     }));
--- a/src/raft/disk.rs
+++ b/src/raft/disk.rs
@@ -14,7 +14,7 @@
 const LOCK_FILE: &str = "lock";
 const HINT_FILE: &str = "commit";
 /// Between two tries to write to a full disk.
-const FULL_PAUSE: Duration = Duration::from_millis(100);
+const FULL_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A log file in a folder that one process holds.
 pub struct FolderDisk {
@@ -129,7 +129,7 @@
 ///
 /// The member that owns it says nothing meanwhile, so that the others go on without it, and loses
 /// nothing.
-pub struct PatientDisk<D> {
+pub struct RetryingDisk<D> {
     disk: D,
     /// Length of the file up to the last sync.
     synced: usize,
@@ -137,28 +137,31 @@
     unsynced: Vec<u8>,
 }
 
-impl<D: Disk> PatientDisk<D> {
+impl<D: Disk> RetryingDisk<D> {
     /// Waits for `disk`.
     pub fn new(disk: D) -> Self {
-        PatientDisk { disk, synced: 0, unsynced: Vec::new() }
+        RetryingDisk { disk, synced: 0, unsynced: Vec::new() }
     }
 
-    fn patiently(&mut self, mut step: impl FnMut(&mut Self) -> io::Result<()>) -> io::Result<()> {
+    fn retry_while_full(
+        &mut self,
+        mut operation: impl FnMut(&mut Self) -> io::Result<()>,
+    ) -> io::Result<()> {
         loop {
-            match step(self) {
-                Err(error) if full(&error) => std::thread::sleep(FULL_PAUSE),
+            match operation(self) {
+                Err(error) if is_full(&error) => std::thread::sleep(FULL_RETRY_INTERVAL),
                 done => return done,
             }
         }
     }
 }
 
-fn full(error: &io::Error) -> bool {
+fn is_full(error: &io::Error) -> bool {
     use io::ErrorKind::{QuotaExceeded, StorageFull};
     matches!(error.kind(), StorageFull | QuotaExceeded)
 }
 
-impl<D: Disk> Disk for PatientDisk<D> {
+impl<D: Disk> Disk for RetryingDisk<D> {
     fn read(&mut self) -> io::Result<Option<Vec<u8>>> {
         let bytes = self.disk.read()?;
         self.synced = bytes.as_ref().map_or(0, Vec::len);
@@ -166,7 +169,7 @@
     }
 
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-        self.patiently(|patient| patient.disk.replace(bytes))?;
+        self.retry_while_full(|retrying| retrying.disk.replace(bytes))?;
         self.synced = bytes.len();
         self.unsynced.clear();
         Ok(())
@@ -174,26 +177,26 @@
 
     fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.unsynced.extend(bytes);
-        let mut torn = false;
-        self.patiently(|patient| {
-            if torn {
-                patient.disk.truncate(patient.synced)?;
-                return patient.disk.append(&patient.unsynced);
+        let mut retry = false;
+        self.retry_while_full(|retrying| {
+            if retry {
+                retrying.disk.truncate(retrying.synced)?;
+                return retrying.disk.append(&retrying.unsynced);
             }
-            torn = true;
-            patient.disk.append(bytes)
+            retry = true;
+            retrying.disk.append(bytes)
         })
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        self.patiently(|patient| patient.disk.sync())?;
+        self.retry_while_full(|retrying| retrying.disk.sync())?;
         self.synced += self.unsynced.len();
         self.unsynced.clear();
         Ok(())
     }
 
     fn truncate(&mut self, len: usize) -> io::Result<()> {
-        self.patiently(|patient| patient.disk.truncate(len))?;
+        self.retry_while_full(|retrying| retrying.disk.truncate(len))?;
         self.synced = len;
         self.unsynced.clear();
         Ok(())
@@ -211,13 +214,13 @@
 /// A disk whose syncs are timed.
 pub struct TimedDisk<D> {
     disk: D,
-    syncs: Histogram,
+    sync_seconds: Histogram,
 }
 
 impl<D: Disk> TimedDisk<D> {
     /// Times the syncs of `disk`.
-    pub fn new(disk: D, syncs: Histogram) -> Self {
-        TimedDisk { disk, syncs }
+    pub fn new(disk: D, sync_seconds: Histogram) -> Self {
+        TimedDisk { disk, sync_seconds }
     }
 }
 
@@ -227,7 +230,7 @@
     }
 
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()> {
-        let _timer = self.syncs.start_timer();
+        let _timer = self.sync_seconds.start_timer();
         self.disk.replace(bytes)
     }
 
@@ -236,7 +239,7 @@
     }
 
     fn sync(&mut self) -> io::Result<()> {
-        let _timer = self.syncs.start_timer();
+        let _timer = self.sync_seconds.start_timer();
         self.disk.sync()
     }
 
--- a/src/raft/election.rs
+++ b/src/raft/election.rs
@@ -7,22 +7,23 @@
 
 impl Node {
     /// Whether a leader was heard so recently that its lease may hold.
-    pub(super) fn hears_leader(&self, now: Time) -> bool {
+    pub(super) fn has_leader_contact(&self, now: Time) -> bool {
         match self.role {
             Role::Leader => true,
-            _ => now < self.heard_at + self.timing.election_min,
+            _ => now < self.leader_contact_at + self.timing.election_min,
         }
     }
 
     pub(super) fn on_pre_vote(&mut self, now: Time, from: StoreId, term: Term, last: Position) {
-        let granted = term > self.hard.term && last >= self.log.last() && !self.hears_leader(now);
+        let granted =
+            term > self.hard.term && last >= self.log.last() && !self.has_leader_contact(now);
         let reply_term = if granted { term } else { self.hard.term };
         self.send_in(reply_term, from, Body::PreVoteReply { granted });
     }
 
     pub(super) fn on_vote(&mut self, now: Time, from: StoreId, last: Position) {
-        let free = self.hard.vote.is_none() || self.hard.vote == Some(from);
-        let granted = free && last >= self.log.last() && self.role == Role::Follower;
+        let may_vote = self.hard.vote.is_none() || self.hard.vote == Some(from);
+        let granted = may_vote && last >= self.log.last() && self.role == Role::Follower;
         if granted {
             self.set_hard(HardState { vote: Some(from), ..self.hard });
             self.reset_campaign(now);
@@ -61,7 +62,7 @@
         self.leader = None;
         self.votes.clear();
         let last = self.log.last();
-        self.ask_voters(self.hard.term + 1, Body::PreVote { last });
+        self.send_to_voters(self.hard.term + 1, Body::PreVote { last });
         self.on_vote_reply(now, self.id, Role::PreCandidate, true);
     }
 
@@ -71,11 +72,11 @@
         self.set_hard(HardState { term: self.hard.term + 1, vote: Some(self.id), ..self.hard });
         self.reset_campaign(now);
         let last = self.log.last();
-        self.ask_voters(self.hard.term, Body::Vote { last });
+        self.send_to_voters(self.hard.term, Body::Vote { last });
         self.on_vote_reply(now, self.id, Role::Candidate, true);
     }
 
-    pub(super) fn ask_voters(&mut self, term: Term, body: Body) {
+    pub(super) fn send_to_voters(&mut self, term: Term, body: Body) {
         let voters: Vec<StoreId> = self.members().voters().collect();
         for id in voters {
             if id != self.id {
@@ -85,7 +86,7 @@
     }
 
     pub(super) fn reset_campaign(&mut self, now: Time) {
-        let spread = self.timing.election_min..self.timing.election_max;
-        self.campaign_at = now + self.rng.random_range(spread);
+        let timeout_range = self.timing.election_min..self.timing.election_max;
+        self.campaign_at = now + self.rng.random_range(timeout_range);
     }
 }
--- a/src/raft/follower.rs
+++ b/src/raft/follower.rs
@@ -17,14 +17,14 @@
         }
         let matched = prev.index + entries.len() as Index;
         for entry in entries {
-            self.take_entry(entry);
+            self.append_entry(entry);
         }
         self.commit = self.commit.max(commit.min(matched));
         AppendResult::Matched(matched)
     }
 
     /// Adds an entry of the leader unless it is there; what stands in its place goes.
-    pub(super) fn take_entry(&mut self, entry: Entry) {
+    pub(super) fn append_entry(&mut self, entry: Entry) {
         if entry.index <= self.log.snapshot().at.index {
             return;
         }
@@ -52,7 +52,7 @@
     pub(super) fn restore(&mut self, snapshot: Snapshot) {
         self.log.compact(snapshot.clone());
         self.commit = snapshot.at.index;
-        self.handed = self.commit;
+        self.delivered = self.commit;
         let snapshot = Box::new(snapshot);
         self.ready.writes.push(Write::Snapshot(snapshot.clone()));
         self.ready.restore = Some(snapshot);
--- a/src/raft/format5.rs
+++ b/src/raft/format5.rs
@@ -9,7 +9,7 @@
 use crate::document::PackedDocument;
 use crate::evacuations::{EvacuationOrder, WarmAgain};
 use crate::rollout::{RolloutOrder, RolloutStep};
-use crate::store::{Change, Command, Drain, Move, Sight, StoreFormat5};
+use crate::store::{Change, Command, Drain, Move, NewAnnouncement, StoreFormat5};
 
 #[derive(Deserialize)]
 pub(super) enum Format5Record {
@@ -51,7 +51,7 @@
     Claim(Claim),
     Release(Release),
     Configure(PackedDocument),
-    Announce(Vec<Sight>),
+    Announce(Vec<NewAnnouncement>),
     Remove(Incarnation),
     Silence(Vec<Incarnation>),
     Settle(Vec<Incarnation>),
--- a/src/raft/leader.rs
+++ b/src/raft/leader.rs
@@ -7,11 +7,11 @@
 use super::{AppendResult, Body, Index, Position, Role, StoreId, Time};
 
 /// Most entries in one message.
-const MAX_ENTRIES: usize = 256;
+const MAX_ENTRIES_PER_MESSAGE: usize = 256;
 /// Most entries that a member has not yet acknowledged.
-const MAX_ON_THEIR_WAY: Index = 512;
+const MAX_UNACKED_ENTRIES: Index = 512;
 /// Longest time until the others are told of a new commit index.
-const COMMIT_NEWS: Duration = Duration::from_millis(5);
+const MAX_COMMIT_NOTICE_DELAY: Duration = Duration::from_millis(5);
 
 impl Node {
     pub(super) fn on_append_reply(
@@ -59,7 +59,7 @@
         // Only entries of the own term commit by counting (Raft, section 5.4.2).
         if agreed > self.commit && self.log.term_at(agreed) == Some(self.hard.term) {
             self.commit = agreed;
-            self.heartbeat_at = self.heartbeat_at.min(self.now + COMMIT_NEWS);
+            self.heartbeat_at = self.heartbeat_at.min(self.now + MAX_COMMIT_NOTICE_DELAY);
         }
     }
 
@@ -86,13 +86,14 @@
         acked.get(members.quorum() - 1).copied().flatten()
     }
 
-    pub(super) fn recently_heard(&self, now: Time, id: StoreId) -> bool {
+    pub(super) fn recently_acked(&self, now: Time, id: StoreId) -> bool {
         let acked = self.progress.get(&id).and_then(|progress| progress.acked_at);
         id == self.id || acked.is_some_and(|at| now < at + self.timing.election_max)
     }
 
     pub(super) fn check_quorum(&mut self, now: Time) {
-        let elected_or_acked = self.quorum_acked(now).unwrap_or(Time::ZERO).max(self.heard_at);
+        let elected_or_acked =
+            self.quorum_acked(now).unwrap_or(Time::ZERO).max(self.leader_contact_at);
         if now >= elected_or_acked + self.timing.election_max {
             self.become_follower(now, self.hard.term);
         }
@@ -118,7 +119,7 @@
     }
 
     /// Sends new entries to whoever can take more.
-    pub(super) fn send_news(&mut self, now: Time) {
+    pub(super) fn send_new_entries(&mut self, now: Time) {
         let ids: Vec<StoreId> = self.progress.keys().copied().collect();
         for id in ids {
             if self.may_send(now, id) {
@@ -135,10 +136,10 @@
         let Some(progress) = self.progress.get(&to) else {
             return false;
         };
-        let on_their_way = (progress.next - 1).saturating_sub(progress.matched);
+        let unacked = (progress.next - 1).saturating_sub(progress.matched);
         let free = match progress.probing {
             true => progress.probed_at.is_none_or(|at| now >= at + self.timing.heartbeat),
-            false => on_their_way < MAX_ON_THEIR_WAY,
+            false => unacked < MAX_UNACKED_ENTRIES,
         };
         free && progress.next <= self.log.last().index
     }
@@ -156,7 +157,7 @@
             return;
         };
         let missing = self.log.from(progress.next);
-        let most = if may_send { MAX_ENTRIES } else { 0 };
+        let most = if may_send { MAX_ENTRIES_PER_MESSAGE } else { 0 };
         let entries = missing[..missing.len().min(most)].to_vec();
         if progress.probing && may_send {
             progress.probed_at = Some(now);
--- a/src/raft/membership.rs
+++ b/src/raft/membership.rs
@@ -4,24 +4,24 @@
 use std::time::Duration;
 
 use super::node::Node;
-use super::{Member, Members, Payload, Role, Standing, StoreId, Time};
+use super::{Member, MemberKind, Members, Payload, Role, StoreId, Time};
 
 /// Rules by which a leader keeps the number of voters up.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Upkeep {
+pub struct MembershipRules {
     /// Voters wanted; further members stand by as learners.
     pub voters: usize,
     /// Silence after which a voter gives its place to a learner that has caught up.
-    pub silence: Duration,
-    /// Silence after which a learner is forgotten; it may join again.
-    pub forget: Duration,
+    pub unresponsive_after: Duration,
+    /// Silence after which a learner is removable; it may join again.
+    pub remove_after: Duration,
 }
 
 /// What a leader knows of a member's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Health {
     /// How long the member has not answered.
-    pub silent_for: Duration,
+    pub unresponsive_for: Duration,
     /// Whether its log covers the commit index.
     pub caught_up: bool,
 }
@@ -31,44 +31,50 @@
     ///
     /// Each changes at most one voter, so that quorums before and after overlap. A voter leaves only
     /// when a learner is ready to follow in the next step.
-    pub fn upkeep(&self, rules: &Upkeep, health: impl Fn(StoreId) -> Health) -> Option<Members> {
+    pub fn next_change(
+        &self,
+        rules: &MembershipRules,
+        health: impl Fn(StoreId) -> Health,
+    ) -> Option<Members> {
         let ready = self.0.iter().find(|member| {
             let health = health(member.id);
-            let answers = health.silent_for < rules.silence;
-            member.standing == Standing::Learner && answers && health.caught_up
+            let answers = health.unresponsive_for < rules.unresponsive_after;
+            member.kind == MemberKind::Learner && answers && health.caught_up
         });
-        let silent = |member: &&Member| health(member.id).silent_for >= rules.silence;
+        let unresponsive =
+            |member: &&Member| health(member.id).unresponsive_for >= rules.unresponsive_after;
         let voters = self.voters().count();
         if let Some(ready) = ready {
             if let Some(replaced) = self.predecessor(ready) {
                 return Some(self.without(replaced));
             }
             if voters < rules.voters {
-                return Some(self.with_standing(ready.id, Standing::Voter));
+                return Some(self.with_kind(ready.id, MemberKind::Voter));
             }
-            let voters = self.0.iter().filter(|member| member.standing == Standing::Voter);
-            if let Some(lost) = voters.into_iter().find(silent) {
-                return Some(self.with_standing(lost.id, Standing::Learner));
+            let voters = self.0.iter().filter(|member| member.kind == MemberKind::Voter);
+            if let Some(lost) = voters.into_iter().find(unresponsive) {
+                return Some(self.with_kind(lost.id, MemberKind::Learner));
             }
         }
-        let learners = self.0.iter().filter(|member| member.standing == Standing::Learner);
-        let forgotten = |member: &&Member| {
+        let learners = self.0.iter().filter(|member| member.kind == MemberKind::Learner);
+        let removable = |member: &&Member| {
             let superseded = self.0.iter().any(|other| {
                 other.id != member.id
                     && other.addr == member.addr
-                    && health(other.id).silent_for < rules.silence
+                    && health(other.id).unresponsive_for < rules.unresponsive_after
             });
-            let silent_for = health(member.id).silent_for;
-            silent_for >= rules.forget || (superseded && silent_for >= rules.silence)
+            let unresponsive_for = health(member.id).unresponsive_for;
+            unresponsive_for >= rules.remove_after
+                || (superseded && unresponsive_for >= rules.unresponsive_after)
         };
-        let gone = learners.into_iter().find(forgotten)?;
-        Some(self.without(gone.id))
+        let removed = learners.into_iter().find(removable)?;
+        Some(self.without(removed.id))
     }
 
     /// The voter whose address `learner` took over: its disk is lost.
     fn predecessor(&self, learner: &Member) -> Option<StoreId> {
         let same = |member: &&Member| member.addr == learner.addr && member.id != learner.id;
-        let voters = self.0.iter().filter(|member| member.standing == Standing::Voter);
+        let voters = self.0.iter().filter(|member| member.kind == MemberKind::Voter);
         voters.into_iter().find(same).map(|member| member.id)
     }
 
@@ -76,9 +82,9 @@
         Members(self.0.iter().filter(|member| member.id != id).copied().collect())
     }
 
-    fn with_standing(&self, id: StoreId, standing: Standing) -> Members {
+    fn with_kind(&self, id: StoreId, kind: MemberKind) -> Members {
         let change = |member: &Member| match member.id == id {
-            true => Member { standing, ..*member },
+            true => Member { kind, ..*member },
             false => *member,
         };
         Members(self.0.iter().map(change).collect())
@@ -87,36 +93,39 @@
 
 impl Node {
     /// Lets this member, while it leads, keep the number of voters up.
-    pub fn keep_up(&mut self, upkeep: Upkeep) {
-        self.upkeep = Some(upkeep);
+    pub fn set_membership_rules(&mut self, rules: MembershipRules) {
+        self.membership_rules = Some(rules);
     }
 
     /// Takes a store in as a learner, if this member leads and the address is not in use.
     pub fn join(&mut self, now: Time, id: StoreId, addr: SocketAddr) {
         self.now = now;
-        if self.role != Role::Leader || !self.settled() || self.members().get(id).is_some() {
+        if self.role != Role::Leader
+            || !self.members_confirmed()
+            || self.members().get(id).is_some()
+        {
             return;
         }
         let occupant = self.members().0.iter().find(|member| member.addr == addr);
-        if occupant.is_some_and(|member| self.recently_heard(now, member.id)) {
+        if occupant.is_some_and(|member| self.recently_acked(now, member.id)) {
             return;
         }
         let mut members = self.members().clone();
-        members.0.retain(|member| member.addr != addr || member.standing == Standing::Voter);
-        members.0.push(Member { id, addr, standing: Standing::Learner });
+        members.0.retain(|member| member.addr != addr || member.kind == MemberKind::Voter);
+        members.0.push(Member { id, addr, kind: MemberKind::Learner });
         // A leader takes every proposal.
         let _ = self.propose(now, Payload::Members(members));
     }
 
     /// Takes the next step of upkeep, if one is due.
-    pub(super) fn maintain(&mut self, now: Time) {
-        let Some(rules) = self.upkeep else {
+    pub(super) fn maintain_members(&mut self, now: Time) {
+        let Some(rules) = self.membership_rules else {
             return;
         };
-        if !self.settled() {
+        if !self.members_confirmed() {
             return;
         }
-        let next = self.members().upkeep(&rules, |id| self.health(now, id));
+        let next = self.members().next_change(&rules, |id| self.health(now, id));
         if let Some(members) = next {
             // A leader takes every proposal.
             let _ = self.propose(now, Payload::Members(members));
@@ -124,21 +133,21 @@
     }
 
     /// Whether the last change of members and the first entry of this term are committed.
-    fn settled(&self) -> bool {
+    fn members_confirmed(&self) -> bool {
         let (_, changed_at) = self.log.members();
         self.commit >= changed_at && self.commit >= self.term_start
     }
 
     fn health(&self, now: Time, id: StoreId) -> Health {
         if id == self.id {
-            return Health { silent_for: Duration::ZERO, caught_up: true };
+            return Health { unresponsive_for: Duration::ZERO, caught_up: true };
         }
         let Some(progress) = self.progress.get(&id) else {
-            return Health { silent_for: Duration::ZERO, caught_up: false };
+            return Health { unresponsive_for: Duration::ZERO, caught_up: false };
         };
-        let heard = progress.acked_at.unwrap_or(progress.since);
-        let silent_for = now.saturating_sub(heard);
+        let last_ack = progress.acked_at.unwrap_or(progress.since);
+        let unresponsive_for = now.saturating_sub(last_ack);
         let caught_up = progress.acked_at.is_some() && progress.matched >= self.commit;
-        Health { silent_for, caught_up }
+        Health { unresponsive_for, caught_up }
     }
 }
--- a/src/raft/mod.rs
+++ b/src/raft/mod.rs
@@ -25,14 +25,14 @@
 
 use crate::store::{Command, Store};
 
-pub use self::disk::{BoxedDisk, FolderDisk, PatientDisk, TimedDisk};
+pub use self::disk::{BoxedDisk, FolderDisk, RetryingDisk, TimedDisk};
 pub use self::log::Log;
-pub use self::membership::{Health, Upkeep};
+pub use self::membership::{Health, MembershipRules};
 pub use self::message::{AppendResult, Body, Envelope};
 pub use self::node::Node;
 pub use self::ready::{NotLeader, Ready, Role, Timing, Write};
-pub use self::replica::{Answered, Replica, fresh_store};
-pub use self::wal::{Disk, Recovered, Tail, Wal, WalError};
+pub use self::replica::{AppliedCommand, Replica, random_store_id};
+pub use self::wal::{Disk, Recovered, TailPolicy, Wal, WalError};
 
 /// Monotonic time since the start of the process.
 pub type Time = Duration;
@@ -60,7 +60,7 @@
 /// Whether a member counts towards a quorum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Standing {
+pub enum MemberKind {
     /// Votes and counts.
     Voter,
     /// Receives the log, but neither votes nor counts until it has caught up.
@@ -75,7 +75,8 @@
     /// Where it takes calls.
     pub addr: SocketAddr,
     /// Whether it counts.
-    pub standing: Standing,
+    #[serde(rename = "standing")]
+    pub kind: MemberKind,
 }
 
 /// The members of a group.
@@ -90,7 +91,7 @@
 
     /// The members that count.
     pub fn voters(&self) -> impl Iterator<Item = StoreId> + '_ {
-        self.0.iter().filter(|member| member.standing == Standing::Voter).map(|member| member.id)
+        self.0.iter().filter(|member| member.kind == MemberKind::Voter).map(|member| member.id)
     }
 
     /// Voters needed for a decision.
@@ -104,12 +105,12 @@
     /// then it becomes a voter. Each step changes at most one voter, so quorums always overlap.
     pub fn next_step(&self, id: StoreId, addr: SocketAddr, caught_up: bool) -> Option<Members> {
         let mut next = self.clone();
-        let Some(standing) = self.get(id).map(|member| member.standing) else {
-            next.0.retain(|member| member.addr != addr || member.standing == Standing::Voter);
-            next.0.push(Member { id, addr, standing: Standing::Learner });
+        let Some(kind) = self.get(id).map(|member| member.kind) else {
+            next.0.retain(|member| member.addr != addr || member.kind == MemberKind::Voter);
+            next.0.push(Member { id, addr, kind: MemberKind::Learner });
             return Some(next);
         };
-        if standing == Standing::Voter || !caught_up {
+        if kind == MemberKind::Voter || !caught_up {
             return None;
         }
         let replaced = |member: &Member| member.addr == addr && member.id != id;
@@ -119,7 +120,7 @@
         }
         for member in &mut next.0 {
             if member.id == id {
-                member.standing = Standing::Voter;
+                member.kind = MemberKind::Voter;
             }
         }
         Some(next)
--- a/src/raft/node.rs
+++ b/src/raft/node.rs
@@ -6,8 +6,8 @@
 use rand::rngs::SmallRng;
 
 use super::{
-    AppendResult, Body, Entry, Envelope, GroupId, HardState, Index, Log, Members, NotLeader,
-    Payload, Position, Ready, Role, Snapshot, StoreId, Term, Time, Timing, Upkeep, Write,
+    AppendResult, Body, Entry, Envelope, GroupId, HardState, Index, Log, Members, MembershipRules,
+    NotLeader, Payload, Position, Ready, Role, Snapshot, StoreId, Term, Time, Timing, Write,
 };
 
 /// What a leader knows of another member.
@@ -38,8 +38,8 @@
     pub(super) role: Role,
     pub(super) leader: Option<StoreId>,
     pub(super) commit: Index,
-    /// Last entry handed out as committed.
-    pub(super) handed: Index,
+    /// Last entry delivered out as committed.
+    pub(super) delivered: Index,
     pub(super) votes: BTreeSet<StoreId>,
     pub(super) progress: BTreeMap<StoreId, Progress>,
     /// First index of the leader's own term.
@@ -50,11 +50,11 @@
     pub(super) heartbeat_at: Time,
     pub(super) campaign_at: Time,
     /// When a leader was last heard; at the start taken as just now, for a vote may be forgotten.
-    pub(super) heard_at: Time,
+    pub(super) leader_contact_at: Time,
     /// Time of the newest input.
     pub(super) now: Time,
     /// Keeps the number of voters up by itself, where set.
-    pub(super) upkeep: Option<Upkeep>,
+    pub(super) membership_rules: Option<MembershipRules>,
     pub(super) ready: Ready,
 }
 
@@ -78,7 +78,7 @@
             role: Role::Follower,
             leader: None,
             commit,
-            handed: commit,
+            delivered: commit,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
             term_start: 0,
@@ -86,9 +86,9 @@
             rounds: VecDeque::new(),
             heartbeat_at: now,
             campaign_at: now,
-            heard_at: now,
+            leader_contact_at: now,
             now,
-            upkeep: None,
+            membership_rules: None,
             ready: Ready::default(),
         };
         node.reset_campaign(now);
@@ -96,7 +96,7 @@
     }
 
     /// Learns from its own disk that the entries up to `commit` are committed.
-    pub(super) fn know_committed(&mut self, commit: Index) {
+    pub(super) fn restore_commit(&mut self, commit: Index) {
         self.commit = self.commit.max(commit.min(self.log.last().index));
     }
 
@@ -137,13 +137,13 @@
 
     /// Takes out what is to be done.
     pub fn take_ready(&mut self) -> Ready {
-        for entry in self.log.from(self.handed + 1) {
+        for entry in self.log.from(self.delivered + 1) {
             if entry.index > self.commit {
                 break;
             }
             self.ready.committed.push(entry.clone());
         }
-        self.handed = self.handed.max(self.commit);
+        self.delivered = self.delivered.max(self.commit);
         std::mem::take(&mut self.ready)
     }
 
@@ -170,18 +170,18 @@
         match self.role {
             Role::Leader if self.commit < self.term_start => None,
             Role::Leader => Some(self.quorum_acked(now)? + self.timing.lease()),
-            _ => self.leader.map(|_| self.heard_at + self.timing.election_min),
+            _ => self.leader.map(|_| self.leader_contact_at + self.timing.election_min),
         }
     }
 
     /// Since when this member leads.
     pub fn leading_since(&self) -> Option<Time> {
-        (self.role == Role::Leader).then_some(self.heard_at)
+        (self.role == Role::Leader).then_some(self.leader_contact_at)
     }
 
     /// Whether the leader heard `id` within an election period, and the last index on its disk.
-    pub fn heard(&self, now: Time, id: StoreId) -> (bool, Index) {
-        (self.recently_heard(now, id), self.matched(id))
+    pub fn follower_progress(&self, now: Time, id: StoreId) -> (bool, Index) {
+        (self.recently_acked(now, id), self.matched(id))
     }
 
     /// When time must pass next, by [`Node::tick`], unless an input comes first.
@@ -195,7 +195,7 @@
         if self.role == Role::Leader {
             self.check_quorum(now);
             if self.role == Role::Leader && now >= self.heartbeat_at {
-                self.maintain(now);
+                self.maintain_members(now);
                 self.broadcast(now);
             }
         } else if now >= self.campaign_at {
@@ -213,7 +213,7 @@
             return Err(NotLeader { leader: self.leader });
         }
         let position = self.append(payload);
-        self.send_news(now);
+        self.send_new_entries(now);
         self.advance_commit();
         Ok(position)
     }
@@ -221,12 +221,12 @@
     /// Proposes the next step of bringing a newcomer in, if one can be taken now.
     pub fn admit(&mut self, now: Time, id: StoreId, addr: std::net::SocketAddr) {
         let (members, changed_at) = self.log.members();
-        let settled = self.commit >= changed_at && self.commit >= self.term_start;
-        if self.role != Role::Leader || !settled {
+        let confirmed = self.commit >= changed_at && self.commit >= self.term_start;
+        if self.role != Role::Leader || !confirmed {
             return;
         }
         let occupant = members.0.iter().find(|member| member.addr == addr && member.id != id);
-        if occupant.is_some_and(|member| self.recently_heard(now, member.id)) {
+        if occupant.is_some_and(|member| self.recently_acked(now, member.id)) {
             return;
         }
         let progress = self.progress.get(&id);
@@ -290,7 +290,7 @@
         match &message.body {
             Body::PreVote { .. } => return true,
             Body::PreVoteReply { granted: true } => return message.term == self.hard.term + 1,
-            Body::Vote { .. } if message.term > self.hard.term && self.hears_leader(now) => {
+            Body::Vote { .. } if message.term > self.hard.term && self.has_leader_contact(now) => {
                 return false;
             }
             _ => {}
@@ -324,7 +324,7 @@
     pub(super) fn become_leader(&mut self, now: Time) {
         self.role = Role::Leader;
         self.leader = Some(self.id);
-        self.heard_at = now;
+        self.leader_contact_at = now;
         self.rounds.clear();
         self.progress.clear();
         self.term_start = self.append(Payload::Noop).index;
@@ -346,7 +346,7 @@
     pub(super) fn follow(&mut self, now: Time, leader: StoreId) {
         self.role = Role::Follower;
         self.leader = Some(leader);
-        self.heard_at = now;
+        self.leader_contact_at = now;
         self.reset_campaign(now);
     }
 
--- a/src/raft/replica.rs
+++ b/src/raft/replica.rs
@@ -3,14 +3,14 @@
 use std::net::SocketAddr;
 
 use super::{
-    Disk, Envelope, GroupId, Index, Members, Node, NotLeader, Payload, Position, StoreId, Tail,
-    Time, Timing, Upkeep, Wal, WalError,
+    Disk, Envelope, GroupId, Index, Members, MembershipRules, Node, NotLeader, Payload, Position,
+    StoreId, TailPolicy, Time, Timing, Wal, WalError,
 };
 use crate::store::{Answer, Command, Store};
 
 /// A committed command and its answer.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answered {
+pub struct AppliedCommand {
     /// Where in the log the command stands.
     pub at: Position,
     /// The store's answer.
@@ -26,14 +26,14 @@
     store: Store,
     applied: Position,
     compact_after: usize,
-    /// Commit index last noted beside the log.
-    noted: Index,
+    /// Commit index last hinted_commit beside the log.
+    hinted_commit: Index,
     /// Commit index that is surely on disk.
-    remembered: Index,
+    persisted_commit: Index,
 }
 
 impl<D: Disk> Replica<D> {
-    /// Recovers a member from its disk, or starts a blank one under the identity `fresh`.
+    /// Recovers a member from its disk, or starts a blank one under the identity `new_id`.
     ///
     /// The log is cut to a snapshot each time it has `compact_after` applied entries.
     ///
@@ -41,13 +41,13 @@
     /// [`WalError`] when the log can't be read.
     pub fn open(
         disk: D,
-        fresh: StoreId,
+        new_id: StoreId,
         timing: Timing,
         compact_after: usize,
         now: Time,
         seed: u64,
     ) -> Result<Self, WalError> {
-        Self::open_with(disk, Tail::Strict, fresh, timing, compact_after, now, seed)
+        Self::open_with(disk, TailPolicy::Strict, new_id, timing, compact_after, now, seed)
     }
 
     /// The same, with a rule for a damaged tail of the log.
@@ -56,21 +56,29 @@
     /// [`WalError`] when the log can't be read.
     pub fn open_with(
         disk: D,
-        tail: Tail,
-        fresh: StoreId,
+        tail: TailPolicy,
+        new_id: StoreId,
         timing: Timing,
         compact_after: usize,
         now: Time,
         seed: u64,
     ) -> Result<Self, WalError> {
-        let (wal, recovered) = Wal::open(disk, tail, fresh)?;
+        let (wal, recovered) = Wal::open(disk, tail, new_id)?;
         let snapshot = recovered.log.snapshot();
         let store = snapshot.store.clone();
         let applied = snapshot.at;
         let commit = recovered.commit;
         let mut node = Node::new(recovered.store, timing, recovered.hard, recovered.log, now, seed);
-        node.know_committed(commit);
-        Ok(Replica { node, wal, store, applied, compact_after, noted: commit, remembered: commit })
+        node.restore_commit(commit);
+        Ok(Replica {
+            node,
+            wal,
+            store,
+            applied,
+            compact_after,
+            hinted_commit: commit,
+            persisted_commit: commit,
+        })
     }
 
     /// Format of the log's file.
@@ -104,8 +112,8 @@
     }
 
     /// Lets the group keep its number of voters up by itself.
-    pub fn keep_up(&mut self, upkeep: Upkeep) {
-        self.node.keep_up(upkeep);
+    pub fn set_membership_rules(&mut self, rules: MembershipRules) {
+        self.node.set_membership_rules(rules);
     }
 
     /// Takes a store in as a learner, if this member leads.
@@ -142,7 +150,7 @@
     ///
     /// # Errors
     /// [`WalError`] when the disk fails; the member must stop, and nothing may leave.
-    pub fn flush(&mut self) -> Result<(Vec<Envelope>, Vec<Answered>), WalError> {
+    pub fn flush(&mut self) -> Result<(Vec<Envelope>, Vec<AppliedCommand>), WalError> {
         let ready = self.node.take_ready();
         self.wal.write(&ready.writes, self.node.hard(), self.node.log())?;
         if let Some(snapshot) = ready.restore {
@@ -154,13 +162,13 @@
             let at = Position { term: entry.term, index: entry.index };
             if let Payload::Command(command) = entry.payload {
                 let answer = self.store.apply(entry.index, command);
-                answers.push(Answered { at, answer });
+                answers.push(AppliedCommand { at, answer });
             }
             self.applied = at;
         }
-        if self.applied.index > self.noted {
-            self.noted = self.applied.index;
-            self.wal.note_commit(self.noted);
+        if self.applied.index > self.hinted_commit {
+            self.hinted_commit = self.applied.index;
+            self.wal.write_commit_hint(self.hinted_commit);
         }
         self.compact()?;
         Ok((ready.messages, answers))
@@ -172,10 +180,10 @@
     ///
     /// # Errors
     /// [`WalError`] when the disk fails; the member must stop.
-    pub fn remember_commit(&mut self) -> Result<(), WalError> {
-        if self.applied.index > self.remembered {
-            self.remembered = self.applied.index;
-            self.wal.write_commit(self.remembered)?;
+    pub fn persist_commit(&mut self) -> Result<(), WalError> {
+        if self.applied.index > self.persisted_commit {
+            self.persisted_commit = self.applied.index;
+            self.wal.write_commit(self.persisted_commit)?;
         }
         Ok(())
     }
@@ -192,6 +200,6 @@
 }
 
 /// Draws an identity for an empty disk.
-pub fn fresh_store() -> StoreId {
+pub fn random_store_id() -> StoreId {
     StoreId(rand::random())
 }
--- a/src/raft/wal.rs
+++ b/src/raft/wal.rs
@@ -105,7 +105,7 @@
 
 /// What to make of a last record that is damaged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Tail {
+pub enum TailPolicy {
     /// Cut it off only if it was plainly cut short; else stop the member.
     Strict,
     /// Cut it off whenever nothing sound follows: for disks that never damage what was synced, so
@@ -136,20 +136,24 @@
 }
 
 impl<D: Disk> Wal<D> {
-    /// Opens the log, or starts one under the identity `fresh` on an empty disk.
+    /// Opens the log, or starts one under the identity `new_id` on an empty disk.
     ///
     /// A torn tail, which no one was told of, is cut off.
     ///
     /// # Errors
     /// [`WalError`] when the disk fails or a record below the tail is damaged.
-    pub fn open(mut disk: D, tail: Tail, fresh: StoreId) -> Result<(Self, Recovered), WalError> {
-        let bytes = disk.read().map_err(failed("read"))?.unwrap_or_default();
+    pub fn open(
+        mut disk: D,
+        tail: TailPolicy,
+        new_id: StoreId,
+    ) -> Result<(Self, Recovered), WalError> {
+        let bytes = disk.read().map_err(disk_error("read"))?.unwrap_or_default();
         if bytes.is_empty() {
-            return Self::start(disk, fresh);
+            return Self::start(disk, new_id);
         }
-        let (records, end) = decode(&bytes, tail, format(&bytes)?)?;
+        let (records, end) = decode(&bytes, tail, file_format(&bytes)?)?;
         if end < bytes.len() {
-            disk.truncate(end).map_err(failed("cut"))?;
+            disk.truncate(end).map_err(disk_error("cut"))?;
         }
         let mut recovered = replay(records)?;
         let hint = disk.read_hint().and_then(|hint| decode_hint(&hint)).unwrap_or(0);
@@ -182,8 +186,8 @@
         if writes.is_empty() {
             return Ok(());
         }
-        let outgrown = self.format == FORMAT_BASE && writes.iter().any(Write::above_base);
-        if outgrown || writes.iter().any(|write| matches!(write, Write::Snapshot(_))) {
+        let needs_levels = self.format == FORMAT_BASE && writes.iter().any(Write::above_base);
+        if needs_levels || writes.iter().any(|write| matches!(write, Write::Snapshot(_))) {
             return self.rewrite(hard, log);
         }
         let mut records: Vec<Record> = writes.iter().map(Record::from).collect();
@@ -197,13 +201,13 @@
         };
         let mut bytes = Vec::new();
         encode(&mut bytes, &record);
-        self.disk.append(&bytes).map_err(failed("written"))?;
-        self.disk.sync().map_err(failed("synced"))
+        self.disk.append(&bytes).map_err(disk_error("written"))?;
+        self.disk.sync().map_err(disk_error("synced"))
     }
 
     /// Notes beside the log up to where it is committed, so that a member knows so much at its next
     /// start without asking the others. The note may be lost; it is never ahead of the log.
-    pub fn note_commit(&mut self, commit: Index) {
+    pub fn write_commit_hint(&mut self, commit: Index) {
         let mut bytes = commit.to_le_bytes().to_vec();
         bytes.extend(crc32fast::hash(&bytes).to_le_bytes());
         self.disk.write_hint(&bytes);
@@ -217,8 +221,8 @@
     pub fn write_commit(&mut self, commit: Index) -> Result<(), WalError> {
         let mut bytes = Vec::new();
         encode(&mut bytes, &Record::Commit(commit));
-        self.disk.append(&bytes).map_err(failed("written"))?;
-        self.disk.sync().map_err(failed("synced"))
+        self.disk.append(&bytes).map_err(disk_error("written"))?;
+        self.disk.sync().map_err(disk_error("synced"))
     }
 
     fn rewrite(&mut self, hard: HardState, log: &Log) -> Result<(), WalError> {
@@ -231,7 +235,7 @@
         for entry in log.from(0) {
             encode(&mut bytes, &Record::Append(entry.clone()));
         }
-        self.disk.replace(&bytes).map_err(failed("replaced"))?;
+        self.disk.replace(&bytes).map_err(disk_error("replaced"))?;
         self.format = format;
         Ok(())
     }
@@ -258,7 +262,7 @@
     }
 }
 
-fn failed(action: &'static str) -> impl Fn(io::Error) -> WalError {
+fn disk_error(action: &'static str) -> impl Fn(io::Error) -> WalError {
     move |source| WalError::Disk { action, source }
 }
 
@@ -275,13 +279,15 @@
 
 fn decode_hint(hint: &[u8]) -> Option<Index> {
     let (commit, check) = hint.split_at_checked(size_of::<Index>())?;
-    let sound = crc32fast::hash(commit).to_le_bytes() == check;
-    sound.then(|| Index::from_le_bytes(commit.try_into().expect("split at its size")))
+    let valid = crc32fast::hash(commit).to_le_bytes() == check;
+    valid.then(|| {
+        Index::from_le_bytes(commit.try_into().expect("the length was checked by split_at_checked"))
+    })
 }
 
 /// Format of a file, by its first record; of one that was cut short in it, the first.
-fn format(bytes: &[u8]) -> Result<u32, WalError> {
-    let found = match split(bytes).map(postcard::from_bytes::<Record>) {
+fn file_format(bytes: &[u8]) -> Result<u32, WalError> {
+    let found = match valid_payload(bytes).map(postcard::from_bytes::<Record>) {
         Some(Ok(Record::Identity { format, .. })) => format,
         Some(_) => return Err(WalError::Damaged { at: 0 }),
         None => FORMAT_BASE,
@@ -300,19 +306,19 @@
 }
 
 /// Reads records up to a torn tail; returns them and where they end.
-fn decode(bytes: &[u8], tail: Tail, format: u32) -> Result<(Vec<Record>, usize), WalError> {
+fn decode(bytes: &[u8], tail: TailPolicy, format: u32) -> Result<(Vec<Record>, usize), WalError> {
     let mut records = Vec::new();
     let mut at = 0;
     while at < bytes.len() {
         let rest = &bytes[at..];
-        match split(rest) {
+        match valid_payload(rest) {
             Some(payload) => {
                 let record = decode_record(payload, format);
                 records.push(record.map_err(|_| WalError::Damaged { at })?);
                 at += HEADER_BYTES + payload.len();
             }
-            None if torn(rest) => break,
-            None if tail == Tail::Unsynced && !sound_record_follows(rest) => break,
+            None if is_cut_short(rest) => break,
+            None if tail == TailPolicy::Unsynced && !valid_record_follows(rest) => break,
             None => return Err(WalError::Damaged { at }),
         }
     }
@@ -320,25 +326,25 @@
 }
 
 /// Whether a sound record begins anywhere behind the first byte.
-fn sound_record_follows(rest: &[u8]) -> bool {
-    (1..rest.len()).any(|at| split(&rest[at..]).is_some_and(|payload| !payload.is_empty()))
+fn valid_record_follows(rest: &[u8]) -> bool {
+    (1..rest.len()).any(|at| valid_payload(&rest[at..]).is_some_and(|payload| !payload.is_empty()))
 }
 
-/// The payload of the record that `rest` begins with, if it is whole and sound.
-fn split(rest: &[u8]) -> Option<&[u8]> {
+/// The payload of the record that `rest` begins with, if it is whole and valid.
+fn valid_payload(rest: &[u8]) -> Option<&[u8]> {
     let (len, check) = header(rest)?;
     let payload = rest.get(HEADER_BYTES..HEADER_BYTES + len)?;
     (crc32fast::hash(payload) == check).then_some(payload)
 }
 
-/// Length and checksum of the payload, if the header is whole and sound.
+/// Length and checksum of the payload, if the header is whole and valid.
 fn header(rest: &[u8]) -> Option<(usize, u32)> {
-    let word = |at: usize| -> Option<u32> {
+    let u32_at = |at: usize| -> Option<u32> {
         let bytes = rest.get(at..at + 4)?;
         Some(u32::from_le_bytes(bytes.try_into().ok()?))
     };
-    let sound = crc32fast::hash(rest.get(..8)?) == word(8)?;
-    sound.then_some((word(0)? as usize, word(4)?))
+    let valid = crc32fast::hash(rest.get(..8)?) == u32_at(8)?;
+    valid.then_some((u32_at(0)? as usize, u32_at(4)?))
 }
 
 /// Whether `rest` is an append cut short, rather than an acknowledged record gone bad: the file ends
@@ -346,7 +352,7 @@
 ///
 /// A record written only in parts reads as damage: that stops a member without need, but never
 /// drops what was acknowledged.
-fn torn(rest: &[u8]) -> bool {
+fn is_cut_short(rest: &[u8]) -> bool {
     if rest.len() < HEADER_BYTES {
         return true;
     }
@@ -363,7 +369,7 @@
     };
     let mut recovered = Recovered { format, ..Recovered::blank(store) };
     for record in records {
-        recovered.take(record)?;
+        recovered.apply(record)?;
     }
     Ok(recovered)
 }
@@ -374,7 +380,7 @@
         Recovered { store, hard, log, commit: 0, format: FORMAT_BASE }
     }
 
-    fn take(&mut self, record: Record) -> Result<(), WalError> {
+    fn apply(&mut self, record: Record) -> Result<(), WalError> {
         match record {
             Record::Identity { .. } => return Err(WalError::Damaged { at: 0 }),
             Record::Hard(hard) => self.hard = hard,
@@ -384,7 +390,7 @@
             Record::Commit(index) => self.commit = self.commit.max(index),
             Record::Batch(records) => {
                 for record in records {
-                    self.take(record)?;
+                    self.apply(record)?;
                 }
             }
         }
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -15,7 +15,7 @@
 use crate::claims::{Claim, Release, Verdict};
 use crate::jsonc::Fault;
 use crate::raft::{Envelope, GroupId, Member, StoreId, Term};
-use crate::store::{Answer, Delta, Drain, Moving, Revision, Stored};
+use crate::store::{Answer, Delta, Drain, Moving, Revision, StoredTemplate};
 use crate::targets::Listed;
 
 /// Largest call or answer, in bytes: a snapshot of 1,000 large templates fits.
@@ -202,7 +202,7 @@
 
     /// Every template in force.
     #[method(name = "templates")]
-    async fn templates(&self, token: String) -> Result<Vec<Stored>, ErrorObjectOwned>;
+    async fn templates(&self, token: String) -> Result<Vec<StoredTemplate>, ErrorObjectOwned>;
 
     /// Wait until `revision` is in force at every live router, at most `timeout_ms`.
     #[method(name = "wait")]
--- a/src/store/command.rs
+++ b/src/store/command.rs
@@ -33,7 +33,7 @@
     /// An operator sends a whole configuration.
     Configure(PackedDocument),
     /// Targets announce something new.
-    Announce(Vec<Sight>),
+    Announce(Vec<NewAnnouncement>),
     /// A target leaves for good, in the start that it names; in whichever it is where it names none.
     Remove(Incarnation),
     /// Targets have not been heard for long.
@@ -81,7 +81,7 @@
 
 /// Something new that a target announces.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Sight {
+pub struct NewAnnouncement {
     /// What it says.
     pub announcement: Announcement,
     /// Whether it gets a home now, rather than wait for one that somebody leaves.
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -20,14 +20,14 @@
 use crate::rollout::Rollouts;
 use crate::template::Template;
 
-pub use self::command::{Answer, Change, Command, Drain, Move, Moving, Sight};
+pub use self::command::{Answer, Change, Command, Drain, Move, Moving, NewAnnouncement};
 pub use self::config::{Config, Delta};
 pub(crate) use self::saved::Format5 as StoreFormat5;
 
 /// Versions kept for each template.
-pub const HISTORY_LEN: usize = 50;
+pub const MAX_HISTORY_VERSIONS: usize = 50;
 /// First answers kept; at 2,400 changes a day this covers four days of resends.
-pub const ANSWERS_LEN: usize = 10_000;
+pub const MAX_SAVED_ANSWERS: usize = 10_000;
 /// Most templates of a partner.
 pub const MAX_TEMPLATES: usize = 1_000;
 
@@ -36,14 +36,14 @@
 
 /// A template in force.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Stored {
+pub struct StoredTemplate {
     /// Counts from 1 with each accepted change.
     pub version: u64,
     /// Revision that brought this version.
     pub revision: Revision,
     /// The content.
     pub template: Template,
-    /// Past and present versions, oldest first, at most [`HISTORY_LEN`].
+    /// Past and present versions, oldest first, at most [`MAX_HISTORY_VERSIONS`].
     pub history: VecDeque<Version>,
 }
 
@@ -73,7 +73,7 @@
 pub struct Store {
     level: Level,
     revision: Revision,
-    templates: BTreeMap<String, Stored>,
+    templates: BTreeMap<String, StoredTemplate>,
     drains: BTreeSet<String>,
     moving: BTreeMap<String, Moving>,
     /// Revision that last changed `drains` or `moving`.
@@ -99,7 +99,7 @@
     }
 
     /// Every template, by name.
-    pub fn templates(&self) -> &BTreeMap<String, Stored> {
+    pub fn templates(&self) -> &BTreeMap<String, StoredTemplate> {
         &self.templates
     }
 
@@ -152,7 +152,7 @@
             }
             Command::Configure(packed) => self.apply_document(index, &packed),
             Command::Announce(sights) => {
-                for Sight { announcement, at_once } in sights {
+                for NewAnnouncement { announcement, at_once } in sights {
                     let target = announcement.incarnation();
                     self.directory.announce(index, announcement);
                     if at_once {
@@ -305,7 +305,7 @@
 
     fn put(&mut self, index: u64, change: Change) {
         let name = change.template.name.clone();
-        let stored = self.templates.entry(name).or_insert_with(|| Stored {
+        let stored = self.templates.entry(name).or_insert_with(|| StoredTemplate {
             version: 0,
             revision: 0,
             template: Template::default(),
@@ -321,7 +321,7 @@
             change: change.id,
             template: change.template,
         });
-        if stored.history.len() > HISTORY_LEN {
+        if stored.history.len() > MAX_HISTORY_VERSIONS {
             stored.history.pop_front();
         }
         self.revision = index;
@@ -331,7 +331,7 @@
         let id = change.id.clone();
         self.answers.insert(id.clone(), FirstAnswer { change, answer });
         self.answer_order.push_back(id);
-        if self.answer_order.len() > ANSWERS_LEN
+        if self.answer_order.len() > MAX_SAVED_ANSWERS
             && let Some(oldest) = self.answer_order.pop_front()
         {
             self.answers.remove(&oldest);
--- a/src/store/saved.rs
+++ b/src/store/saved.rs
@@ -9,7 +9,7 @@
 use serde::ser::{Error as _, SerializeTuple};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use super::{Document, FirstAnswer, Moving, Revision, Store, Stored};
+use super::{Document, FirstAnswer, Moving, Revision, Store, StoredTemplate};
 use crate::claims::Claims;
 use crate::compat::base;
 use crate::directory::{Directory, Saved as SavedDirectory};
@@ -18,14 +18,14 @@
 use crate::rollout::Rollouts;
 
 /// Stands in place of the revision where a level and a store of that level follow.
-const LEVEL_FOLLOWS: Revision = Revision::MAX;
+const LEVEL_MARKER: Revision = Revision::MAX;
 /// Most elements of a saved store.
-const ELEMENTS: usize = 8;
+const MAX_ELEMENTS: usize = 8;
 
 /// What is alike in every form, but for the revision, which comes first.
 #[derive(Serialize, Deserialize)]
-struct Rest<'a> {
-    templates: Cow<'a, BTreeMap<String, Stored>>,
+struct CommonFields<'a> {
+    templates: Cow<'a, BTreeMap<String, StoredTemplate>>,
     drains: Cow<'a, BTreeSet<String>>,
     moving: Cow<'a, BTreeMap<String, Moving>>,
     closed_revision: Revision,
@@ -37,16 +37,16 @@
 
 /// A store at the base level, with its fields by name.
 #[derive(Serialize, Deserialize)]
-struct Named<'a> {
+struct BaseFields<'a> {
     revision: Revision,
     #[serde(flatten)]
-    rest: Rest<'a>,
+    common: CommonFields<'a>,
     directory: base::Directory,
 }
 
 /// A store of [`Level::STARTS`] and above, behind what is alike.
 #[derive(Serialize, Deserialize)]
-struct Starts<'a> {
+struct StartsFields<'a> {
     directory: Cow<'a, Directory>,
     evacuations: Cow<'a, Evacuations>,
     rollouts: Cow<'a, Rollouts>,
@@ -62,7 +62,7 @@
 #[derive(Deserialize)]
 struct Format5Fields {
     revision: Revision,
-    rest: Rest<'static>,
+    common: CommonFields<'static>,
     directory: Directory,
     evacuations: Evacuations,
     rollouts: Rollouts,
@@ -70,15 +70,15 @@
 
 impl From<Format5Fields> for Format5 {
     fn from(fields: Format5Fields) -> Self {
-        let Format5Fields { revision, rest, directory, evacuations, rollouts } = fields;
-        let store = rest.into_store(revision, Level::STARTS, directory);
+        let Format5Fields { revision, common, directory, evacuations, rollouts } = fields;
+        let store = common.into_store(revision, Level::STARTS, directory);
         Format5(Store { evacuations, rollouts, ..store })
     }
 }
 
-impl<'a> Rest<'a> {
+impl<'a> CommonFields<'a> {
     fn of(store: &'a Store) -> Self {
-        Rest {
+        CommonFields {
             templates: Cow::Borrowed(&store.templates),
             drains: Cow::Borrowed(&store.drains),
             moving: Cow::Borrowed(&store.moving),
@@ -119,28 +119,28 @@
 
 impl Serialize for Store {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let rest = Rest::of(self);
+        let common = CommonFields::of(self);
         if self.level == Level::BASE {
             let (revision, directory) = (self.revision, base_directory(self));
             return match serializer.is_human_readable() {
-                true => Named { revision, rest, directory }.serialize(serializer),
-                false => (revision, rest, directory).serialize(serializer),
+                true => BaseFields { revision, common, directory }.serialize(serializer),
+                false => (revision, common, directory).serialize(serializer),
             };
         }
         if serializer.is_human_readable() {
             return Err(S::Error::custom("a store above the base level has no text form"));
         }
-        let starts = Starts {
+        let starts = StartsFields {
             directory: Cow::Borrowed(&self.directory),
             evacuations: Cow::Borrowed(&self.evacuations),
             rollouts: Cow::Borrowed(&self.rollouts),
             undated: self.directory.undated(),
         };
-        let mut tuple = serializer.serialize_tuple(ELEMENTS)?;
-        tuple.serialize_element(&LEVEL_FOLLOWS)?;
+        let mut tuple = serializer.serialize_tuple(MAX_ELEMENTS)?;
+        tuple.serialize_element(&LEVEL_MARKER)?;
         tuple.serialize_element(&self.level)?;
         tuple.serialize_element(&self.revision)?;
-        tuple.serialize_element(&rest)?;
+        tuple.serialize_element(&common)?;
         tuple.serialize_element(&starts)?;
         tuple.end()
     }
@@ -149,10 +149,11 @@
 impl<'de> Deserialize<'de> for Store {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         if deserializer.is_human_readable() {
-            let Named { revision, rest, directory: saved } = Named::deserialize(deserializer)?;
-            return Ok(rest.into_store(revision, Level::BASE, directory(saved)));
+            let BaseFields { revision, common, directory: saved } =
+                BaseFields::deserialize(deserializer)?;
+            return Ok(common.into_store(revision, Level::BASE, directory(saved)));
         }
-        deserializer.deserialize_tuple(ELEMENTS, StoreVisitor)
+        deserializer.deserialize_tuple(MAX_ELEMENTS, StoreVisitor)
     }
 }
 
@@ -167,10 +168,10 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Store, A::Error> {
         let first: Revision = next(&mut seq)?;
-        if first != LEVEL_FOLLOWS {
-            let rest: Rest<'static> = next(&mut seq)?;
+        if first != LEVEL_MARKER {
+            let common: CommonFields<'static> = next(&mut seq)?;
             let saved: base::Directory = next(&mut seq)?;
-            return Ok(rest.into_store(first, Level::BASE, directory(saved)));
+            return Ok(common.into_store(first, Level::BASE, directory(saved)));
         }
         let level: Level = next(&mut seq)?;
         if level > Level::NEWEST {
@@ -179,10 +180,10 @@
             return Err(A::Error::custom(why));
         }
         let revision: Revision = next(&mut seq)?;
-        let rest: Rest<'static> = next(&mut seq)?;
-        let starts: Starts<'static> = next(&mut seq)?;
+        let common: CommonFields<'static> = next(&mut seq)?;
+        let starts: StartsFields<'static> = next(&mut seq)?;
         let directory = starts.directory.into_owned().with_undated(starts.undated);
-        let store = rest.into_store(revision, level, directory);
+        let store = common.into_store(revision, level, directory);
         let evacuations = starts.evacuations.into_owned();
         Ok(Store { evacuations, rollouts: starts.rollouts.into_owned(), ..store })
     }
--- a/tests/agreement/group.rs
+++ b/tests/agreement/group.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use latchmount::raft::{
-    Envelope, GroupId, Member, Members, Position, Replica, Role, Standing, StoreId, Term, Timing,
-    Upkeep,
+    Envelope, GroupId, Member, MemberKind, Members, MembershipRules, Position, Replica, Role,
+    StoreId, Term, Timing,
 };
 use latchmount::store::{Answer, Change, Command, Store};
 use latchmount::template::{Team, Template};
@@ -30,11 +30,11 @@
 const UPKEEP_VOTERS: usize = 3;
 
 /// Rules of a group that keeps its number of voters up by itself.
-fn upkeep() -> Upkeep {
-    Upkeep {
+fn upkeep() -> MembershipRules {
+    MembershipRules {
         voters: UPKEEP_VOTERS,
-        silence: Duration::from_millis(900),
-        forget: Duration::from_secs(5),
+        unresponsive_after: Duration::from_millis(900),
+        remove_after: Duration::from_secs(5),
     }
 }
 
@@ -102,7 +102,7 @@
     orders: Orders,
     leaders: BTreeMap<Term, StoreId>,
     /// Rules by which the group keeps its number of voters up by itself, if it does.
-    rules: Option<Upkeep>,
+    rules: Option<MembershipRules>,
 }
 
 impl Group {
@@ -115,7 +115,7 @@
         Self::with(seed, Some(upkeep()))
     }
 
-    fn with(seed: u64, rules: Option<Upkeep>) -> Self {
+    fn with(seed: u64, rules: Option<MembershipRules>) -> Self {
         let mut group = Group {
             rules,
             hosts: Vec::new(),
@@ -147,8 +147,7 @@
             });
             group.start(number);
         }
-        let member =
-            |host: &Host| Member { id: host.id, addr: host.addr, standing: Standing::Voter };
+        let member = |host: &Host| Member { id: host.id, addr: host.addr, kind: MemberKind::Voter };
         let founders = if rules.is_some() { UPKEEP_VOTERS } else { MEMBERS };
         let members = Members(group.hosts.iter().take(founders).map(member).collect());
         // Members that found by themselves all found the same group.
@@ -184,7 +183,7 @@
         let opened = Replica::open(disk, fresh, timing(), COMPACT_AFTER, Duration::ZERO, seed);
         let mut replica = opened.unwrap_or_else(|error| panic!("member {number}: {error}"));
         if let Some(rules) = self.rules {
-            replica.keep_up(rules);
+            replica.set_membership_rules(rules);
         }
         host.id = replica.node().id();
         host.replica = Some(replica);
@@ -437,7 +436,7 @@
     fn flush(&mut self, number: usize) {
         let (messages, answers) = self.replica(number).flush().expect("a sound disk");
         if self.rng.random_bool(0.2) {
-            self.replica(number).remember_commit().expect("a sound disk");
+            self.replica(number).persist_commit().expect("a sound disk");
         }
         for message in messages {
             let copies = match self.rng.random_range(0..100) {
--- a/tests/agreement/wal.rs
+++ b/tests/agreement/wal.rs
@@ -4,7 +4,7 @@
 
 use latchmount::level::Level;
 use latchmount::raft::{
-    Disk, GroupId, Member, Members, Replica, Standing, StoreId, Tail, WalError,
+    Disk, GroupId, Member, MemberKind, Members, Replica, StoreId, TailPolicy, WalError,
 };
 use latchmount::store::Command;
 use rstest::rstest;
@@ -23,7 +23,7 @@
     let disk = FakeDisk::default();
     let mut replica = open(&disk).expect("an empty disk");
     let member =
-        Member { id: StoreId(7), addr: ([10, 0, 0, 1], 1).into(), standing: Standing::Voter };
+        Member { id: StoreId(7), addr: ([10, 0, 0, 1], 1).into(), kind: MemberKind::Voter };
     replica.form(GroupId(1), Members(vec![member]));
     replica.flush().expect("a sound disk");
     lead(&mut replica);
@@ -109,7 +109,7 @@
 #[test]
 fn what_was_remembered_as_committed_outlives_a_loss_of_power() {
     let (disk, mut replica) = written(3);
-    replica.remember_commit().expect("a sound disk");
+    replica.persist_commit().expect("a sound disk");
     drop(replica);
     disk.lose_hint();
     let mut replica = open(&disk).expect("a sound disk");
@@ -130,7 +130,7 @@
 /// Opens a log on a disk that never damages what was synced.
 fn open_unsynced(disk: &FakeDisk) -> Result<Replica<FakeDisk>, WalError> {
     let (id, now) = (StoreId(7), Duration::ZERO);
-    Replica::open_with(disk.clone(), Tail::Unsynced, id, timing(), COMPACT_AFTER, now, 1)
+    Replica::open_with(disk.clone(), TailPolicy::Unsynced, id, timing(), COMPACT_AFTER, now, 1)
 }
 
 #[test]
--- a/tests/compat/commands.rs
+++ b/tests/compat/commands.rs
@@ -6,7 +6,7 @@
 use latchmount::evacuations::{EvacuationOrder, WarmAgain};
 use latchmount::level::Level;
 use latchmount::rollout::{RolloutOrder, RolloutStep, Stage};
-use latchmount::store::{Command, Sight};
+use latchmount::store::{Command, NewAnnouncement};
 use proptest::prelude::*;
 
 /// Variants that the first build knows.
@@ -39,7 +39,7 @@
 
 fn command() -> impl Strategy<Value = Command> {
     let sight = (announcement(), any::<bool>())
-        .prop_map(|(announcement, at_once)| Sight { announcement, at_once });
+        .prop_map(|(announcement, at_once)| NewAnnouncement { announcement, at_once });
     let many = || prop::collection::vec(incarnation(), 0..4);
     let order = ("h", any::<bool>(), any::<u64>()).prop_map(|(data_hall, evacuate, after)| {
         Command::Evacuate(EvacuationOrder { data_hall, evacuate, after })
@@ -84,7 +84,7 @@
     fn what_a_group_of_the_base_level_may_hold_of_a_target_the_first_build_can_say(
         announcement in announcement(),
     ) {
-        let sight = Sight { announcement: announcement.at(Level::BASE), at_once: false };
+        let sight = NewAnnouncement { announcement: announcement.at(Level::BASE), at_once: false };
         prop_assert_eq!(Command::Announce(vec![sight]).level(), Level::BASE);
     }
 }
--- a/tests/compat/samples.rs
+++ b/tests/compat/samples.rs
@@ -16,10 +16,11 @@
 };
 use latchmount::level::Level;
 use latchmount::raft::{
-    Body, Entry, Envelope, GroupId, Member, Members, Payload, Position, Snapshot, Standing, StoreId,
+    Body, Entry, Envelope, GroupId, Member, MemberKind, Members, Payload, Position, Snapshot,
+    StoreId,
 };
 use latchmount::rollout::{RolloutNews, RolloutOrder, RolloutStep, Stage};
-use latchmount::store::{Answer, Command, Drain, Sight, Store};
+use latchmount::store::{Answer, Command, Drain, NewAnnouncement, Store};
 
 /// A target that does not tell when it started.
 pub fn target(id: &str) -> Announcement {
@@ -57,8 +58,9 @@
 
 pub fn commands() -> Vec<Command> {
     let document = Document { version: 4, bytes: "{}".into() };
-    let announce =
-        |id, at_once| Command::Announce(vec![Sight { announcement: target(id), at_once }]);
+    let announce = |id, at_once| {
+        Command::Announce(vec![NewAnnouncement { announcement: target(id), at_once }])
+    };
     vec![
         Command::Drain(Drain { name: "host-1".into(), on: true }),
         Command::Configure(document.pack(None).expect("a document")),
@@ -72,7 +74,7 @@
 
 /// Commands that the first build does not know.
 pub fn commands_of_starts() -> Vec<Command> {
-    let sight = |id, born| Sight { announcement: start(id, born), at_once: born > 7 };
+    let sight = |id, born| NewAnnouncement { announcement: start(id, born), at_once: born > 7 };
     let started = |id, born| start(id, born).incarnation();
     let (data_hall, service) = ("hall-a".to_owned(), "s".to_owned());
     let order = RolloutOrder {
@@ -145,8 +147,7 @@
 
 /// Frames to a member, by name.
 pub fn to_member() -> Vec<(&'static str, ToMember)> {
-    let members =
-        Members(vec![Member { id: StoreId(1), addr: member(), standing: Standing::Voter }]);
+    let members = Members(vec![Member { id: StoreId(1), addr: member(), kind: MemberKind::Voter }]);
     let at = Position { term: 5, index: 9 };
     let snapshot = Box::new(Snapshot { at, members, store: store() });
     let call = |call| ToMember::Call { id: 6, call };
--- a/tests/promises/accepted_config.rs
+++ b/tests/promises/accepted_config.rs
@@ -308,7 +308,7 @@
             let status = status(&fleet).await;
             let new = member_at(&status, &fleet, lost);
             let voters = status.members.iter().filter(|status| {
-                status.member.standing == latchmount::raft::Standing::Voter && status.live
+                status.member.kind == latchmount::raft::MemberKind::Voter && status.live
             });
             (new != old && voters.count() == 3 && status.members.len() == 3).then_some(())
         })
