--- a/src/raft/disk.rs
+++ b/src/raft/disk.rs
@@ -1,4 +1,5 @@
-//! Disks that hold a log: a file in a folder, one that waits while it is full, and one that is timed.
+//! Implementations of [`Disk`]: a log file in a folder, a wrapper that retries while the disk is full,
+//! and a wrapper that measures the duration of syncs.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Write as _};
@@ -13,10 +14,10 @@
 const NEW_FILE: &str = "log.new";
 const LOCK_FILE: &str = "lock";
 const HINT_FILE: &str = "commit";
-/// Between two tries to write to a full disk.
+/// Pause between two attempts to write to a full disk.
 const FULL_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A log file in a folder that one process holds.
+/// A log file in a folder that is locked by this process.
 pub struct FolderDisk {
     folder: PathBuf,
     file: Option<File>,
@@ -24,15 +25,15 @@
 }
 
 impl FolderDisk {
-    /// Takes hold of `folder`, made if it is missing.
+    /// Locks `folder`, which is created if it is missing.
     ///
     /// # Errors
-    /// When the folder can't be made or another process holds it.
+    /// When the folder can't be created or can't be locked.
     pub fn open(folder: &Path) -> io::Result<Self> {
         std::fs::create_dir_all(folder)?;
         let lock = File::create(folder.join(LOCK_FILE))?;
         lock.try_lock().map_err(|_| {
-            io::Error::new(io::ErrorKind::ResourceBusy, "another process holds the data folder")
+            io::Error::new(io::ErrorKind::ResourceBusy, "data folder is locked by another process")
         })?;
         Ok(FolderDisk { folder: folder.to_owned(), file: None, _lock: lock })
     }
@@ -81,7 +82,7 @@
     }
 
     fn write_hint(&mut self, bytes: &[u8]) {
-        // A hint that can't be written is one that is missing at the next start.
+        // If the write fails, the hint is missing or outdated at the next start, which is harmless.
         let path = self.folder.join(HINT_FILE);
         let file = OpenOptions::new().write(true).create(true).truncate(false).open(path);
         let _ = file.and_then(|mut file| file.write_all(bytes));
@@ -92,7 +93,7 @@
     }
 }
 
-/// A disk of any kind, owned by the thread of a member.
+/// Any disk, owned by the thread of a member.
 pub type BoxedDisk = Box<dyn Disk + Send>;
 
 impl Disk for BoxedDisk {
@@ -125,20 +126,20 @@
     }
 }
 
-/// A disk that is waited for while it is full.
+/// A disk wrapper that retries writes while the disk is full.
 ///
-/// The member that owns it says nothing meanwhile, so that the others go on without it, and loses
-/// nothing.
+/// The member blocks meanwhile and sends nothing, so the other members go on without it and no data is
+/// lost.
 pub struct RetryingDisk<D> {
     disk: D,
-    /// Length of the file up to the last sync.
+    /// Length of the file at the last sync, in bytes.
     synced: usize,
-    /// What was added since.
+    /// Bytes appended since then.
     unsynced: Vec<u8>,
 }
 
 impl<D: Disk> RetryingDisk<D> {
-    /// Waits for `disk`.
+    /// Wraps `disk`.
     pub fn new(disk: D) -> Self {
         RetryingDisk { disk, synced: 0, unsynced: Vec::new() }
     }
@@ -179,6 +180,7 @@
         self.unsynced.extend(bytes);
         let mut retry = false;
         self.retry_while_full(|retrying| {
+            // The failed attempt may have written a part: cut it off and write all unsynced bytes again.
             if retry {
                 retrying.disk.truncate(retrying.synced)?;
                 return retrying.disk.append(&retrying.unsynced);
@@ -211,14 +213,14 @@
     }
 }
 
-/// A disk whose syncs are timed.
+/// A disk wrapper that records the duration of each sync.
 pub struct TimedDisk<D> {
     disk: D,
     sync_seconds: Histogram,
 }
 
 impl<D: Disk> TimedDisk<D> {
-    /// Times the syncs of `disk`.
+    /// Wraps `disk`; records to `sync_seconds`.
     pub fn new(disk: D, sync_seconds: Histogram) -> Self {
         TimedDisk { disk, sync_seconds }
     }
--- a/src/raft/election.rs
+++ b/src/raft/election.rs
@@ -1,4 +1,5 @@
-//! Elections: pre-votes, votes, and the silence that voters keep towards others while a leader lives.
+//! Elections: pre-votes and votes. A voter that has contact with a leader grants neither, so that a
+//! leader is not replaced while its lease may hold.
 
 use rand::RngExt;
 
@@ -6,7 +7,8 @@
 use super::{Body, HardState, Position, Role, StoreId, Term, Time};
 
 impl Node {
-    /// Whether a leader was heard so recently that its lease may hold.
+    /// Whether this member leads or has had contact with a leader so recently that the leader's lease
+    /// may still hold.
     pub(super) fn has_leader_contact(&self, now: Time) -> bool {
         match self.role {
             Role::Leader => true,
@@ -22,8 +24,8 @@
     }
 
     pub(super) fn on_vote(&mut self, now: Time, from: StoreId, last: Position) {
-        let may_vote = self.hard.vote.is_none() || self.hard.vote == Some(from);
-        let granted = may_vote && last >= self.log.last() && self.role == Role::Follower;
+        let vote_free = self.hard.vote.is_none() || self.hard.vote == Some(from);
+        let granted = vote_free && last >= self.log.last() && self.role == Role::Follower;
         if granted {
             self.set_hard(HardState { vote: Some(from), ..self.hard });
             self.reset_campaign(now);
@@ -53,6 +55,7 @@
         }
     }
 
+    /// Starts a pre-vote, if this member is a voter.
     pub(super) fn pre_campaign(&mut self, now: Time) {
         self.reset_campaign(now);
         if !self.members().voters().any(|id| id == self.id) {
@@ -66,6 +69,7 @@
         self.on_vote_reply(now, self.id, Role::PreCandidate, true);
     }
 
+    /// Raises the term, votes for itself and requests the other votes.
     pub(super) fn campaign(&mut self, now: Time) {
         self.role = Role::Candidate;
         self.votes.clear();
@@ -85,6 +89,7 @@
         }
     }
 
+    /// Draws a new random time at which this member campaigns unless a leader contacts it before.
     pub(super) fn reset_campaign(&mut self, now: Time) {
         let timeout_range = self.timing.election_min..self.timing.election_max;
         self.campaign_at = now + self.rng.random_range(timeout_range);
--- a/src/raft/follower.rs
+++ b/src/raft/follower.rs
@@ -1,9 +1,10 @@
-//! What a follower does: takes entries and snapshots of its leader.
+//! The follower: appends entries and installs snapshots that its leader sends.
 
 use super::node::Node;
 use super::{AppendResult, Entry, Index, Position, Snapshot, Write};
 
 impl Node {
+    /// Appends entries if the log matches the leader's at `prev`, and advances the commit index.
     pub(super) fn on_append(
         &mut self,
         prev: Position,
@@ -23,7 +24,7 @@
         AppendResult::Matched(matched)
     }
 
-    /// Adds an entry of the leader unless it is there; what stands in its place goes.
+    /// Appends an entry of the leader unless the log has it; removes entries that conflict with it.
     pub(super) fn append_entry(&mut self, entry: Entry) {
         if entry.index <= self.log.snapshot().at.index {
             return;
@@ -31,7 +32,10 @@
         match self.log.term_at(entry.index) {
             Some(term) if term == entry.term => return,
             Some(_) => {
-                assert!(entry.index > self.commit, "a committed entry would be replaced");
+                assert!(
+                    entry.index > self.commit,
+                    "an entry from the leader conflicts with a committed one"
+                );
                 self.log.truncate(entry.index);
                 self.ready.writes.push(Write::Truncate(entry.index));
             }
@@ -41,6 +45,7 @@
         self.ready.writes.push(Write::Append(entry));
     }
 
+    /// Installs a snapshot unless it covers only entries that are committed here.
     pub(super) fn on_install(&mut self, snapshot: Snapshot) -> AppendResult {
         let index = snapshot.at.index;
         if index > self.commit {
@@ -49,6 +54,7 @@
         AppendResult::Matched(index)
     }
 
+    /// Replaces the store, and the log up to there, by `snapshot`.
     pub(super) fn restore(&mut self, snapshot: Snapshot) {
         self.log.compact(snapshot.clone());
         self.commit = snapshot.at.index;
--- a/src/raft/format5.rs
+++ b/src/raft/format5.rs
@@ -1,4 +1,5 @@
-//! Records of logs of format 5, whose commands and stores had no levels.
+//! Decoding of log files of format 5, which was written before there were feature levels. Variants and
+//! fields are in the order of that format.
 
 use serde::Deserialize;
 
--- a/src/raft/leader.rs
+++ b/src/raft/leader.rs
@@ -1,4 +1,4 @@
-//! What a leader does: replicates its log, counts who has it, and keeps its lease.
+//! The leader: replicates its log, advances the commit index, and renews its lease.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,11 +6,10 @@
 use super::node::{Node, Progress};
 use super::{AppendResult, Body, Index, Position, Role, StoreId, Time};
 
-/// Most entries in one message.
 const MAX_ENTRIES_PER_MESSAGE: usize = 256;
-/// Most entries that a member has not yet acknowledged.
+/// Maximum number of entries sent to a member that it has not acknowledged yet.
 const MAX_UNACKED_ENTRIES: Index = 512;
-/// Longest time until the others are told of a new commit index.
+/// Maximum delay before a heartbeat announces a new commit index to the other members.
 const MAX_COMMIT_NOTICE_DELAY: Duration = Duration::from_millis(5);
 
 impl Node {
@@ -49,20 +48,23 @@
         }
     }
 
+    /// Commits the entries that a quorum has on disk.
     pub(super) fn advance_commit(&mut self) {
         let members = self.members();
         let mut matched: Vec<Index> = members.voters().map(|id| self.matched(id)).collect();
         matched.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(&agreed) = matched.get(members.quorum() - 1) else {
+        let Some(&quorum_matched) = matched.get(members.quorum() - 1) else {
             return;
         };
-        // Only entries of the own term commit by counting (Raft, section 5.4.2).
-        if agreed > self.commit && self.log.term_at(agreed) == Some(self.hard.term) {
-            self.commit = agreed;
+        // Only entries of the current term are committed by counting replicas (Raft, section 5.4.2).
+        if quorum_matched > self.commit && self.log.term_at(quorum_matched) == Some(self.hard.term)
+        {
+            self.commit = quorum_matched;
             self.heartbeat_at = self.heartbeat_at.min(self.now + MAX_COMMIT_NOTICE_DELAY);
         }
     }
 
+    /// Highest index up to which the log of `id` is known to match the leader's.
     pub(super) fn matched(&self, id: StoreId) -> Index {
         if id == self.id {
             return self.log.last().index;
@@ -70,8 +72,8 @@
         self.progress.get(&id).map_or(0, |progress| progress.matched)
     }
 
-    /// Sending time of the newest heartbeat that a quorum has answered.
-    pub(super) fn quorum_acked(&self, now: Time) -> Option<Time> {
+    /// When the newest heartbeat to which a quorum has replied was sent.
+    pub(super) fn quorum_acked_at(&self, now: Time) -> Option<Time> {
         let members = self.members();
         let mut acked: Vec<Option<Time>> = members
             .voters()
@@ -86,20 +88,22 @@
         acked.get(members.quorum() - 1).copied().flatten()
     }
 
+    /// Whether `id` has replied to a message sent within the last `election_max`.
     pub(super) fn recently_acked(&self, now: Time, id: StoreId) -> bool {
         let acked = self.progress.get(&id).and_then(|progress| progress.acked_at);
         id == self.id || acked.is_some_and(|at| now < at + self.timing.election_max)
     }
 
+    /// Steps down if no quorum has replied within `election_max`.
     pub(super) fn check_quorum(&mut self, now: Time) {
-        let elected_or_acked =
-            self.quorum_acked(now).unwrap_or(Time::ZERO).max(self.leader_contact_at);
-        if now >= elected_or_acked + self.timing.election_max {
+        let last_contact =
+            self.quorum_acked_at(now).unwrap_or(Time::ZERO).max(self.leader_contact_at);
+        if now >= last_contact + self.timing.election_max {
             self.become_follower(now, self.hard.term);
         }
     }
 
-    /// Starts a new round and sends it to every member.
+    /// Starts a new heartbeat round: sends entries or a heartbeat to every member.
     pub(super) fn broadcast(&mut self, now: Time) {
         self.round += 1;
         self.rounds.push_back((self.round, now));
@@ -118,7 +122,7 @@
         }
     }
 
-    /// Sends new entries to whoever can take more.
+    /// Sends entries to each member that lacks some and may be sent more now.
     pub(super) fn send_new_entries(&mut self, now: Time) {
         let ids: Vec<StoreId> = self.progress.keys().copied().collect();
         for id in ids {
@@ -128,23 +132,26 @@
         }
     }
 
-    /// Whether entries may go to a member now: it lacks some, and has not too many on their way.
+    /// Whether entries may be sent to a member now: it lacks some and has fewer than
+    /// [`MAX_UNACKED_ENTRIES`] unacknowledged.
     ///
-    /// Each message that a busy link loses makes the member refuse all those behind it; entries are
-    /// sent again once and not for each of these refusals, which would fill the link for good.
+    /// When a busy link loses a message, the member rejects every message after it. While `probing`,
+    /// entries are sent again at most once per heartbeat interval, not once per rejection, which
+    /// would keep the link full.
     fn may_send(&self, now: Time, to: StoreId) -> bool {
         let Some(progress) = self.progress.get(&to) else {
             return false;
         };
         let unacked = (progress.next - 1).saturating_sub(progress.matched);
-        let free = match progress.probing {
+        let below_limit = match progress.probing {
             true => progress.probed_at.is_none_or(|at| now >= at + self.timing.heartbeat),
             false => unacked < MAX_UNACKED_ENTRIES,
         };
-        free && progress.next <= self.log.last().index
+        below_limit && progress.next <= self.log.last().index
     }
 
-    /// Sends what the member lacks, if it may have entries now, or a heartbeat.
+    /// Sends entries if [`Node::may_send`] allows, else a heartbeat; a snapshot if the log no longer has
+    /// the entries that the member needs.
     pub(super) fn send_entries(&mut self, now: Time, to: StoreId) {
         let may_send = self.may_send(now, to);
         let Some(progress) = self.progress.get_mut(&to) else {
@@ -157,8 +164,8 @@
             return;
         };
         let missing = self.log.from(progress.next);
-        let most = if may_send { MAX_ENTRIES_PER_MESSAGE } else { 0 };
-        let entries = missing[..missing.len().min(most)].to_vec();
+        let max = if may_send { MAX_ENTRIES_PER_MESSAGE } else { 0 };
+        let entries = missing[..missing.len().min(max)].to_vec();
         if progress.probing && may_send {
             progress.probed_at = Some(now);
         } else {
@@ -169,7 +176,7 @@
         self.send(to, body);
     }
 
-    /// Sends the snapshot, at most once in an election period; heartbeats in between.
+    /// Sends the snapshot, at most once per `election_max`, and heartbeats in between.
     pub(super) fn send_snapshot(&mut self, now: Time, to: StoreId) {
         let round = self.round;
         let Some(progress) = self.progress.get_mut(&to) else {
@@ -191,7 +198,7 @@
         self.send(to, body);
     }
 
-    /// Keeps a progress for each other member, and for no one else.
+    /// Adds progress for new members and removes that of former ones.
     pub(super) fn track_members(&mut self) {
         let ids: BTreeSet<StoreId> = self.members().0.iter().map(|member| member.id).collect();
         self.progress.retain(|id, _| ids.contains(id));
--- a/src/raft/log.rs
+++ b/src/raft/log.rs
@@ -1,13 +1,13 @@
-//! The log in memory: a snapshot and the entries after it.
+//! The Raft log in memory: a snapshot and the entries after it.
 
 use super::{Entry, Index, Members, Payload, Position, Snapshot, Term};
 
-/// Entries after a snapshot, without gaps.
+/// A snapshot and the entries after it, without gaps.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Log {
     snapshot: Snapshot,
     entries: Vec<Entry>,
-    /// Index of the last entry that holds members.
+    /// Index of the last entry that changes the membership.
     members_at: Option<Index>,
 }
 
@@ -39,7 +39,7 @@
         self.entries.is_empty()
     }
 
-    /// Term of the entry at `index`, if it is in the log or the last of the snapshot.
+    /// Term of the entry at `index`, if it is in the log or the last one that the snapshot covers.
     pub fn term_at(&self, index: Index) -> Option<Term> {
         if index == self.snapshot.at.index {
             return Some(self.snapshot.at.term);
@@ -54,10 +54,10 @@
         &self.entries[skip.min(self.entries.len())..]
     }
 
-    /// Adds the next entry.
+    /// Appends an entry.
     ///
     /// # Panics
-    /// When it does not follow the last one: a fault of the caller.
+    /// If its index does not follow the last one, which is a bug of the caller.
     pub fn push(&mut self, entry: Entry) {
         assert_eq!(entry.index, self.last().index + 1, "log entry out of order");
         if matches!(entry.payload, Payload::Members(_)) {
@@ -66,7 +66,7 @@
         self.entries.push(entry);
     }
 
-    /// Drops the entries from `index` on.
+    /// Removes the entries from `index` on.
     pub fn truncate(&mut self, index: Index) {
         if let Some(at) = self.offset(index) {
             self.entries.truncate(at);
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Puts `snapshot` in place of the entries that it covers; all of them if they disagree with it.
+    /// Replaces the entries that `snapshot` covers; all entries if the log has none at its position with
+    /// the same term.
     pub fn compact(&mut self, snapshot: Snapshot) {
         let agrees = self.term_at(snapshot.at.index) == Some(snapshot.at.term);
         let kept = if agrees { self.from(snapshot.at.index + 1).to_vec() } else { Vec::new() };
@@ -83,14 +84,14 @@
         self.find_members();
     }
 
-    /// Members as of the last entry, and the index that brought them.
+    /// Membership as of the last entry, and the index of the entry that set it.
     pub fn members(&self) -> (&Members, Index) {
         self.members_at
             .and_then(|index| self.members_in(index))
             .unwrap_or((&self.snapshot.members, self.snapshot.at.index))
     }
 
-    /// Members as of the entry at `index`.
+    /// Membership as of the entry at `index`.
     pub fn members_as_of(&self, index: Index) -> &Members {
         let earlier = self.entries.iter().rev().filter(|entry| entry.index <= index);
         let latest = earlier.filter_map(|entry| match &entry.payload {
--- a/src/raft/membership.rs
+++ b/src/raft/membership.rs
@@ -1,4 +1,5 @@
-//! How a group keeps its number of voters up by itself: who joins, who takes whose place.
+//! Automatic membership changes: the leader adds learners, promotes them to replace lost voters, and
+//! removes members that no longer respond.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -6,31 +7,33 @@
 use super::node::Node;
 use super::{Member, MemberKind, Members, Payload, Role, StoreId, Time};
 
-/// Rules by which a leader keeps the number of voters up.
+/// Rules by which a leader maintains the number of voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MembershipRules {
-    /// Voters wanted; further members stand by as learners.
+    /// Desired number of voters; further members stay learners, as standbys.
     pub voters: usize,
-    /// Silence after which a voter gives its place to a learner that has caught up.
+    /// Time without a reply after which a member counts as unresponsive: a voter is then demoted if a
+    /// learner that has caught up can replace it, and a learner is removed if another member responds at
+    /// its address.
     pub unresponsive_after: Duration,
-    /// Silence after which a learner is removable; it may join again.
+    /// Time without a reply after which a learner is removed; it may join again.
     pub remove_after: Duration,
 }
 
-/// What a leader knows of a member's health.
+/// Health of a member, as its leader sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Health {
-    /// How long the member has not answered.
+    /// Time since the last message to which the member replied was sent.
     pub unresponsive_for: Duration,
     /// Whether its log covers the commit index.
     pub caught_up: bool,
 }
 
 impl Members {
-    /// The one next change that the rules ask for, or `None` when nothing is to be done.
+    /// The next membership by the rules, or `None` when nothing is to be changed.
     ///
-    /// Each changes at most one voter, so that quorums before and after overlap. A voter leaves only
-    /// when a learner is ready to follow in the next step.
+    /// Each step changes at most one voter, so that the quorums before and after overlap. A voter is
+    /// removed or demoted only when a learner is ready to replace it in the next step.
     pub fn next_change(
         &self,
         rules: &MembershipRules,
@@ -38,8 +41,8 @@
     ) -> Option<Members> {
         let ready = self.0.iter().find(|member| {
             let health = health(member.id);
-            let answers = health.unresponsive_for < rules.unresponsive_after;
-            member.kind == MemberKind::Learner && answers && health.caught_up
+            let responsive = health.unresponsive_for < rules.unresponsive_after;
+            member.kind == MemberKind::Learner && responsive && health.caught_up
         });
         let unresponsive =
             |member: &&Member| health(member.id).unresponsive_for >= rules.unresponsive_after;
@@ -71,7 +74,7 @@
         Some(self.without(removed.id))
     }
 
-    /// The voter whose address `learner` took over: its disk is lost.
+    /// The voter that had the address of `learner` before; its disk is lost.
     fn predecessor(&self, learner: &Member) -> Option<StoreId> {
         let same = |member: &&Member| member.addr == learner.addr && member.id != learner.id;
         let voters = self.0.iter().filter(|member| member.kind == MemberKind::Voter);
@@ -92,12 +95,13 @@
 }
 
 impl Node {
-    /// Lets this member, while it leads, keep the number of voters up.
+    /// Makes this member, while it leads, maintain the number of voters.
     pub fn set_membership_rules(&mut self, rules: MembershipRules) {
         self.membership_rules = Some(rules);
     }
 
-    /// Takes a store in as a learner, if this member leads and the address is not in use.
+    /// Adds a member as a learner, if this member leads and no member at that address has replied
+    /// recently.
     pub fn join(&mut self, now: Time, id: StoreId, addr: SocketAddr) {
         self.now = now;
         if self.role != Role::Leader
@@ -113,11 +117,11 @@
         let mut members = self.members().clone();
         members.0.retain(|member| member.addr != addr || member.kind == MemberKind::Voter);
         members.0.push(Member { id, addr, kind: MemberKind::Learner });
-        // A leader takes every proposal.
+        // `propose` fails only if this member does not lead.
         let _ = self.propose(now, Payload::Members(members));
     }
 
-    /// Takes the next step of upkeep, if one is due.
+    /// Proposes the next membership change that the rules ask for, if any.
     pub(super) fn maintain_members(&mut self, now: Time) {
         let Some(rules) = self.membership_rules else {
             return;
@@ -127,12 +131,12 @@
         }
         let next = self.members().next_change(&rules, |id| self.health(now, id));
         if let Some(members) = next {
-            // A leader takes every proposal.
+            // `propose` fails only if this member does not lead.
             let _ = self.propose(now, Payload::Members(members));
         }
     }
 
-    /// Whether the last change of members and the first entry of this term are committed.
+    /// Whether the last membership change and the first entry of this term are committed.
     fn members_confirmed(&self) -> bool {
         let (_, changed_at) = self.log.members();
         self.commit >= changed_at && self.commit >= self.term_start
--- a/src/raft/message.rs
+++ b/src/raft/message.rs
@@ -4,77 +4,77 @@
 
 use super::{Entry, GroupId, Index, Position, Snapshot, StoreId, Term};
 
-/// A message with its address.
+/// A message with its sender, receiver and term.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Envelope {
     /// Group of the sender.
     pub group: GroupId,
     /// Sender.
     pub from: StoreId,
-    /// Receiver; a message that reaches another store is dropped.
+    /// Receiver; a member with another identity drops the message.
     pub to: StoreId,
-    /// Term of the sender; in a pre-vote the term it would campaign in.
+    /// Term of the sender; in a pre-vote, the term in which it would become a candidate.
     pub term: Term,
-    /// Content.
+    /// Content of the message.
     pub body: Body,
 }
 
 /// Content of a message.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Body {
-    /// Would you vote for me? Changes no term.
+    /// Asks whether the receiver would grant a vote; changes no term.
     PreVote {
         /// Last entry of the candidate's log.
         last: Position,
     },
-    /// Answer to a pre-vote.
+    /// Reply to a pre-vote.
     PreVoteReply {
-        /// Whether the vote would be given.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Vote for me.
+    /// Requests a vote in the sender's term.
     Vote {
         /// Last entry of the candidate's log.
         last: Position,
     },
-    /// Answer to a vote.
+    /// Reply to a vote request.
     VoteReply {
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Entries to append; a heartbeat when there are none.
+    /// Entries to append; without entries, a heartbeat.
     Append {
-        /// Entry just before the first one sent.
+        /// Position of the entry before the first one sent.
         prev: Position,
         /// Entries that follow it.
         entries: Vec<Entry>,
         /// Leader's commit index.
         commit: Index,
-        /// Heartbeat round, echoed for the lease.
+        /// Heartbeat round; the reply carries it, which extends the leader's lease.
         round: u64,
     },
-    /// Answer to an append or a snapshot.
+    /// Reply to an append or a snapshot.
     AppendReply {
-        /// Round of the message answered.
+        /// Heartbeat round of the message to which this replies.
         round: u64,
-        /// How it went.
+        /// Whether the log now matches the leader's.
         result: AppendResult,
     },
-    /// A snapshot for a member too far behind.
+    /// A snapshot, sent to a member that lacks entries which the leader's log no longer has.
     Install {
         /// The snapshot.
         snapshot: Box<Snapshot>,
-        /// Heartbeat round, echoed for the lease.
+        /// Heartbeat round; the reply carries it, which extends the leader's lease.
         round: u64,
     },
 }
 
-/// How an append went.
+/// Outcome of an append or a snapshot.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AppendResult {
-    /// The log equals the leader's up to this index, synced.
+    /// The log equals the leader's up to this index and is synced to disk.
     Matched(Index),
-    /// The entry before is missing or differs; try again from this index at the latest.
+    /// The entry before the first one sent is missing or has another term.
     Rejected {
         /// Highest index at which the logs may still agree.
         hint: Index,
--- a/src/raft/mod.rs
+++ b/src/raft/mod.rs
@@ -1,8 +1,9 @@
-//! Agreement among the members of a control group: a replicated log with terms, pre-vote,
-//! check-quorum, a leader lease, snapshots, and membership changed one member at a time.
+//! Raft consensus among the members of a group: a replicated log with pre-vote, check-quorum, a
+//! leader lease, snapshots, and membership changes of one member at a time.
 //!
-//! [`Node`] is a pure state machine: it takes messages and an explicit time and leaves what is to
-//! be written, sent and applied in a [`Ready`]. [`Replica`] joins it to a [`Wal`] and the store.
+//! [`Node`] is a pure state machine without I/O: its inputs are messages and the current time, its
+//! outputs (writes, messages, committed entries) are collected in a [`Ready`]. [`Replica`] connects
+//! it to a [`Wal`] and the store.
 
 mod disk;
 mod election;
@@ -36,14 +37,15 @@
 
 /// Monotonic time since the start of the process.
 pub type Time = Duration;
-/// Election period; at most one leader in each.
+/// Raft term; each has at most one leader.
 pub type Term = u64;
-/// Position in the log, from 1.
+/// Index of a log entry, counted from 1.
 pub type Index = u64;
 
-/// Identity of a store, drawn at random when its folder is first written.
+/// Identity of a member's disk, drawn at random when its data folder is first written.
 ///
-/// A member whose disk is lost comes back under a new identity and so never votes under the old.
+/// A member whose disk was lost returns under a new identity, so it can't vote twice in a term
+/// because its first vote was lost.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StoreId(pub u64);
 
@@ -53,7 +55,7 @@
     }
 }
 
-/// Identity of a group, drawn at random when it is formed; 0 before.
+/// Identity of a group, drawn at random when the group is formed; 0 means no group yet.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct GroupId(pub u64);
 
@@ -61,7 +63,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum MemberKind {
-    /// Votes and counts.
+    /// Votes and counts towards a quorum.
     Voter,
     /// Receives the log, but neither votes nor counts until it has caught up.
     Learner,
@@ -70,11 +72,11 @@
 /// One member of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Identity of its store.
+    /// Identity of its disk.
     pub id: StoreId,
-    /// Where it takes calls.
+    /// Address at which other members reach it.
     pub addr: SocketAddr,
-    /// Whether it counts.
+    /// Whether it is a voter.
     #[serde(rename = "standing")]
     pub kind: MemberKind,
 }
@@ -89,20 +91,22 @@
         self.0.iter().find(|member| member.id == id)
     }
 
-    /// The members that count.
+    /// The members that vote.
     pub fn voters(&self) -> impl Iterator<Item = StoreId> + '_ {
         self.0.iter().filter(|member| member.kind == MemberKind::Voter).map(|member| member.id)
     }
 
-    /// Voters needed for a decision.
+    /// Number of voters that form a majority.
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// The one next step that brings `id` in at `addr`, or `None` when it is in or must wait.
+    /// The next membership that leads to `id` being a voter at `addr`; `None` when it is one already
+    /// or has not caught up.
     ///
-    /// A newcomer joins as a learner; once `caught_up`, the voter whose address it took leaves;
-    /// then it becomes a voter. Each step changes at most one voter, so quorums always overlap.
+    /// A new member joins as a learner. Once `caught_up`, the member that had its address before is
+    /// removed, and then the learner becomes a voter. Each step changes at most one voter, so that
+    /// the quorums before and after overlap.
     pub fn next_step(&self, id: StoreId, addr: SocketAddr, caught_up: bool) -> Option<Members> {
         let mut next = self.clone();
         let Some(kind) = self.get(id).map(|member| member.kind) else {
@@ -127,12 +131,12 @@
     }
 }
 
-/// What a log entry holds.
+/// Content of a log entry.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Payload {
-    /// Nothing: the first entry of each leader.
+    /// No change: a new leader's first entry, which commits the entries of earlier terms.
     Noop,
-    /// The members from here on; in effect as soon as it is in the log.
+    /// New membership; in effect as soon as the entry is in the log, before it is committed.
     Members(Members),
     /// A command to the store.
     Command(Command),
@@ -141,15 +145,15 @@
 /// One entry of the log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Entry {
-    /// Term of the leader that made it.
+    /// Term of the leader that appended it.
     pub term: Term,
-    /// Its position.
+    /// Its index in the log.
     pub index: Index,
-    /// What it holds.
+    /// Its content.
     pub payload: Payload,
 }
 
-/// Term and index of an entry; ordered as elections compare logs.
+/// Term and index of an entry; the order is the one by which elections compare logs.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Position {
     /// Term of the entry.
@@ -158,10 +162,10 @@
     pub index: Index,
 }
 
-/// The state at a position, in place of the log up to there.
+/// The state at a log position, which replaces the entries up to there.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Last entry that the snapshot covers.
+    /// Position of the last entry that the snapshot covers.
     pub at: Position,
     /// Members at that position.
     pub members: Members,
@@ -169,12 +173,12 @@
     pub store: Store,
 }
 
-/// What must survive a restart besides the log.
+/// Raft state that must survive a restart, besides the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HardState {
-    /// Group this store belongs to; 0 while blank.
+    /// Group that this member belongs to; 0 while it has none.
     pub group: GroupId,
-    /// Newest term seen.
+    /// Highest term seen.
     pub term: Term,
     /// Vote cast in that term.
     pub vote: Option<StoreId>,
--- a/src/raft/node.rs
+++ b/src/raft/node.rs
@@ -10,21 +10,23 @@
     NotLeader, Payload, Position, Ready, Role, Snapshot, StoreId, Term, Time, Timing, Write,
 };
 
-/// What a leader knows of another member.
+/// Replication state of another member, kept by the leader.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
+    /// Highest index up to which the member's log is known to match the leader's.
     pub(super) matched: Index,
+    /// Index of the next entry to send.
     pub(super) next: Index,
-    /// Sending time of the newest round that the member answered.
+    /// When the newest heartbeat round to which the member replied was sent.
     pub(super) acked_at: Option<Time>,
     /// When a snapshot was last sent.
     pub(super) snapshot_sent: Option<Time>,
-    /// Whether the member refused entries and has taken none since: then one message with entries
-    /// goes at a time.
+    /// Whether the member rejected entries and has accepted none since. Then at most one message with
+    /// entries is sent per heartbeat interval.
     pub(super) probing: bool,
-    /// When the last of these went.
+    /// When the last such message was sent.
     pub(super) probed_at: Option<Time>,
-    /// When the leader began to send to the member.
+    /// When the leader began to track the member.
     pub(super) since: Time,
 }
 
@@ -38,28 +40,29 @@
     pub(super) role: Role,
     pub(super) leader: Option<StoreId>,
     pub(super) commit: Index,
-    /// Last entry delivered out as committed.
+    /// Index of the last committed entry put into a [`Ready`].
     pub(super) delivered: Index,
     pub(super) votes: BTreeSet<StoreId>,
     pub(super) progress: BTreeMap<StoreId, Progress>,
-    /// First index of the leader's own term.
+    /// Index of the leader's first entry in its term.
     pub(super) term_start: Index,
     pub(super) round: u64,
-    /// Sending times of the rounds not older than the lease.
+    /// Heartbeat rounds of the last `election_max`, with the time at which each was sent.
     pub(super) rounds: VecDeque<(u64, Time)>,
     pub(super) heartbeat_at: Time,
     pub(super) campaign_at: Time,
-    /// When a leader was last heard; at the start taken as just now, for a vote may be forgotten.
+    /// When this member last had contact with a leader; for a leader, when it was elected. At start-up
+    /// it is the current time, since a vote or a contact from before the restart may be forgotten.
     pub(super) leader_contact_at: Time,
-    /// Time of the newest input.
+    /// Time of the last input.
     pub(super) now: Time,
-    /// Keeps the number of voters up by itself, where set.
+    /// Rules by which this member, while it leads, changes the membership by itself; `None` for never.
     pub(super) membership_rules: Option<MembershipRules>,
     pub(super) ready: Ready,
 }
 
 impl Node {
-    /// A member with what its disk held.
+    /// A follower with the state recovered from its disk.
     pub fn new(
         id: StoreId,
         timing: Timing,
@@ -95,12 +98,12 @@
         node
     }
 
-    /// Learns from its own disk that the entries up to `commit` are committed.
+    /// Sets the commit index recovered from the member's own disk.
     pub(super) fn restore_commit(&mut self, commit: Index) {
         self.commit = self.commit.max(commit.min(self.log.last().index));
     }
 
-    /// Identity of this member's store.
+    /// Identity of this member's disk.
     pub fn id(&self) -> StoreId {
         self.id
     }
@@ -110,12 +113,12 @@
         self.hard
     }
 
-    /// Part played now.
+    /// Current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Leader of the term, where known.
+    /// Leader of the term, if known.
     pub fn leader(&self) -> Option<StoreId> {
         self.leader
     }
@@ -130,12 +133,12 @@
         &self.log
     }
 
-    /// Members in effect.
+    /// Membership in effect.
     pub fn members(&self) -> &Members {
         self.log.members().0
     }
 
-    /// Takes out what is to be done.
+    /// Takes the outputs that have accumulated since the last call.
     pub fn take_ready(&mut self) -> Ready {
         for entry in self.log.from(self.delivered + 1) {
             if entry.index > self.commit {
@@ -147,7 +150,7 @@
         std::mem::take(&mut self.ready)
     }
 
-    /// Makes a blank member the first of a new group.
+    /// Forms a new group from a member that belongs to none.
     pub fn form(&mut self, group: GroupId, members: Members) {
         self.set_hard(HardState { group, ..self.hard });
         let snapshot =
@@ -155,41 +158,41 @@
         self.restore(snapshot);
     }
 
-    /// Whether this member leads and surely no other does: a quorum has answered it within the
-    /// lease, and all that earlier leaders committed is known to it.
+    /// Whether this member certainly is the only leader and knows all committed entries: a quorum has
+    /// replied to a heartbeat sent within the lease, and an entry of its own term is committed.
     pub fn lease_valid(&self, now: Time) -> bool {
         if self.role != Role::Leader || self.commit < self.term_start {
             return false;
         }
-        self.quorum_acked(now).is_some_and(|acked| now < acked + self.timing.lease())
+        self.quorum_acked_at(now).is_some_and(|acked| now < acked + self.timing.lease())
     }
 
-    /// Until when what this member has applied is surely not outdated by more than the time that
-    /// it takes a leader's news to arrive; `None` when it hears no leader.
+    /// Time until which the applied state is up to date, but for the time that a leader's message
+    /// takes to arrive; `None` without contact with a leader.
     pub fn fresh_until(&self, now: Time) -> Option<Time> {
         match self.role {
             Role::Leader if self.commit < self.term_start => None,
-            Role::Leader => Some(self.quorum_acked(now)? + self.timing.lease()),
+            Role::Leader => Some(self.quorum_acked_at(now)? + self.timing.lease()),
             _ => self.leader.map(|_| self.leader_contact_at + self.timing.election_min),
         }
     }
 
-    /// Since when this member leads.
+    /// When this member was elected, if it leads.
     pub fn leading_since(&self) -> Option<Time> {
         (self.role == Role::Leader).then_some(self.leader_contact_at)
     }
 
-    /// Whether the leader heard `id` within an election period, and the last index on its disk.
+    /// For the leader: whether `id` has replied recently, and the last index that it has on disk.
     pub fn follower_progress(&self, now: Time, id: StoreId) -> (bool, Index) {
         (self.recently_acked(now, id), self.matched(id))
     }
 
-    /// When time must pass next, by [`Node::tick`], unless an input comes first.
+    /// When [`Node::tick`] must be called next, unless another input comes first.
     pub fn next_tick(&self) -> Time {
         if self.role == Role::Leader { self.heartbeat_at } else { self.campaign_at }
     }
 
-    /// Lets time pass.
+    /// Handles the heartbeat or the election timeout, if due.
     pub fn tick(&mut self, now: Time) {
         self.now = now;
         if self.role == Role::Leader {
@@ -203,7 +206,7 @@
         }
     }
 
-    /// Adds an entry to the log of the group.
+    /// Appends an entry to the log and sends it to the other members.
     ///
     /// # Errors
     /// [`NotLeader`] unless this member leads.
@@ -218,7 +221,8 @@
         Ok(position)
     }
 
-    /// Proposes the next step of bringing a newcomer in, if one can be taken now.
+    /// Proposes the next step by which `id` becomes a voter, if this member leads and a step is possible
+    /// now. The address must not belong to another member that has replied recently.
     pub fn admit(&mut self, now: Time, id: StoreId, addr: std::net::SocketAddr) {
         let (members, changed_at) = self.log.members();
         let confirmed = self.commit >= changed_at && self.commit >= self.term_start;
@@ -236,7 +240,7 @@
         }
     }
 
-    /// Puts the store as of `index` in place of the log up to there.
+    /// Replaces the log up to `index` by a snapshot of the store at that index.
     pub fn compact(&mut self, index: Index, store: crate::store::Store) {
         let Some(term) = self.log.term_at(index) else {
             return;
@@ -250,7 +254,7 @@
         self.ready.writes.push(Write::Snapshot(Box::new(snapshot)));
     }
 
-    /// Takes a message.
+    /// Handles a message from another member; drops it if it is for another member or group.
     pub fn receive(&mut self, now: Time, message: Envelope) {
         self.now = now;
         let blank = self.hard.group == GroupId::default();
@@ -285,7 +289,8 @@
         }
     }
 
-    /// Compares the term of a message with ours; tells whether the message is to be handled.
+    /// Compares the term of a message with this member's, and follows a higher term. Returns whether the
+    /// message is to be handled.
     fn accept_term(&mut self, now: Time, message: &Envelope) -> bool {
         match &message.body {
             Body::PreVote { .. } => return true,
@@ -342,7 +347,7 @@
         self.reset_campaign(now);
     }
 
-    /// Recognizes the sender of an append as the leader of the term.
+    /// Follows the sender of an append or a snapshot as the leader of the term.
     pub(super) fn follow(&mut self, now: Time, leader: StoreId) {
         self.role = Role::Follower;
         self.leader = Some(leader);
--- a/src/raft/ready.rs
+++ b/src/raft/ready.rs
@@ -1,4 +1,4 @@
-//! What a node is told once, plays, and leaves to be done.
+//! Timing and role of a node, and the outputs that it leaves for its caller.
 
 use std::time::Duration;
 
@@ -7,41 +7,45 @@
 /// Intervals of the protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Timing {
-    /// Between two heartbeats of a leader.
+    /// Time between two heartbeats of a leader.
     pub heartbeat: Duration,
-    /// Shortest silence after which a member campaigns; until then it votes for no one else.
+    /// Shortest time without contact with a leader after which a member campaigns. Until then it
+    /// grants no vote that would replace the leader.
     pub election_min: Duration,
-    /// Longest silence after which a member campaigns, and a leader without a quorum steps down.
+    /// Longest time without contact with a leader after which a member campaigns. A leader that has
+    /// no replies from a quorum for this long steps down.
     pub election_max: Duration,
 }
 
 impl Timing {
-    /// How long a quorum's answer to a heartbeat keeps a leader in office, from its sending.
+    /// Length of the leader's lease, counted from when it sent the newest heartbeat to which a quorum
+    /// replied.
     ///
-    /// Shorter than the silence that voters keep, by a fifth, so that clocks may drift apart.
+    /// A fifth shorter than `election_min`, during which voters elect no other leader, so that clocks
+    /// may run at different rates.
     pub fn lease(&self) -> Duration {
         self.election_min * 4 / 5
     }
 }
 
-/// Part that a member plays in its term.
+/// Raft role of a member in its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Role {
-    /// Follows the leader of the term, if there is one.
+    /// Accepts entries from the leader of the term, if there is one.
     Follower,
-    /// Asks whether it would be elected.
+    /// Asks the voters whether they would elect it, before it raises its term.
     PreCandidate,
-    /// Asks to be elected.
+    /// Requests votes.
     Candidate,
-    /// Leads.
+    /// Replicates its log to the other members.
     Leader,
 }
 
-/// The member can't take a proposal.
+/// A proposal was refused, since this member is not the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("this member does not lead the group")]
 pub struct NotLeader {
-    /// The leader, where it is known.
+    /// The leader, if known.
     pub leader: Option<StoreId>,
 }
 
@@ -50,7 +54,7 @@
 pub enum Write {
     /// Group, term and vote.
     Hard(HardState),
-    /// Drop the entries from this index on.
+    /// Remove the entries from this index on.
     Truncate(Index),
     /// Add an entry.
     Append(Entry),
@@ -58,15 +62,15 @@
     Snapshot(Box<Snapshot>),
 }
 
-/// What is left to do after a step, in this order.
+/// Outputs of a node, to be processed in the order of the fields.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Ready {
-    /// To be written and synced before anything else is done.
+    /// Writes, to be synced before anything else is done.
     pub writes: Vec<Write>,
-    /// To put in place of the store, before the committed entries.
+    /// Snapshot that replaces the store, before the committed entries are applied.
     pub restore: Option<Box<Snapshot>>,
-    /// To apply to the store, in order.
+    /// Committed entries to apply to the store, in order.
     pub committed: Vec<Entry>,
-    /// To send.
+    /// Messages to send.
     pub messages: Vec<Envelope>,
 }
--- a/src/raft/replica.rs
+++ b/src/raft/replica.rs
@@ -1,4 +1,4 @@
-//! One member as a whole: the state machine, its log on disk and its store.
+//! One member: the Raft state machine, its write-ahead log and its store.
 
 use std::net::SocketAddr;
 
@@ -8,34 +8,36 @@
 };
 use crate::store::{Answer, Command, Store};
 
-/// A committed command and its answer.
+/// A committed command that was applied to the store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AppliedCommand {
-    /// Where in the log the command stands.
+    /// Position of the command in the log.
     pub at: Position,
     /// The store's answer.
     pub answer: Answer,
 }
 
-/// A member that writes before it speaks.
+/// A member that syncs its writes before it sends messages or answers.
 ///
-/// Feed it any number of inputs, then [`flush`](Replica::flush) them with one sync.
+/// Call any number of input methods, then [`flush`](Replica::flush) to write their results with one
+/// sync.
 pub struct Replica<D> {
     node: Node,
     wal: Wal<D>,
     store: Store,
     applied: Position,
     compact_after: usize,
-    /// Commit index last hinted_commit beside the log.
+    /// Commit index last written to the commit hint, which is not synced.
     hinted_commit: Index,
-    /// Commit index that is surely on disk.
+    /// Commit index synced to the log, or read from the disk at start-up.
     persisted_commit: Index,
 }
 
 impl<D: Disk> Replica<D> {
-    /// Recovers a member from its disk, or starts a blank one under the identity `new_id`.
+    /// Recovers a member from its disk; on an empty disk, starts one that belongs to no group, with the
+    /// identity `new_id`.
     ///
-    /// The log is cut to a snapshot each time it has `compact_after` applied entries.
+    /// The log is compacted to a snapshot each time it has `compact_after` applied entries.
     ///
     /// # Errors
     /// [`WalError`] when the log can't be read.
@@ -50,7 +52,7 @@
         Self::open_with(disk, TailPolicy::Strict, new_id, timing, compact_after, now, seed)
     }
 
-    /// The same, with a rule for a damaged tail of the log.
+    /// Like [`Replica::open`], with a policy for a damaged last record of the log.
     ///
     /// # Errors
     /// [`WalError`] when the log can't be read.
@@ -81,22 +83,22 @@
         })
     }
 
-    /// Format of the log's file.
+    /// Format version of the log file.
     pub fn log_format(&self) -> u32 {
         self.wal.format()
     }
 
-    /// The consensus state.
+    /// The Raft state machine.
     pub fn node(&self) -> &Node {
         &self.node
     }
 
-    /// The store, up to [`Replica::applied`].
+    /// The store, as of [`Replica::applied`].
     pub fn store(&self) -> &Store {
         &self.store
     }
 
-    /// Last entry in the store.
+    /// Position of the last entry applied to the store.
     pub fn applied(&self) -> Position {
         self.applied
     }
@@ -106,32 +108,32 @@
         self.node.hard().group == GroupId::default()
     }
 
-    /// Makes this blank member the first of a new group.
+    /// Forms a new group, if this member belongs to none.
     pub fn form(&mut self, group: GroupId, members: Members) {
         self.node.form(group, members);
     }
 
-    /// Lets the group keep its number of voters up by itself.
+    /// Makes this member, while it leads, maintain the number of voters.
     pub fn set_membership_rules(&mut self, rules: MembershipRules) {
         self.node.set_membership_rules(rules);
     }
 
-    /// Takes a store in as a learner, if this member leads.
+    /// Adds a member as a learner, if this member leads.
     pub fn join(&mut self, now: Time, id: StoreId, addr: SocketAddr) {
         self.node.join(now, id, addr);
     }
 
-    /// Lets time pass.
+    /// Handles the heartbeat or the election timeout, if due.
     pub fn tick(&mut self, now: Time) {
         self.node.tick(now);
     }
 
-    /// Takes a message of another member.
+    /// Handles a message from another member.
     pub fn receive(&mut self, now: Time, message: Envelope) {
         self.node.receive(now, message);
     }
 
-    /// Puts a command in the log.
+    /// Appends a command to the log.
     ///
     /// # Errors
     /// [`NotLeader`] unless this member leads.
@@ -139,17 +141,17 @@
         self.node.propose(now, Payload::Command(command))
     }
 
-    /// Takes the next step of bringing a newcomer in, if this member leads.
+    /// Proposes the next step by which `id` becomes a voter, if this member leads.
     pub fn admit(&mut self, now: Time, id: StoreId, addr: SocketAddr) {
         self.node.admit(now, id, addr);
     }
 
-    /// Writes, syncs and applies all that the inputs so far have led to.
+    /// Writes and syncs the results of the inputs so far, and applies the committed entries.
     ///
-    /// Returns the messages to send and the answers to give, which only now may leave.
+    /// Returns the messages and answers to send; they must not be sent before this returns.
     ///
     /// # Errors
-    /// [`WalError`] when the disk fails; the member must stop, and nothing may leave.
+    /// [`WalError`] when the disk fails; the member must then stop without sending anything.
     pub fn flush(&mut self) -> Result<(Vec<Envelope>, Vec<AppliedCommand>), WalError> {
         let ready = self.node.take_ready();
         self.wal.write(&ready.writes, self.node.hard(), self.node.log())?;
@@ -174,9 +176,8 @@
         Ok((ready.messages, answers))
     }
 
-    /// Puts on disk up to where the log is committed, unless it is there already.
-    ///
-    /// A member whose power is lost then knows so much at its next start without asking.
+    /// Syncs the commit index to the log, unless it is there already, so that the member knows it at its
+    /// next start even after a power failure, without contact with the others.
     ///
     /// # Errors
     /// [`WalError`] when the disk fails; the member must stop.
@@ -199,7 +200,7 @@
     }
 }
 
-/// Draws an identity for an empty disk.
+/// Draws a random identity for an empty disk.
 pub fn random_store_id() -> StoreId {
     StoreId(rand::random())
 }
--- a/src/raft/wal.rs
+++ b/src/raft/wal.rs
@@ -1,11 +1,12 @@
-//! The write-ahead log on disk: checksummed records in one file, synced before they count.
+//! The write-ahead log: checksummed records in one file, synced before their effects are sent or
+//! applied.
 //!
 //! A record is a header of three little-endian `u32` (payload length, CRC-32 of the payload, CRC-32
 //! of the two before) and a payload in postcard. A snapshot replaces the whole file.
 //!
-//! The first record tells the file's format. A file is written in [`FORMAT_BASE`] as long as it holds nothing above the
-//! base level of a group, so that the build that wrote it before can read it again; then it is replaced by one of
-//! [`FORMAT_LEVELS`].
+//! The first record states the format of the file. A file is written in [`FORMAT_BASE`] until it must
+//! hold something above the base feature level, so that the previous build can still read it after a
+//! downgrade; then it is replaced by a file of [`FORMAT_LEVELS`].
 
 use std::io;
 
@@ -16,28 +17,28 @@
 use crate::level::Level;
 
 const HEADER_BYTES: usize = 12;
-/// What every build since the first in production reads.
+/// Read by every build since the first build.
 const FORMAT_BASE: u32 = 3;
-/// Without levels; read, and replaced at once.
+/// Written by builds before there were levels; read, and replaced by a current format when opened.
 const FORMAT_5: u32 = 5;
-/// Commands and stores of any level.
+/// Holds commands and stores of any level.
 const FORMAT_LEVELS: u32 = 6;
 
 /// The log can't be read or written; the member must stop.
 #[derive(Debug, thiserror::Error)]
 pub enum WalError {
     /// The disk failed, or is full.
-    #[error("the log can't be {action}: {source}")]
+    #[error("the log file could not be {action}: {source}")]
     Disk {
-        /// What was tried.
+        /// What the operation would have done to the file, as a past participle.
         action: &'static str,
         /// The disk's error.
         source: io::Error,
     },
-    /// A record that may have been acknowledged is damaged.
+    /// A record is damaged whose content may have been acknowledged.
     #[error(
-        "the log is damaged at byte {at}; stopping rather than serving less than was accepted: \
-         empty the data folder to let this member join again from the others"
+        "the log file is damaged at byte {at}; stopping, since accepted commands may be lost: \
+         empty the data folder to let this member join again and copy the log from the others"
     )]
     Damaged {
         /// Offset of the damaged record.
@@ -45,9 +46,10 @@
     },
     /// The file was written by another version.
     #[error(
-        "the log has format {found}, this version reads formats {FORMAT_BASE}, {FORMAT_5} and \
-         {FORMAT_LEVELS}; nothing was changed: start the version that wrote it, or, if a majority of \
-         the group is sound, empty the data folder to let this member join again"
+        "the log file has format {found}, this version reads formats {FORMAT_BASE}, {FORMAT_5} and \
+         {FORMAT_LEVELS}; the file was not changed: start the version that wrote it, or, if a \
+         majority of the group's members is intact, empty the data folder to let this member join \
+         again"
     )]
     Format {
         /// Format found.
@@ -55,21 +57,21 @@
     },
 }
 
-/// Where the log is kept; the seam that tests put a fake in.
+/// Storage of the log file; tests replace it by a simulated disk.
 pub trait Disk {
-    /// The whole file, or `None` when there is none yet.
+    /// Reads the whole file; `None` if there is none yet.
     fn read(&mut self) -> io::Result<Option<Vec<u8>>>;
     /// Replaces the file; durable and atomic on return.
     fn replace(&mut self, bytes: &[u8]) -> io::Result<()>;
-    /// Adds to the end; durable only after [`Disk::sync`].
+    /// Appends to the file; durable only after [`Disk::sync`].
     fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
     /// Makes what was appended durable.
     fn sync(&mut self) -> io::Result<()>;
-    /// Cuts the file to `len` bytes; durable on return.
+    /// Truncates the file to `len` bytes; durable on return.
     fn truncate(&mut self, len: usize) -> io::Result<()>;
-    /// Writes a few bytes beside the file, that may be lost or torn; nothing waits for them.
+    /// Writes a few bytes to a second file without sync; they may be lost or written in part.
     fn write_hint(&mut self, _bytes: &[u8]) {}
-    /// Reads those bytes.
+    /// Reads the bytes of [`Disk::write_hint`].
     fn read_hint(&mut self) -> Option<Vec<u8>> {
         None
     }
@@ -86,7 +88,7 @@
     Truncate(Index),
     Append(Entry),
     Snapshot(Box<Snapshot>),
-    /// All that one write brought, so that it counts whole or not at all.
+    /// All records of one write, so that either all or none of them take effect.
     Batch(Vec<Record>),
     /// The entries up to here are committed.
     Commit(Index),
@@ -103,31 +105,31 @@
     }
 }
 
-/// What to make of a last record that is damaged.
+/// How to treat a damaged last record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TailPolicy {
-    /// Cut it off only if it was plainly cut short; else stop the member.
+    /// Remove it only if the file ends inside it or it reads as zeros; otherwise stop the member.
     Strict,
-    /// Cut it off whenever nothing sound follows: for disks that never damage what was synced, so
-    /// that a damaged last record is one whose sync did not return.
+    /// Remove it if no valid record follows. For disks that never damage synced data, so that a damaged
+    /// last record is one whose sync did not return.
     Unsynced,
 }
 
-/// What a disk held.
+/// State recovered from a disk.
 pub struct Recovered {
-    /// Identity of the store.
+    /// Identity of the disk.
     pub store: StoreId,
     /// Group, term and vote.
     pub hard: HardState,
     /// Snapshot and entries.
     pub log: Log,
-    /// An index up to which the entries are surely committed.
+    /// An index up to which the entries are known to be committed.
     pub commit: Index,
     /// Format of the file.
     pub format: u32,
 }
 
-/// An open log.
+/// An open write-ahead log.
 pub struct Wal<D> {
     disk: D,
     store: StoreId,
@@ -136,12 +138,12 @@
 }
 
 impl<D: Disk> Wal<D> {
-    /// Opens the log, or starts one under the identity `new_id` on an empty disk.
+    /// Opens the log, or creates one with the identity `new_id` on an empty disk.
     ///
-    /// A torn tail, which no one was told of, is cut off.
+    /// An incomplete last record is removed: its write was never acknowledged.
     ///
     /// # Errors
-    /// [`WalError`] when the disk fails or a record below the tail is damaged.
+    /// [`WalError`] when the disk fails, a record before the last is damaged, or the format is unknown.
     pub fn open(
         mut disk: D,
         tail: TailPolicy,
@@ -149,11 +151,11 @@
     ) -> Result<(Self, Recovered), WalError> {
         let bytes = disk.read().map_err(disk_error("read"))?.unwrap_or_default();
         if bytes.is_empty() {
-            return Self::start(disk, new_id);
+            return Self::create(disk, new_id);
         }
         let (records, end) = decode(&bytes, tail, file_format(&bytes)?)?;
         if end < bytes.len() {
-            disk.truncate(end).map_err(disk_error("cut"))?;
+            disk.truncate(end).map_err(disk_error("truncated"))?;
         }
         let mut recovered = replay(records)?;
         let hint = disk.read_hint().and_then(|hint| decode_hint(&hint)).unwrap_or(0);
@@ -171,17 +173,18 @@
         self.format
     }
 
-    fn start(disk: D, store: StoreId) -> Result<(Self, Recovered), WalError> {
+    fn create(disk: D, store: StoreId) -> Result<(Self, Recovered), WalError> {
         let recovered = Recovered::blank(store);
         let mut wal = Wal { disk, store, format: FORMAT_BASE };
         wal.rewrite(recovered.hard, &recovered.log)?;
         Ok((wal, recovered))
     }
 
-    /// Writes and syncs; `hard` and `log` are the state after the writes.
+    /// Appends the writes and syncs; `hard` and `log` are the state after them, for when the file must be
+    /// rewritten.
     ///
     /// # Errors
-    /// [`WalError::Disk`]; what reached the disk is then unknown, so the member must stop.
+    /// [`WalError::Disk`]; how much reached the disk is then unknown, so the member must stop.
     pub fn write(&mut self, writes: &[Write], hard: HardState, log: &Log) -> Result<(), WalError> {
         if writes.is_empty() {
             return Ok(());
@@ -205,19 +208,18 @@
         self.disk.sync().map_err(disk_error("synced"))
     }
 
-    /// Notes beside the log up to where it is committed, so that a member knows so much at its next
-    /// start without asking the others. The note may be lost; it is never ahead of the log.
+    /// Writes the commit index to the disk's hint, so that the member knows it at its next start without
+    /// contact with the others. The hint may be lost; it is never ahead of the log.
     pub fn write_commit_hint(&mut self, commit: Index) {
         let mut bytes = commit.to_le_bytes().to_vec();
         bytes.extend(crc32fast::hash(&bytes).to_le_bytes());
         self.disk.write_hint(&bytes);
     }
 
-    /// Writes and syncs that the entries up to `commit` are committed, for a note may be lost with
-    /// the power.
+    /// Appends the commit index to the log and syncs, since the hint may be lost in a power failure.
     ///
     /// # Errors
-    /// [`WalError::Disk`], as for any write.
+    /// [`WalError::Disk`], as for [`Wal::write`].
     pub fn write_commit(&mut self, commit: Index) -> Result<(), WalError> {
         let mut bytes = Vec::new();
         encode(&mut bytes, &Record::Commit(commit));
@@ -241,7 +243,7 @@
     }
 }
 
-/// Whether a log holds what a file of the base format can't.
+/// Whether a log holds something that a file of [`FORMAT_BASE`] can't.
 fn above_base(log: &Log) -> bool {
     log.snapshot().store.level() > Level::BASE || log.from(0).iter().any(Entry::above_base)
 }
@@ -285,7 +287,7 @@
     })
 }
 
-/// Format of a file, by its first record; of one that was cut short in it, the first.
+/// Format that the first record states; [`FORMAT_BASE`] if that record is incomplete or damaged.
 fn file_format(bytes: &[u8]) -> Result<u32, WalError> {
     let found = match valid_payload(bytes).map(postcard::from_bytes::<Record>) {
         Some(Ok(Record::Identity { format, .. })) => format,
@@ -305,7 +307,7 @@
     }
 }
 
-/// Reads records up to a torn tail; returns them and where they end.
+/// Decodes the records up to an incomplete last one; returns them and the offset at which they end.
 fn decode(bytes: &[u8], tail: TailPolicy, format: u32) -> Result<(Vec<Record>, usize), WalError> {
     let mut records = Vec::new();
     let mut at = 0;
@@ -325,19 +327,19 @@
     Ok((records, at))
 }
 
-/// Whether a sound record begins anywhere behind the first byte.
+/// Whether a valid record begins at any offset after the first byte.
 fn valid_record_follows(rest: &[u8]) -> bool {
     (1..rest.len()).any(|at| valid_payload(&rest[at..]).is_some_and(|payload| !payload.is_empty()))
 }
 
-/// The payload of the record that `rest` begins with, if it is whole and valid.
+/// Payload of the record at the start of `rest`, if the record is complete and its checksums match.
 fn valid_payload(rest: &[u8]) -> Option<&[u8]> {
     let (len, check) = header(rest)?;
     let payload = rest.get(HEADER_BYTES..HEADER_BYTES + len)?;
     (crc32fast::hash(payload) == check).then_some(payload)
 }
 
-/// Length and checksum of the payload, if the header is whole and valid.
+/// Length and checksum of the payload, if the header is complete and its own checksum matches.
 fn header(rest: &[u8]) -> Option<(usize, u32)> {
     let u32_at = |at: usize| -> Option<u32> {
         let bytes = rest.get(at..at + 4)?;
@@ -347,11 +349,11 @@
     valid.then_some((u32_at(0)? as usize, u32_at(4)?))
 }
 
-/// Whether `rest` is an append cut short, rather than an acknowledged record gone bad: the file ends
-/// inside the record, or nothing of it was written and it reads as zeros.
+/// Whether `rest` is an append that was interrupted, rather than a damaged record that may have been
+/// acknowledged: the file ends inside the record, or all of it reads as zeros.
 ///
-/// A record written only in parts reads as damage: that stops a member without need, but never
-/// drops what was acknowledged.
+/// Any other partly written record counts as damaged. That may stop a member needlessly, but never
+/// drops acknowledged data.
 fn is_cut_short(rest: &[u8]) -> bool {
     if rest.len() < HEADER_BYTES {
         return true;
