--- a/src/store/command.rs
+++ b/src/store/command.rs
@@ -1,4 +1,4 @@
-//! What may be put in the replicated log, and what the store answers.
+//! Commands in the replicated log, and the store's answers to them.
 
 use std::collections::BTreeSet;
 
@@ -20,40 +20,41 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(from = "Encoded", into = "Encoded")]
 pub enum Command {
-    /// Submit or revise a template.
+    /// Submits or revises a template.
     Change(Box<Change>),
-    /// Start or end the drain of a host or target.
+    /// Starts or ends the drain of a host or target.
     Drain(Drain),
-    /// Start or end the move of an engine to another model.
+    /// Starts or ends the move of an engine to another model.
     Move(Move),
-    /// A router claims a request that must run at most once.
+    /// A router claims a request that must run at most once, before it runs it.
     Claim(Claim),
-    /// A router gives a claim back.
+    /// A router releases a claim.
     Release(Release),
-    /// An operator sends a whole configuration.
+    /// An operator sends a configuration document, whole or as a difference.
     Configure(PackedDocument),
-    /// Targets announce something new.
+    /// Targets announced something that the directory does not hold yet.
     Announce(Vec<NewAnnouncement>),
-    /// A target leaves for good, in the start that it names; in whichever it is where it names none.
+    /// A target was removed for good: the incarnation with the start time given, or the current one if
+    /// none is given.
     Remove(Incarnation),
-    /// Targets have not been heard for long.
+    /// Targets have sent no heartbeat for a long time.
     Silence(Vec<Incarnation>),
-    /// Targets have been there for a while.
+    /// Targets have been present long enough to get a home of their own.
     Settle(Vec<Incarnation>),
-    /// An operator evacuates a data hall, or takes it back into use.
+    /// An operator evacuates a data hall, or returns it to use.
     Evacuate(EvacuationOrder),
-    /// An operator wants the traffic of a service to move to another version.
+    /// An operator orders a roll-out: traffic of a service moves to another version in stages.
     Rollout(RolloutOrder),
-    /// A roll-out takes its next stage.
+    /// A roll-out enters its next stage.
     RolloutStep(RolloutStep),
-    /// Targets of data halls that were taken back into use are surely warm by now.
+    /// Targets of data halls that were returned to use have had enough time to warm up.
     WarmAgain(Vec<WarmAgain>),
-    /// Every process of the group knows this level, which it may use from now on.
+    /// Raises the level of the group, since all its processes support the new one.
     Raise(Level),
 }
 
 impl Command {
-    /// Level that a group must have before the command may stand in its log.
+    /// Level that a group must have before the command may be in its log.
     pub fn level(&self) -> Level {
         let base = match self {
             Command::Change(_)
@@ -79,21 +80,22 @@
     }
 }
 
-/// Something new that a target announces.
+/// An announcement of a target that changes the directory.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct NewAnnouncement {
-    /// What it says.
+    /// The announcement.
     pub announcement: Announcement,
-    /// Whether it gets a home now, rather than wait for one that somebody leaves.
+    /// Whether the target gets a new home at once, rather than wait to inherit one from a target that
+    /// ends.
     pub at_once: bool,
 }
 
-/// The move of an engine to another model, during which it gets no new work.
+/// Starts or ends the move of an engine to another model, during which it gets no new work.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Move {
-    /// The engine.
+    /// Name of the engine.
     pub engine: String,
-    /// What it is to load; `None` ends the move.
+    /// Models to load; `None` ends the move.
     pub to: Option<BTreeSet<Spec>>,
 }
 
@@ -102,7 +104,7 @@
 pub struct Moving {
     /// Revision from which routers send the engine no new work.
     pub since: Revision,
-    /// What it is to load.
+    /// Models to load.
     pub to: BTreeSet<Spec>,
 }
 
@@ -110,11 +112,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Change {
-    /// Chosen by the operator's client; the same id is the same change.
+    /// Chosen by the operator's client; a resent change has the same id.
     pub id: String,
     /// The version this change was based on; 0 for a template that does not exist yet.
     pub base: u64,
-    /// Operator who made it, set by the member that takes the call.
+    /// Operator who made the change; set by the member that receives it.
     pub author: String,
     /// The new content.
     pub template: Template,
@@ -131,24 +133,24 @@
     }
 }
 
-/// The start or end of a drain.
+/// Starts or ends a drain.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Drain {
-    /// Host or target, as the platform's list names it.
+    /// Name of the host or target in the platform's list.
     pub name: String,
-    /// True to drain, false to take back into use.
+    /// True to drain, false to end the drain.
     pub on: bool,
 }
 
-/// The answer to a command, the same for every resend.
+/// The answer to a command; a resent change gets the first answer again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Answer {
-    /// In force everywhere within the freshness lease.
+    /// Accepted; in force at every router within the freshness lease.
     Accepted {
-        /// Version of the template; 0 for a drain.
+        /// Version of the template; 0 for a drain or a move.
         version: u64,
-        /// Revision of the configuration that has it.
+        /// First revision of the configuration that contains the change.
         revision: Revision,
     },
     /// Based on a version that is not the one in force.
@@ -156,34 +158,35 @@
         /// Version in force; 0 when the template does not exist.
         in_force: u64,
     },
-    /// The content clashes with other templates in force.
+    /// The content conflicts with other templates in force.
     Rejected {
-        /// What clashes.
+        /// The conflicts.
         faults: Vec<Fault>,
     },
-    /// The id was used before for a different change.
+    /// The id was already used for a different change.
     IdReused,
     /// The verdict on a claim.
     Claim(Verdict),
-    /// The claim was given back.
+    /// The claim was released.
     Released,
-    /// The configuration with this version, or a higher one, is held.
+    /// The store holds this version of the configuration or a higher one.
     Configured {
         /// Version held.
         held: u64,
     },
-    /// The configuration came as a difference from a version that is not held; send it whole.
+    /// The configuration was sent as a difference from a version that the store does not hold; it must be
+    /// sent whole.
     WrongBase,
-    /// The directory of targets holds it.
+    /// The command was applied to the directory of targets or to other state.
     Listed,
-    /// What became of an order about a data hall.
+    /// The verdict on an order about a data hall.
     Evacuation(OrderVerdict),
-    /// What became of an order to roll a version out.
+    /// The verdict on a roll-out order.
     Rollout(RolloutVerdict),
 }
 
 impl Answer {
-    /// One word for logs and metrics.
+    /// Label for logs and metrics.
     pub fn label(&self) -> &'static str {
         match self {
             Answer::Accepted { .. } => "accepted",
--- a/src/store/config.rs
+++ b/src/store/config.rs
@@ -1,4 +1,4 @@
-//! What routers need of the store.
+//! The part of the store that routers need, and its updates.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,18 +7,18 @@
 use super::Revision;
 use crate::template::{Policy, Template};
 
-/// The part of the configuration that a router lacks.
+/// An update that brings a router's configuration to a newer revision.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Delta {
     /// Revision after applying this delta.
     pub revision: Revision,
     /// Templates changed since the router's revision.
     pub templates: Vec<Template>,
-    /// All hosts and targets that get no new work, when they changed since.
+    /// All hosts and targets that get no new work; `None` if unchanged since the router's revision.
     pub closed: Option<BTreeSet<String>>,
 }
 
-/// The configuration in force at a router: what it needs of the store.
+/// The configuration in force at a router.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Config {
     revision: Revision,
@@ -28,12 +28,12 @@
 }
 
 impl Config {
-    /// Revision in force here; 0 before the first.
+    /// Revision in force; 0 before the first update.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Takes a delta unless it is older than what is in force; tells whether it was taken.
+    /// Applies a delta unless it is older than the revision in force; returns whether it was applied.
     pub fn apply(&mut self, delta: Delta) -> bool {
         if delta.revision < self.revision {
             return false;
@@ -56,7 +56,7 @@
         true
     }
 
-    /// What is in force for `team`.
+    /// Policy in force for `team`.
     pub fn policy(&self, team: &str) -> Option<&Policy> {
         self.policies.get(team)
     }
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,5 +1,6 @@
-//! The replicated state of a partner: templates in force, their history, drains, and the first
-//! answer to every recent change.
+//! The replicated state of a partner: templates in force and their history, drains and moves, answers
+//! to recent changes, claims, the configuration document, the target directory, evacuations and
+//! roll-outs.
 //!
 //! Applying a command is deterministic: equal logs give equal stores on every member.
 
@@ -24,14 +25,14 @@
 pub use self::config::{Config, Delta};
 pub(crate) use self::saved::Format5 as StoreFormat5;
 
-/// Versions kept for each template.
+/// Maximum number of versions kept in the history of a template.
 pub const MAX_HISTORY_VERSIONS: usize = 50;
-/// First answers kept; at 2,400 changes a day this covers four days of resends.
+/// Maximum number of answers kept for resent changes; at 2,400 changes a day they cover four days.
 pub const MAX_SAVED_ANSWERS: usize = 10_000;
-/// Most templates of a partner.
+/// Maximum number of templates of a partner.
 pub const MAX_TEMPLATES: usize = 1_000;
 
-/// Position in the log of the last change to the configuration. Grows only.
+/// Log index of the last change to the configuration; never decreases.
 pub type Revision = u64;
 
 /// A template in force.
@@ -39,11 +40,11 @@
 pub struct StoredTemplate {
     /// Counts from 1 with each accepted change.
     pub version: u64,
-    /// Revision that brought this version.
+    /// Revision in which this version came into force.
     pub revision: Revision,
     /// The content.
     pub template: Template,
-    /// Past and present versions, oldest first, at most [`MAX_HISTORY_VERSIONS`].
+    /// Past versions and the current one, oldest first, at most [`MAX_HISTORY_VERSIONS`].
     pub history: VecDeque<Version>,
 }
 
@@ -52,7 +53,7 @@
 pub struct Version {
     /// Version number.
     pub version: u64,
-    /// Revision that brought it.
+    /// Revision in which it came into force.
     pub revision: Revision,
     /// Who made the change.
     pub author: String,
@@ -62,13 +63,14 @@
     pub template: Template,
 }
 
+/// A change and the answer to it, which a resend of the change gets again.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct FirstAnswer {
+struct SavedAnswer {
     change: Change,
     answer: Answer,
 }
 
-/// All templates of one partner.
+/// The replicated state of one partner.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Store {
     level: Level,
@@ -78,7 +80,9 @@
     moving: BTreeMap<String, Moving>,
     /// Revision that last changed `drains` or `moving`.
     closed_revision: Revision,
-    answers: BTreeMap<String, FirstAnswer>,
+    /// Answers to recent changes, by id of the change.
+    answers: BTreeMap<String, SavedAnswer>,
+    /// Ids in `answers`, oldest first.
     answer_order: VecDeque<String>,
     claims: Claims,
     document: Option<Document>,
@@ -88,7 +92,7 @@
 }
 
 impl Store {
-    /// What the group may use.
+    /// Feature level of the group.
     pub fn level(&self) -> Level {
         self.level
     }
@@ -108,12 +112,12 @@
         &self.drains
     }
 
-    /// The configuration document held.
+    /// The current configuration document, if any.
     pub fn document(&self) -> Option<&Document> {
         self.document.as_ref()
     }
 
-    /// Targets that announced themselves.
+    /// Directory of the targets that announced themselves.
     pub fn directory(&self) -> &Directory {
         &self.directory
     }
@@ -133,12 +137,13 @@
         &self.claims
     }
 
-    /// Engines on their way to another model.
+    /// Engines that are moving to another model, by name.
     pub fn moving(&self) -> &BTreeMap<String, Moving> {
         &self.moving
     }
 
-    /// Applies the command at log position `index`; one of a higher level shows that the group has that level.
+    /// Applies the command at log position `index`. A command that needs a higher level than the store's
+    /// raises it, since it is proposed only in a group that has that level.
     pub fn apply(&mut self, index: u64, command: Command) -> Answer {
         self.raise(command.level());
         match command {
@@ -199,7 +204,8 @@
         }
     }
 
-    /// Lets the group use more; what it could not tell of targets so far comes with their next word.
+    /// Raises the level. At [`Level::STARTS`], the directory then expects the known targets to report their
+    /// start times with their next announcement, which the base level could not hold.
     fn raise(&mut self, level: Level) {
         if self.level < Level::STARTS && level >= Level::STARTS {
             self.directory.expect_starts();
@@ -207,12 +213,13 @@
         self.level = self.level.max(level);
     }
 
+    /// Advances the revision to that of the directory.
     fn listed(&mut self) -> Answer {
         self.revision = self.revision.max(self.directory.revision());
         Answer::Listed
     }
 
-    /// The highest version holds; the first content that came under a version is its content.
+    /// Keeps the document with the highest version; of two with the same version, the first.
     fn apply_document(&mut self, index: u64, packed: &PackedDocument) -> Answer {
         let held = self.document.as_ref().map_or(0, |held| held.version);
         if packed.version <= held {
@@ -254,27 +261,28 @@
         }
         let answer = self.decide(index, &change);
         if matches!(answer, Answer::Accepted { .. }) {
-            self.put(index, change.clone());
+            self.put_template(index, change.clone());
         }
-        self.remember(change, answer.clone());
+        self.save_answer(change, answer.clone());
         answer
     }
 
+    /// The answer to a change that was not seen before.
     fn decide(&self, index: u64, change: &Change) -> Answer {
         let name = &change.template.name;
         let in_force = self.templates.get(name).map_or(0, |stored| stored.version);
         if change.base != in_force {
             return Answer::Conflict { in_force };
         }
-        let faults = self.clashes(&change.template);
+        let faults = self.conflicts(&change.template);
         if !faults.is_empty() {
             return Answer::Rejected { faults };
         }
         Answer::Accepted { version: in_force + 1, revision: index }
     }
 
-    /// What `template` would break among the other templates in force.
-    fn clashes(&self, template: &Template) -> Vec<Fault> {
+    /// Conflicts of `template` with the other templates in force.
+    fn conflicts(&self, template: &Template) -> Vec<Fault> {
         let mut faults = Vec::new();
         let others = || {
             self.templates
@@ -303,7 +311,7 @@
         faults
     }
 
-    fn put(&mut self, index: u64, change: Change) {
+    fn put_template(&mut self, index: u64, change: Change) {
         let name = change.template.name.clone();
         let stored = self.templates.entry(name).or_insert_with(|| StoredTemplate {
             version: 0,
@@ -327,9 +335,9 @@
         self.revision = index;
     }
 
-    fn remember(&mut self, change: Change, answer: Answer) {
+    fn save_answer(&mut self, change: Change, answer: Answer) {
         let id = change.id.clone();
-        self.answers.insert(id.clone(), FirstAnswer { change, answer });
+        self.answers.insert(id.clone(), SavedAnswer { change, answer });
         self.answer_order.push_back(id);
         if self.answer_order.len() > MAX_SAVED_ANSWERS
             && let Some(oldest) = self.answer_order.pop_front()
@@ -338,7 +346,7 @@
         }
     }
 
-    /// What a router at revision `known` still lacks.
+    /// Update for a router that has revision `known`.
     pub fn since(&self, known: Revision) -> Delta {
         let templates = self
             .templates
--- a/src/store/saved.rs
+++ b/src/store/saved.rs
@@ -1,5 +1,5 @@
-//! How a store is saved: as the first build knows it while the group is at the base level, else behind a mark that
-//! can't be a revision.
+//! Encoding of a store. At the base level it is the encoding of the first build; above it, a marker
+//! that can't be a revision comes first, then the level and the store.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -9,7 +9,7 @@
 use serde::ser::{Error as _, SerializeTuple};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use super::{Document, FirstAnswer, Moving, Revision, Store, StoredTemplate};
+use super::{Document, Moving, Revision, SavedAnswer, Store, StoredTemplate};
 use crate::claims::Claims;
 use crate::compat::base;
 use crate::directory::{Directory, Saved as SavedDirectory};
@@ -17,25 +17,25 @@
 use crate::level::Level;
 use crate::rollout::Rollouts;
 
-/// Stands in place of the revision where a level and a store of that level follow.
+/// Takes the place of the revision if a level and a store of that level follow.
 const LEVEL_MARKER: Revision = Revision::MAX;
-/// Most elements of a saved store.
+/// Upper bound on the elements of an encoded store; the decoder stops after those that it needs.
 const MAX_ELEMENTS: usize = 8;
 
-/// What is alike in every form, but for the revision, which comes first.
+/// Fields that all encodings have, besides the revision, which precedes them.
 #[derive(Serialize, Deserialize)]
 struct CommonFields<'a> {
     templates: Cow<'a, BTreeMap<String, StoredTemplate>>,
     drains: Cow<'a, BTreeSet<String>>,
     moving: Cow<'a, BTreeMap<String, Moving>>,
     closed_revision: Revision,
-    answers: Cow<'a, BTreeMap<String, FirstAnswer>>,
+    answers: Cow<'a, BTreeMap<String, SavedAnswer>>,
     answer_order: Cow<'a, VecDeque<String>>,
     claims: Cow<'a, Claims>,
     document: Cow<'a, Option<Document>>,
 }
 
-/// A store at the base level, with its fields by name.
+/// A store at the base level, for encodings with field names (JSON).
 #[derive(Serialize, Deserialize)]
 struct BaseFields<'a> {
     revision: Revision,
@@ -44,17 +44,17 @@
     directory: base::Directory,
 }
 
-/// A store of [`Level::STARTS`] and above, behind what is alike.
+/// Further fields of a store of [`Level::STARTS`] or above, after the common ones.
 #[derive(Serialize, Deserialize)]
 struct StartsFields<'a> {
     directory: Cow<'a, Directory>,
     evacuations: Cow<'a, Evacuations>,
     rollouts: Cow<'a, Rollouts>,
-    /// Targets of the directory that are known by their identity alone.
+    /// Ids of the targets in the directory whose start times are not known yet.
     undated: Vec<String>,
 }
 
-/// A store as it was in logs of format 5, which had no levels.
+/// A store as encoded in logs of format 5, which was written before there were levels.
 #[derive(Deserialize)]
 #[serde(from = "Format5Fields")]
 pub(crate) struct Format5(pub(crate) Store);
@@ -128,7 +128,9 @@
             };
         }
         if serializer.is_human_readable() {
-            return Err(S::Error::custom("a store above the base level has no text form"));
+            return Err(S::Error::custom(
+                "a store above the base level can be written only in the binary format",
+            ));
         }
         let starts = StartsFields {
             directory: Cow::Borrowed(&self.directory),
@@ -176,8 +178,9 @@
         let level: Level = next(&mut seq)?;
         if level > Level::NEWEST {
             let newest = Level::NEWEST;
-            let why = format!("the store has level {level}, this version knows up to {newest}");
-            return Err(A::Error::custom(why));
+            let message =
+                format!("the store has level {level}, this version supports levels up to {newest}");
+            return Err(A::Error::custom(message));
         }
         let revision: Revision = next(&mut seq)?;
         let common: CommonFields<'static> = next(&mut seq)?;
@@ -190,5 +193,5 @@
 }
 
 fn next<'de, T: Deserialize<'de>, A: SeqAccess<'de>>(seq: &mut A) -> Result<T, A::Error> {
-    seq.next_element()?.ok_or_else(|| A::Error::custom("a saved store is cut short"))
+    seq.next_element()?.ok_or_else(|| A::Error::custom("the saved store is truncated"))
 }
