--- a/src/raft/node.rs
+++ b/src/raft/node.rs
@@ -150,7 +150,7 @@
         std::mem::take(&mut self.ready)
     }
 
-    /// Forms a new group from a member that belongs to none.
+    /// Forms a new group from this member, which must not belong to one yet.
     pub fn form(&mut self, group: GroupId, members: Members) {
         self.set_hard(HardState { group, ..self.hard });
         let snapshot =
--- a/src/raft/replica.rs
+++ b/src/raft/replica.rs
@@ -108,7 +108,7 @@
         self.node.hard().group == GroupId::default()
     }
 
-    /// Forms a new group, if this member belongs to none.
+    /// Forms a new group from this member, which must not belong to one yet.
     pub fn form(&mut self, group: GroupId, members: Members) {
         self.node.form(group, members);
     }
--- a/src/raft/wal.rs
+++ b/src/raft/wal.rs
@@ -143,7 +143,8 @@
     /// An incomplete last record is removed: its write was never acknowledged.
     ///
     /// # Errors
-    /// [`WalError`] when the disk fails, a record before the last is damaged, or the format is unknown.
+    /// [`WalError`] when the disk fails, the format is unknown, or a record is damaged that may have been
+    /// acknowledged (see [`TailPolicy`]).
     pub fn open(
         mut disk: D,
         tail: TailPolicy,
--- a/src/store/command.rs
+++ b/src/store/command.rs
@@ -177,7 +177,7 @@
     /// The configuration was sent as a difference from a version that the store does not hold; it must be
     /// sent whole.
     WrongBase,
-    /// The command was applied to the directory of targets or to other state.
+    /// The command was applied; the answer carries nothing else.
     Listed,
     /// The verdict on an order about a data hall.
     Evacuation(OrderVerdict),
