--- a/src/raft/election.rs
+++ b/src/raft/election.rs
@@ -1,4 +1,5 @@
-//! Elections: pre-votes, votes, and the silence that voters keep towards others while a leader lives.
+//! Elections: pre-votes and votes. A voter that has contact with a leader grants neither, so that a
+//! leader is not replaced while its lease may hold.
 
 use rand::RngExt;
 
@@ -6,23 +7,25 @@
 use super::{Body, HardState, Position, Role, StoreId, Term, Time};
 
 impl Node {
-    /// Whether a leader was heard so recently that its lease may hold.
-    pub(super) fn hears_leader(&self, now: Time) -> bool {
+    /// Whether this member leads or has had contact with a leader so recently that the leader's lease
+    /// may still hold.
+    pub(super) fn has_leader_contact(&self, now: Time) -> bool {
         match self.role {
             Role::Leader => true,
-            _ => now < self.heard_at + self.timing.election_min,
+            _ => now < self.leader_contact_at + self.timing.election_min,
         }
     }
 
     pub(super) fn on_pre_vote(&mut self, now: Time, from: StoreId, term: Term, last: Position) {
-        let granted = term > self.hard.term && last >= self.log.last() && !self.hears_leader(now);
+        let granted =
+            term > self.hard.term && last >= self.log.last() && !self.has_leader_contact(now);
         let reply_term = if granted { term } else { self.hard.term };
         self.send_in(reply_term, from, Body::PreVoteReply { granted });
     }
 
     pub(super) fn on_vote(&mut self, now: Time, from: StoreId, last: Position) {
-        let free = self.hard.vote.is_none() || self.hard.vote == Some(from);
-        let granted = free && last >= self.log.last() && self.role == Role::Follower;
+        let vote_free = self.hard.vote.is_none() || self.hard.vote == Some(from);
+        let granted = vote_free && last >= self.log.last() && self.role == Role::Follower;
         if granted {
             self.set_hard(HardState { vote: Some(from), ..self.hard });
             self.reset_campaign(now);
@@ -52,6 +55,7 @@
         }
     }
 
+    /// Starts a pre-vote, if this member is a voter.
     pub(super) fn pre_campaign(&mut self, now: Time) {
         self.reset_campaign(now);
         if !self.members().voters().any(|id| id == self.id) {
@@ -61,21 +65,22 @@
         self.leader = None;
         self.votes.clear();
         let last = self.log.last();
-        self.ask_voters(self.hard.term + 1, Body::PreVote { last });
+        self.send_to_voters(self.hard.term + 1, Body::PreVote { last });
         self.on_vote_reply(now, self.id, Role::PreCandidate, true);
     }
 
+    /// Raises the term, votes for itself and requests the other votes.
     pub(super) fn campaign(&mut self, now: Time) {
         self.role = Role::Candidate;
         self.votes.clear();
         self.set_hard(HardState { term: self.hard.term + 1, vote: Some(self.id), ..self.hard });
         self.reset_campaign(now);
         let last = self.log.last();
-        self.ask_voters(self.hard.term, Body::Vote { last });
+        self.send_to_voters(self.hard.term, Body::Vote { last });
         self.on_vote_reply(now, self.id, Role::Candidate, true);
     }
 
-    pub(super) fn ask_voters(&mut self, term: Term, body: Body) {
+    pub(super) fn send_to_voters(&mut self, term: Term, body: Body) {
         let voters: Vec<StoreId> = self.members().voters().collect();
         for id in voters {
             if id != self.id {
@@ -84,8 +89,9 @@
         }
     }
 
+    /// Draws a new random time at which this member campaigns unless a leader contacts it before.
     pub(super) fn reset_campaign(&mut self, now: Time) {
-        let spread = self.timing.election_min..self.timing.election_max;
-        self.campaign_at = now + self.rng.random_range(spread);
+        let timeout_range = self.timing.election_min..self.timing.election_max;
+        self.campaign_at = now + self.rng.random_range(timeout_range);
     }
 }
--- a/src/raft/format5.rs
+++ b/src/raft/format5.rs
@@ -1,4 +1,5 @@
-//! Records of logs of format 5, whose commands and stores had no levels.
+//! Decoding of log files of format 5, which was written before there were feature levels. Variants and
+//! fields are in the order of that format.
 
 use serde::Deserialize;
 
@@ -9,7 +10,7 @@
 use crate::document::PackedDocument;
 use crate::evacuations::{EvacuationOrder, WarmAgain};
 use crate::rollout::{RolloutOrder, RolloutStep};
-use crate::store::{Change, Command, Drain, Move, Sight, StoreFormat5};
+use crate::store::{Change, Command, Drain, Move, NewAnnouncement, StoreFormat5};
 
 #[derive(Deserialize)]
 pub(super) enum Format5Record {
@@ -51,7 +52,7 @@
     Claim(Claim),
     Release(Release),
     Configure(PackedDocument),
-    Announce(Vec<Sight>),
+    Announce(Vec<NewAnnouncement>),
     Remove(Incarnation),
     Silence(Vec<Incarnation>),
     Settle(Vec<Incarnation>),
--- a/src/raft/node.rs
+++ b/src/raft/node.rs
@@ -6,25 +6,27 @@
 use rand::rngs::SmallRng;
 
 use super::{
-    AppendResult, Body, Entry, Envelope, GroupId, HardState, Index, Log, Members, NotLeader,
-    Payload, Position, Ready, Role, Snapshot, StoreId, Term, Time, Timing, Upkeep, Write,
+    AppendResult, Body, Entry, Envelope, GroupId, HardState, Index, Log, Members, MembershipRules,
+    NotLeader, Payload, Position, Ready, Role, Snapshot, StoreId, Term, Time, Timing, Write,
 };
 
-/// What a leader knows of another member.
+/// Replication state of another member, kept by the leader.
 #[derive(Clone, Debug)]
 pub(super) struct Progress {
+    /// Highest index up to which the member's log is known to match the leader's.
     pub(super) matched: Index,
+    /// Index of the next entry to send.
     pub(super) next: Index,
-    /// Sending time of the newest round that the member answered.
+    /// When the newest heartbeat round to which the member replied was sent.
     pub(super) acked_at: Option<Time>,
     /// When a snapshot was last sent.
     pub(super) snapshot_sent: Option<Time>,
-    /// Whether the member refused entries and has taken none since: then one message with entries
-    /// goes at a time.
+    /// Whether the member rejected entries and has accepted none since. Then at most one message with
+    /// entries is sent per heartbeat interval.
     pub(super) probing: bool,
-    /// When the last of these went.
+    /// When the last such message was sent.
     pub(super) probed_at: Option<Time>,
-    /// When the leader began to send to the member.
+    /// When the leader began to track the member.
     pub(super) since: Time,
 }
 
@@ -38,28 +40,29 @@
     pub(super) role: Role,
     pub(super) leader: Option<StoreId>,
     pub(super) commit: Index,
-    /// Last entry handed out as committed.
-    pub(super) handed: Index,
+    /// Index of the last committed entry put into a [`Ready`].
+    pub(super) delivered: Index,
     pub(super) votes: BTreeSet<StoreId>,
     pub(super) progress: BTreeMap<StoreId, Progress>,
-    /// First index of the leader's own term.
+    /// Index of the leader's first entry in its term.
     pub(super) term_start: Index,
     pub(super) round: u64,
-    /// Sending times of the rounds not older than the lease.
+    /// Heartbeat rounds of the last `election_max`, with the time at which each was sent.
     pub(super) rounds: VecDeque<(u64, Time)>,
     pub(super) heartbeat_at: Time,
     pub(super) campaign_at: Time,
-    /// When a leader was last heard; at the start taken as just now, for a vote may be forgotten.
-    pub(super) heard_at: Time,
-    /// Time of the newest input.
+    /// When this member last had contact with a leader; for a leader, when it was elected. At start-up
+    /// it is the current time, since a vote or a contact from before the restart may be forgotten.
+    pub(super) leader_contact_at: Time,
+    /// Time of the last input.
     pub(super) now: Time,
-    /// Keeps the number of voters up by itself, where set.
-    pub(super) upkeep: Option<Upkeep>,
+    /// Rules by which this member, while it leads, changes the membership by itself; `None` for never.
+    pub(super) membership_rules: Option<MembershipRules>,
     pub(super) ready: Ready,
 }
 
 impl Node {
-    /// A member with what its disk held.
+    /// A follower with the state recovered from its disk.
     pub fn new(
         id: StoreId,
         timing: Timing,
@@ -78,7 +81,7 @@
             role: Role::Follower,
             leader: None,
             commit,
-            handed: commit,
+            delivered: commit,
             votes: BTreeSet::new(),
             progress: BTreeMap::new(),
             term_start: 0,
@@ -86,21 +89,21 @@
             rounds: VecDeque::new(),
             heartbeat_at: now,
             campaign_at: now,
-            heard_at: now,
+            leader_contact_at: now,
             now,
-            upkeep: None,
+            membership_rules: None,
             ready: Ready::default(),
         };
         node.reset_campaign(now);
         node
     }
 
-    /// Learns from its own disk that the entries up to `commit` are committed.
-    pub(super) fn know_committed(&mut self, commit: Index) {
+    /// Sets the commit index recovered from the member's own disk.
+    pub(super) fn restore_commit(&mut self, commit: Index) {
         self.commit = self.commit.max(commit.min(self.log.last().index));
     }
 
-    /// Identity of this member's store.
+    /// Identity of this member's disk.
     pub fn id(&self) -> StoreId {
         self.id
     }
@@ -110,12 +113,12 @@
         self.hard
     }
 
-    /// Part played now.
+    /// Current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Leader of the term, where known.
+    /// Leader of the term, if known.
     pub fn leader(&self) -> Option<StoreId> {
         self.leader
     }
@@ -130,24 +133,24 @@
         &self.log
     }
 
-    /// Members in effect.
+    /// Membership in effect.
     pub fn members(&self) -> &Members {
         self.log.members().0
     }
 
-    /// Takes out what is to be done.
+    /// Takes the outputs that have accumulated since the last call.
     pub fn take_ready(&mut self) -> Ready {
-        for entry in self.log.from(self.handed + 1) {
+        for entry in self.log.from(self.delivered + 1) {
             if entry.index > self.commit {
                 break;
             }
             self.ready.committed.push(entry.clone());
         }
-        self.handed = self.handed.max(self.commit);
+        self.delivered = self.delivered.max(self.commit);
         std::mem::take(&mut self.ready)
     }
 
-    /// Makes a blank member the first of a new group.
+    /// Forms a new group from this member, which must not belong to one yet.
     pub fn form(&mut self, group: GroupId, members: Members) {
         self.set_hard(HardState { group, ..self.hard });
         let snapshot =
@@ -155,47 +158,47 @@
         self.restore(snapshot);
     }
 
-    /// Whether this member leads and surely no other does: a quorum has answered it within the
-    /// lease, and all that earlier leaders committed is known to it.
+    /// Whether this member certainly is the only leader and knows all committed entries: a quorum has
+    /// replied to a heartbeat sent within the lease, and an entry of its own term is committed.
     pub fn lease_valid(&self, now: Time) -> bool {
         if self.role != Role::Leader || self.commit < self.term_start {
             return false;
         }
-        self.quorum_acked(now).is_some_and(|acked| now < acked + self.timing.lease())
+        self.quorum_acked_at(now).is_some_and(|acked| now < acked + self.timing.lease())
     }
 
-    /// Until when what this member has applied is surely not outdated by more than the time that
-    /// it takes a leader's news to arrive; `None` when it hears no leader.
+    /// Time until which the applied state is up to date, but for the time that a leader's message
+    /// takes to arrive; `None` without contact with a leader.
     pub fn fresh_until(&self, now: Time) -> Option<Time> {
         match self.role {
             Role::Leader if self.commit < self.term_start => None,
-            Role::Leader => Some(self.quorum_acked(now)? + self.timing.lease()),
-            _ => self.leader.map(|_| self.heard_at + self.timing.election_min),
+            Role::Leader => Some(self.quorum_acked_at(now)? + self.timing.lease()),
+            _ => self.leader.map(|_| self.leader_contact_at + self.timing.election_min),
         }
     }
 
-    /// Since when this member leads.
+    /// When this member was elected, if it leads.
     pub fn leading_since(&self) -> Option<Time> {
-        (self.role == Role::Leader).then_some(self.heard_at)
+        (self.role == Role::Leader).then_some(self.leader_contact_at)
     }
 
-    /// Whether the leader heard `id` within an election period, and the last index on its disk.
-    pub fn heard(&self, now: Time, id: StoreId) -> (bool, Index) {
-        (self.recently_heard(now, id), self.matched(id))
+    /// For the leader: whether `id` has replied recently, and the last index that it has on disk.
+    pub fn follower_progress(&self, now: Time, id: StoreId) -> (bool, Index) {
+        (self.recently_acked(now, id), self.matched(id))
     }
 
-    /// When time must pass next, by [`Node::tick`], unless an input comes first.
+    /// When [`Node::tick`] must be called next, unless another input comes first.
     pub fn next_tick(&self) -> Time {
         if self.role == Role::Leader { self.heartbeat_at } else { self.campaign_at }
     }
 
-    /// Lets time pass.
+    /// Handles the heartbeat or the election timeout, if due.
     pub fn tick(&mut self, now: Time) {
         self.now = now;
         if self.role == Role::Leader {
             self.check_quorum(now);
             if self.role == Role::Leader && now >= self.heartbeat_at {
-                self.maintain(now);
+                self.maintain_members(now);
                 self.broadcast(now);
             }
         } else if now >= self.campaign_at {
@@ -203,7 +206,7 @@
         }
     }
 
-    /// Adds an entry to the log of the group.
+    /// Appends an entry to the log and sends it to the other members.
     ///
     /// # Errors
     /// [`NotLeader`] unless this member leads.
@@ -213,20 +216,21 @@
             return Err(NotLeader { leader: self.leader });
         }
         let position = self.append(payload);
-        self.send_news(now);
+        self.send_new_entries(now);
         self.advance_commit();
         Ok(position)
     }
 
-    /// Proposes the next step of bringing a newcomer in, if one can be taken now.
+    /// Proposes the next step by which `id` becomes a voter, if this member leads and a step is possible
+    /// now. The address must not belong to another member that has replied recently.
     pub fn admit(&mut self, now: Time, id: StoreId, addr: std::net::SocketAddr) {
         let (members, changed_at) = self.log.members();
-        let settled = self.commit >= changed_at && self.commit >= self.term_start;
-        if self.role != Role::Leader || !settled {
+        let confirmed = self.commit >= changed_at && self.commit >= self.term_start;
+        if self.role != Role::Leader || !confirmed {
             return;
         }
         let occupant = members.0.iter().find(|member| member.addr == addr && member.id != id);
-        if occupant.is_some_and(|member| self.recently_heard(now, member.id)) {
+        if occupant.is_some_and(|member| self.recently_acked(now, member.id)) {
             return;
         }
         let progress = self.progress.get(&id);
@@ -236,7 +240,7 @@
         }
     }
 
-    /// Puts the store as of `index` in place of the log up to there.
+    /// Replaces the log up to `index` by a snapshot of the store at that index.
     pub fn compact(&mut self, index: Index, store: crate::store::Store) {
         let Some(term) = self.log.term_at(index) else {
             return;
@@ -250,7 +254,7 @@
         self.ready.writes.push(Write::Snapshot(Box::new(snapshot)));
     }
 
-    /// Takes a message.
+    /// Handles a message from another member; drops it if it is for another member or group.
     pub fn receive(&mut self, now: Time, message: Envelope) {
         self.now = now;
         let blank = self.hard.group == GroupId::default();
@@ -285,12 +289,13 @@
         }
     }
 
-    /// Compares the term of a message with ours; tells whether the message is to be handled.
+    /// Compares the term of a message with this member's, and follows a higher term. Returns whether the
+    /// message is to be handled.
     fn accept_term(&mut self, now: Time, message: &Envelope) -> bool {
         match &message.body {
             Body::PreVote { .. } => return true,
             Body::PreVoteReply { granted: true } => return message.term == self.hard.term + 1,
-            Body::Vote { .. } if message.term > self.hard.term && self.hears_leader(now) => {
+            Body::Vote { .. } if message.term > self.hard.term && self.has_leader_contact(now) => {
                 return false;
             }
             _ => {}
@@ -324,7 +329,7 @@
     pub(super) fn become_leader(&mut self, now: Time) {
         self.role = Role::Leader;
         self.leader = Some(self.id);
-        self.heard_at = now;
+        self.leader_contact_at = now;
         self.rounds.clear();
         self.progress.clear();
         self.term_start = self.append(Payload::Noop).index;
@@ -342,11 +347,11 @@
         self.reset_campaign(now);
     }
 
-    /// Recognizes the sender of an append as the leader of the term.
+    /// Follows the sender of an append or a snapshot as the leader of the term.
     pub(super) fn follow(&mut self, now: Time, leader: StoreId) {
         self.role = Role::Follower;
         self.leader = Some(leader);
-        self.heard_at = now;
+        self.leader_contact_at = now;
         self.reset_campaign(now);
     }
 
--- a/src/store/saved.rs
+++ b/src/store/saved.rs
@@ -1,5 +1,5 @@
-//! How a store is saved: as the first build knows it while the group is at the base level, else behind a mark that
-//! can't be a revision.
+//! Encoding of a store. At the base level it is the encoding of the first build; above it, a marker
+//! that can't be a revision comes first, then the level and the store.
 
 use std::borrow::Cow;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -9,7 +9,7 @@
 use serde::ser::{Error as _, SerializeTuple};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use super::{Document, FirstAnswer, Moving, Revision, Store, Stored};
+use super::{Document, Moving, Revision, SavedAnswer, Store, StoredTemplate};
 use crate::claims::Claims;
 use crate::compat::base;
 use crate::directory::{Directory, Saved as SavedDirectory};
@@ -17,44 +17,44 @@
 use crate::level::Level;
 use crate::rollout::Rollouts;
 
-/// Stands in place of the revision where a level and a store of that level follow.
-const LEVEL_FOLLOWS: Revision = Revision::MAX;
-/// Most elements of a saved store.
-const ELEMENTS: usize = 8;
+/// Takes the place of the revision if a level and a store of that level follow.
+const LEVEL_MARKER: Revision = Revision::MAX;
+/// Upper bound on the elements of an encoded store; the decoder stops after those that it needs.
+const MAX_ELEMENTS: usize = 8;
 
-/// What is alike in every form, but for the revision, which comes first.
+/// Fields that all encodings have, besides the revision, which precedes them.
 #[derive(Serialize, Deserialize)]
-struct Rest<'a> {
-    templates: Cow<'a, BTreeMap<String, Stored>>,
+struct CommonFields<'a> {
+    templates: Cow<'a, BTreeMap<String, StoredTemplate>>,
     drains: Cow<'a, BTreeSet<String>>,
     moving: Cow<'a, BTreeMap<String, Moving>>,
     closed_revision: Revision,
-    answers: Cow<'a, BTreeMap<String, FirstAnswer>>,
+    answers: Cow<'a, BTreeMap<String, SavedAnswer>>,
     answer_order: Cow<'a, VecDeque<String>>,
     claims: Cow<'a, Claims>,
     document: Cow<'a, Option<Document>>,
 }
 
-/// A store at the base level, with its fields by name.
+/// A store at the base level, for encodings with field names (JSON).
 #[derive(Serialize, Deserialize)]
-struct Named<'a> {
+struct BaseFields<'a> {
     revision: Revision,
     #[serde(flatten)]
-    rest: Rest<'a>,
+    common: CommonFields<'a>,
     directory: base::Directory,
 }
 
-/// A store of [`Level::STARTS`] and above, behind what is alike.
+/// Further fields of a store of [`Level::STARTS`] or above, after the common ones.
 #[derive(Serialize, Deserialize)]
-struct Starts<'a> {
+struct StartsFields<'a> {
     directory: Cow<'a, Directory>,
     evacuations: Cow<'a, Evacuations>,
     rollouts: Cow<'a, Rollouts>,
-    /// Targets of the directory that are known by their identity alone.
+    /// Ids of the targets in the directory whose start times are not known yet.
     undated: Vec<String>,
 }
 
-/// A store as it was in logs of format 5, which had no levels.
+/// A store as encoded in logs of format 5, which was written before there were levels.
 #[derive(Deserialize)]
 #[serde(from = "Format5Fields")]
 pub(crate) struct Format5(pub(crate) Store);
@@ -62,7 +62,7 @@
 #[derive(Deserialize)]
 struct Format5Fields {
     revision: Revision,
-    rest: Rest<'static>,
+    common: CommonFields<'static>,
     directory: Directory,
     evacuations: Evacuations,
     rollouts: Rollouts,
@@ -70,15 +70,15 @@
 
 impl From<Format5Fields> for Format5 {
     fn from(fields: Format5Fields) -> Self {
-        let Format5Fields { revision, rest, directory, evacuations, rollouts } = fields;
-        let store = rest.into_store(revision, Level::STARTS, directory);
+        let Format5Fields { revision, common, directory, evacuations, rollouts } = fields;
+        let store = common.into_store(revision, Level::STARTS, directory);
         Format5(Store { evacuations, rollouts, ..store })
     }
 }
 
-impl<'a> Rest<'a> {
+impl<'a> CommonFields<'a> {
     fn of(store: &'a Store) -> Self {
-        Rest {
+        CommonFields {
             templates: Cow::Borrowed(&store.templates),
             drains: Cow::Borrowed(&store.drains),
             moving: Cow::Borrowed(&store.moving),
@@ -119,28 +119,30 @@
 
 impl Serialize for Store {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let rest = Rest::of(self);
+        let common = CommonFields::of(self);
         if self.level == Level::BASE {
             let (revision, directory) = (self.revision, base_directory(self));
             return match serializer.is_human_readable() {
-                true => Named { revision, rest, directory }.serialize(serializer),
-                false => (revision, rest, directory).serialize(serializer),
+                true => BaseFields { revision, common, directory }.serialize(serializer),
+                false => (revision, common, directory).serialize(serializer),
             };
         }
         if serializer.is_human_readable() {
-            return Err(S::Error::custom("a store above the base level has no text form"));
+            return Err(S::Error::custom(
+                "a store above the base level can be written only in the binary format",
+            ));
         }
-        let starts = Starts {
+        let starts = StartsFields {
             directory: Cow::Borrowed(&self.directory),
             evacuations: Cow::Borrowed(&self.evacuations),
             rollouts: Cow::Borrowed(&self.rollouts),
             undated: self.directory.undated(),
         };
-        let mut tuple = serializer.serialize_tuple(ELEMENTS)?;
-        tuple.serialize_element(&LEVEL_FOLLOWS)?;
+        let mut tuple = serializer.serialize_tuple(MAX_ELEMENTS)?;
+        tuple.serialize_element(&LEVEL_MARKER)?;
         tuple.serialize_element(&self.level)?;
         tuple.serialize_element(&self.revision)?;
-        tuple.serialize_element(&rest)?;
+        tuple.serialize_element(&common)?;
         tuple.serialize_element(&starts)?;
         tuple.end()
     }
@@ -149,10 +151,11 @@
 impl<'de> Deserialize<'de> for Store {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         if deserializer.is_human_readable() {
-            let Named { revision, rest, directory: saved } = Named::deserialize(deserializer)?;
-            return Ok(rest.into_store(revision, Level::BASE, directory(saved)));
+            let BaseFields { revision, common, directory: saved } =
+                BaseFields::deserialize(deserializer)?;
+            return Ok(common.into_store(revision, Level::BASE, directory(saved)));
         }
-        deserializer.deserialize_tuple(ELEMENTS, StoreVisitor)
+        deserializer.deserialize_tuple(MAX_ELEMENTS, StoreVisitor)
     }
 }
 
@@ -167,27 +170,28 @@
 
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Store, A::Error> {
         let first: Revision = next(&mut seq)?;
-        if first != LEVEL_FOLLOWS {
-            let rest: Rest<'static> = next(&mut seq)?;
+        if first != LEVEL_MARKER {
+            let common: CommonFields<'static> = next(&mut seq)?;
             let saved: base::Directory = next(&mut seq)?;
-            return Ok(rest.into_store(first, Level::BASE, directory(saved)));
+            return Ok(common.into_store(first, Level::BASE, directory(saved)));
         }
         let level: Level = next(&mut seq)?;
         if level > Level::NEWEST {
             let newest = Level::NEWEST;
-            let why = format!("the store has level {level}, this version knows up to {newest}");
-            return Err(A::Error::custom(why));
+            let message =
+                format!("the store has level {level}, this version supports levels up to {newest}");
+            return Err(A::Error::custom(message));
         }
         let revision: Revision = next(&mut seq)?;
-        let rest: Rest<'static> = next(&mut seq)?;
-        let starts: Starts<'static> = next(&mut seq)?;
+        let common: CommonFields<'static> = next(&mut seq)?;
+        let starts: StartsFields<'static> = next(&mut seq)?;
         let directory = starts.directory.into_owned().with_undated(starts.undated);
-        let store = rest.into_store(revision, level, directory);
+        let store = common.into_store(revision, level, directory);
         let evacuations = starts.evacuations.into_owned();
         Ok(Store { evacuations, rollouts: starts.rollouts.into_owned(), ..store })
     }
 }
 
 fn next<'de, T: Deserialize<'de>, A: SeqAccess<'de>>(seq: &mut A) -> Result<T, A::Error> {
-    seq.next_element()?.ok_or_else(|| A::Error::custom("a saved store is cut short"))
+    seq.next_element()?.ok_or_else(|| A::Error::custom("the saved store is truncated"))
 }
