--- a/src/compat/base.rs
+++ b/src/compat/base.rs
@@ -8,7 +8,7 @@
 
 use super::command::Encoded;
 use crate::blob::BlobId;
-use crate::directory::{self, Born, Incarnation, TargetState};
+use crate::directory::{self, Incarnation, StartTime, TargetState};
 use crate::group::loads::Loads;
 use crate::group::message::BlobSource;
 use crate::raft::{Envelope, Index, StoreId};
@@ -40,7 +40,7 @@
         let Announcement { id, service, addr, data_hall, slots, state, sequence } = announcement;
         directory::Announcement {
             id,
-            born: Born::default(),
+            born: StartTime::default(),
             service,
             version: String::new(),
             addr,
@@ -100,21 +100,21 @@
         directory::Saved {
             revision: directory.revision,
             entries: directory.entries.into_iter().map(entry).collect(),
-            over: over.map(|(id, revision)| (id, Born::default(), revision)).collect(),
+            over: over.map(|(id, revision)| (id, StartTime::default(), revision)).collect(),
             forgotten: directory.forgotten,
         }
     }
 }
 
 /// Whether the first build could say this of a target.
-pub fn can_say(announcement: &directory::Announcement) -> bool {
+pub fn can_encode_announcement(announcement: &directory::Announcement) -> bool {
     announcement.born.0.is_none()
         && announcement.version.is_empty()
         && announcement.cold_left.is_zero()
 }
 
 /// Whether the first build could name this target: it knows no starts.
-pub fn can_name(target: &Incarnation) -> bool {
+pub fn can_encode_target(target: &Incarnation) -> bool {
     target.born.0.is_none()
 }
 
@@ -125,7 +125,7 @@
 
 /// A target in whichever start it is.
 pub fn incarnation(id: String) -> Incarnation {
-    Incarnation { id, born: Born::default() }
+    Incarnation { id, born: StartTime::default() }
 }
 
 /// A frame to a member.
--- a/src/dialect.rs
+++ b/src/dialect.rs
@@ -12,7 +12,7 @@
 
 use crate::checks::Checks;
 use crate::configuration::Configuration;
-use crate::directory::{Announcement, Born, TargetState};
+use crate::directory::{Announcement, StartTime, TargetState};
 use crate::jsonc::{self, Fault, Validate};
 use crate::retry_after::RetryAfter;
 use crate::rollout::{Rollout, Stage};
@@ -198,12 +198,12 @@
     ///
     /// # Errors
     /// What can't be read, with the path of the field.
-    fn departure(&self, bytes: &[u8]) -> Result<Born, Vec<Fault>> {
+    fn departure(&self, bytes: &[u8]) -> Result<StartTime, Vec<Fault>> {
         if bytes.is_empty() {
-            return Ok(Born::default());
+            return Ok(StartTime::default());
         }
         let departure: Departure = jsonc::from_open_slice(bytes)?;
-        Ok(Born(departure.born))
+        Ok(StartTime(departure.born))
     }
 
     /// Decodes an operator's call for a roll-out.
@@ -451,7 +451,7 @@
         let heartbeat: OwnHeartbeat = jsonc::from_slice(bytes)?;
         Ok(Announcement {
             id: id.to_owned(),
-            born: Born(heartbeat.born),
+            born: StartTime(heartbeat.born),
             service: heartbeat.service,
             version: heartbeat.version,
             addr: heartbeat.addr,
--- a/src/directory/entry.rs
+++ b/src/directory/entry.rs
@@ -27,7 +27,7 @@
     /// Identity of the target, which it may have again after a start.
     pub id: String,
     /// When it started, by its own clock: tells its starts apart.
-    pub born: Born,
+    pub born: StartTime,
     /// Service that it belongs to.
     pub service: String,
     /// Version of its software; empty where it does not say.
@@ -53,12 +53,12 @@
     }
 
     /// What of it a group of this level may hold.
-    pub fn at(self, level: Level) -> Self {
+    pub fn limited_to(self, level: Level) -> Self {
         if level >= Level::STARTS {
             return self;
         }
         Announcement {
-            born: Born::default(),
+            born: StartTime::default(),
             version: String::new(),
             cold_left: Duration::ZERO,
             ..self
@@ -76,7 +76,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Born(pub Option<u64>);
+pub struct StartTime(pub Option<u64>);
 
 /// One start of a target.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -84,7 +84,7 @@
     /// Identity of the target.
     pub id: String,
     /// When it started.
-    pub born: Born,
+    pub born: StartTime,
 }
 
 /// A target in the directory.
@@ -130,7 +130,7 @@
 }
 
 /// Short form of one start of a target; that of its identity where it does not say when it started.
-fn incarnation_key(id: &str, born: Born) -> u64 {
+fn incarnation_key(id: &str, born: StartTime) -> u64 {
     match born.0 {
         Some(born) => xxh3_64_with_seed(id.as_bytes(), born),
         None => key(id),
@@ -139,13 +139,13 @@
 
 /// What became of a heartbeat.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Heartbeat {
+pub enum HeartbeatClass {
     /// It brings nothing new.
-    Known,
+    Unchanged,
     /// It must go into the log before it is acknowledged.
-    News,
+    Changed,
     /// It is older than what is known, or of a start that was removed or that another one followed.
-    Late,
+    Stale,
 }
 
 /// What a gateway lacks of the directory.
--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -19,13 +19,13 @@
 use serde::{Deserialize, Serialize};
 
 pub use self::entry::{
-    Announcement, Born, DirectoryDelta, DirectoryEntry, Heartbeat, Incarnation, Listed, Moved,
-    TargetState, key,
+    Announcement, DirectoryDelta, DirectoryEntry, HeartbeatClass, Incarnation, Listed, Moved,
+    StartTime, TargetState, key,
 };
 use crate::store::Revision;
 
 /// Starts of targets that are over and are remembered, so that late heartbeats of theirs are known as such.
-pub const REMOVED_LEN: usize = 4_096;
+pub const MAX_ENDED_INCARNATIONS: usize = 4_096;
 
 /// All targets that are there.
 ///
@@ -36,9 +36,9 @@
     revision: Revision,
     targets: OrdMap<Id, Arc<DirectoryEntry>>,
     /// Starts that are over with the revision that ended them, oldest first.
-    over: Vector<(Id, Born, Revision)>,
+    over: Vector<(Id, StartTime, Revision)>,
     /// The same by target.
-    over_by_id: OrdMap<Id, OrdSet<Born>>,
+    over_by_id: OrdMap<Id, OrdSet<StartTime>>,
     /// Ends up to this revision have been forgotten.
     forgotten: Revision,
     /// Targets by the revision that last changed them.
@@ -59,7 +59,7 @@
 pub(crate) struct Saved {
     pub(crate) revision: Revision,
     pub(crate) entries: Vec<DirectoryEntry>,
-    pub(crate) over: Vec<(String, Born, Revision)>,
+    pub(crate) over: Vec<(String, StartTime, Revision)>,
     pub(crate) forgotten: Revision,
 }
 
@@ -126,7 +126,7 @@
     }
 
     /// Whether this start of a target was removed, or another one followed it.
-    pub fn is_over(&self, id: &str, born: Born) -> bool {
+    pub fn has_ended(&self, id: &str, born: StartTime) -> bool {
         self.over_by_id.get(id).is_some_and(|over| over.contains(&born))
     }
 
@@ -136,34 +136,34 @@
     }
 
     /// What a heartbeat brings.
-    pub fn judge(&self, heartbeat: &Announcement) -> Heartbeat {
-        if self.is_over(&heartbeat.id, heartbeat.born) {
-            return Heartbeat::Late;
+    pub fn classify(&self, heartbeat: &Announcement) -> HeartbeatClass {
+        if self.has_ended(&heartbeat.id, heartbeat.born) {
+            return HeartbeatClass::Stale;
         }
         let Some(known) = self.get(&heartbeat.id) else {
             // One that said before when it started always says so.
             let says_less = heartbeat.born.0.is_none() && self.was_removed(&heartbeat.id);
-            return if says_less { Heartbeat::Late } else { Heartbeat::News };
+            return if says_less { HeartbeatClass::Stale } else { HeartbeatClass::Changed };
         };
         if heartbeat.born != known.born {
             return match self.dates(known, heartbeat) {
-                true => Heartbeat::News,
+                true => HeartbeatClass::Changed,
                 false => follows(known, heartbeat),
             };
         }
         if heartbeat.sequence < known.sequence {
-            return Heartbeat::Late;
+            return HeartbeatClass::Stale;
         }
         if DirectoryEntry::says_nothing_new(known, heartbeat) {
-            Heartbeat::Known
+            HeartbeatClass::Unchanged
         } else {
-            Heartbeat::News
+            HeartbeatClass::Changed
         }
     }
 
     /// Takes a heartbeat that brings news.
     pub fn announce(&mut self, index: Revision, heartbeat: Announcement) {
-        if self.judge(&heartbeat) != Heartbeat::News {
+        if self.classify(&heartbeat) != HeartbeatClass::Changed {
             return;
         }
         let (id, service) = (heartbeat.id.clone(), heartbeat.service.clone());
@@ -191,7 +191,7 @@
     }
 
     /// Gives homes of their own to targets that have been there for a while.
-    pub fn settle(&mut self, index: Revision, targets: &[Incarnation]) {
+    pub fn assign_homes(&mut self, index: Revision, targets: &[Incarnation]) {
         for target in targets {
             let Some(entry) = self.start_of(target) else {
                 continue;
@@ -205,7 +205,7 @@
     }
 
     /// From now on the targets that are there may tell when they started, and are the same targets.
-    pub fn expect_starts(&mut self) {
+    pub fn expect_start_times(&mut self) {
         let undated = self.targets.iter().filter(|(_, entry)| entry.announcement.born.0.is_none());
         self.undated = undated.map(|(id, _)| id.clone()).collect();
     }
@@ -236,7 +236,7 @@
     }
 
     /// Targets that take new work and have no home.
-    pub fn unsettled(&self) -> impl Iterator<Item = &Announcement> {
+    pub fn ready_without_home(&self) -> impl Iterator<Item = &Announcement> {
         let ids = self.homeless.values().flat_map(|of_service| of_service.iter());
         ids.filter_map(|(_, id)| self.get(id))
     }
@@ -315,7 +315,7 @@
     }
 
     /// Marks targets that have not been heard for long.
-    pub fn silence(&mut self, index: Revision, targets: &[Incarnation]) {
+    pub fn mark_unresponsive(&mut self, index: Revision, targets: &[Incarnation]) {
         for target in targets {
             let entry = self.start_of(target);
             if entry.is_some_and(|entry| entry.announcement.state != TargetState::Silent) {
@@ -328,7 +328,7 @@
 
     /// Removes a target for good, in the start that says so; in whichever it is where that is not said. Word of a start
     /// that is over, or that was never heard, removes nothing.
-    pub fn remove(&mut self, index: Revision, id: &str, born: Born) {
+    pub fn remove(&mut self, index: Revision, id: &str, born: StartTime) {
         if self.was_removed(id) {
             return;
         }
@@ -357,10 +357,10 @@
     }
 
     /// Remembers a start that is over, and forgets the oldest of too many.
-    fn remember(&mut self, id: Id, born: Born, index: Revision) {
+    fn remember(&mut self, id: Id, born: StartTime, index: Revision) {
         self.over_by_id.entry(id.clone()).or_default().insert(born);
         self.over.push_back((id, born, index));
-        if self.over.len() > REMOVED_LEN
+        if self.over.len() > MAX_ENDED_INCARNATIONS
             && let Some((oldest, born, revision)) = self.over.pop_front()
         {
             drop_from(&mut self.over_by_id, &oldest, &born);
@@ -369,16 +369,16 @@
     }
 
     /// Whether what changed since the revision `known` is known; else a gateway that has it needs the whole list.
-    pub fn remembers(&self, known: Revision) -> bool {
+    pub fn has_changes_since(&self, known: Revision) -> bool {
         known > 0 && known >= self.forgotten && known <= self.revision
     }
 
     /// What a gateway that has revision `known` lacks; `None` when it lacks nothing.
-    pub fn since(&self, known: Revision) -> Option<DirectoryDelta> {
+    pub fn delta_since(&self, known: Revision) -> Option<DirectoryDelta> {
         if known == self.revision {
             return None;
         }
-        let whole = !self.remembers(known);
+        let whole = !self.has_changes_since(known);
         let (changed, moved) = if whole { (self.all(), Vec::new()) } else { self.after(known) };
         let newest_first = self.over.iter().rev();
         let over = newest_first.take_while(|(.., revision)| !whole && *revision > known);
@@ -409,10 +409,10 @@
 ///
 /// A later time tells so. An earlier one may be of a start before, whose first word was held up; or of a clock that
 /// stepped back, and then the known one is heard no more.
-fn follows(known: &Announcement, heartbeat: &Announcement) -> Heartbeat {
+fn follows(known: &Announcement, heartbeat: &Announcement) -> HeartbeatClass {
     let later = heartbeat.born > known.born;
     let stepped_back = heartbeat.born.0.is_some() && known.state == TargetState::Silent;
-    if later || stepped_back { Heartbeat::News } else { Heartbeat::Late }
+    if later || stepped_back { HeartbeatClass::Changed } else { HeartbeatClass::Stale }
 }
 
 /// Drops a value from a service's set, and the set once it is empty, so that equal directories have
--- a/src/group/deltas.rs
+++ b/src/group/deltas.rs
@@ -69,8 +69,10 @@
             cached.revision == newest || recent
         };
         self.cached.retain(|_, cached| usable(cached));
-        let base = match directory.remembers(known) {
-            true => Some(shared_base(newest, known)).filter(|base| directory.remembers(*base)),
+        let base = match directory.has_changes_since(known) {
+            true => {
+                Some(shared_base(newest, known)).filter(|base| directory.has_changes_since(*base))
+            }
             // A gateway whose revision is not remembered gets the whole list.
             false => Some(0),
         };
@@ -78,7 +80,7 @@
         if let Some(cached) = self.cached.get(&base).filter(|cached| cached.revision > known) {
             return Ok(Some(cached.missing.clone()));
         }
-        let Some(delta) = directory.since(base) else {
+        let Some(delta) = directory.delta_since(base) else {
             return Ok(None);
         };
         let packer = match &mut self.packer {
--- a/src/group/endpoints.rs
+++ b/src/group/endpoints.rs
@@ -20,7 +20,7 @@
 use super::rollout::RolloutError;
 use super::{Shared, Unavailable};
 use crate::dialect::Door;
-use crate::directory::{Announcement, Born, Incarnation};
+use crate::directory::{Announcement, Incarnation, StartTime};
 use crate::document::{Document, MAX_DOCUMENT_BYTES};
 use crate::jsonc::{Fault, Validate};
 use crate::level::Level;
@@ -255,8 +255,8 @@
         }
     };
     let published = shared.published();
-    let born = if published.level < Level::STARTS { Born::default() } else { born };
-    if published.directory.was_removed(id) || published.directory.is_over(id, born) {
+    let born = if published.level < Level::STARTS { StartTime::default() } else { born };
+    if published.directory.was_removed(id) || published.directory.has_ended(id, born) {
         return empty_response(StatusCode::OK);
     }
     match shared.propose(Command::Remove(Incarnation { id: id.to_owned(), born })).await {
--- a/src/group/heartbeats.rs
+++ b/src/group/heartbeats.rs
@@ -15,7 +15,7 @@
 use super::{Shared, Unavailable};
 use crate::clock::Instant;
 use crate::control::member::Published;
-use crate::directory::{Announcement, Heartbeat};
+use crate::directory::{Announcement, HeartbeatClass};
 use crate::level::Level;
 use crate::store::{Answer, Command, Sight};
 use crate::sync::lock;
@@ -75,7 +75,7 @@
         announcement: Announcement,
     ) -> Result<HeartbeatOutcome, Unavailable> {
         // The leader gets the whole announcement, and reduces it itself to what the level of the group allows in the log.
-        let supported = announcement.clone().at(self.level());
+        let supported = announcement.clone().limited_to(self.level());
         if self.can_answer_locally(&supported) {
             lock(&self.heard).add(supported.key());
             return Ok(HeartbeatOutcome::Unchanged);
@@ -87,7 +87,7 @@
     fn can_answer_locally(&self, announcement: &Announcement) -> bool {
         let standing = self.member.standing();
         let confirmed = || lock(&self.heard).confirmed_recently(self.now());
-        let unchanged = || self.classify(announcement) != Heartbeat::News;
+        let unchanged = || self.classify(announcement) != HeartbeatClass::Changed;
         !standing.leads && standing.fresh(Instant::now()) && confirmed() && unchanged()
     }
 
@@ -113,8 +113,8 @@
     }
 
     /// Classifies a heartbeat by the directory that this member holds.
-    fn classify(&self, announcement: &Announcement) -> Heartbeat {
-        self.member.published().borrow().directory.judge(announcement)
+    fn classify(&self, announcement: &Announcement) -> HeartbeatClass {
+        self.member.published().borrow().directory.classify(announcement)
     }
 
     /// Handles heartbeats as the leader; those that change the directory are committed together.
@@ -126,9 +126,9 @@
         {
             let mut liveness = lock(&self.liveness);
             for announcement in announcements {
-                let announcement = announcement.at(level);
+                let announcement = announcement.limited_to(level);
                 liveness.record_heartbeat(now, announcement.key());
-                let changed = directory.judge(&announcement) == Heartbeat::News;
+                let changed = directory.classify(&announcement) == HeartbeatClass::Changed;
                 outcomes.push(if changed {
                     HeartbeatOutcome::Changed
                 } else {
--- a/src/group/liveness.rs
+++ b/src/group/liveness.rs
@@ -88,7 +88,7 @@
         leads: bool,
         directory: &Directory,
     ) -> Vec<Incarnation> {
-        let waiting = directory.unsettled().filter(|_| leads);
+        let waiting = directory.ready_without_home().filter(|_| leads);
         let waiting: HashSet<Incarnation> = waiting.map(Announcement::incarnation).collect();
         self.without_home.retain(|target, _| waiting.contains(target));
         for target in waiting {
--- a/src/store/command.rs
+++ b/src/store/command.rs
@@ -63,11 +63,11 @@
             | Command::Release(_)
             | Command::Configure(_) => true,
             Command::Announce(sights) => {
-                matches!(sights.as_slice(), [sight] if base::can_say(&sight.announcement))
+                matches!(sights.as_slice(), [sight] if base::can_encode_announcement(&sight.announcement))
             }
-            Command::Remove(target) => base::can_name(target),
+            Command::Remove(target) => base::can_encode_target(target),
             Command::Silence(targets) | Command::Settle(targets) => {
-                targets.iter().all(base::can_name)
+                targets.iter().all(base::can_encode_target)
             }
             Command::Evacuate(_)
             | Command::Rollout(_)
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -156,7 +156,7 @@
                     let target = announcement.incarnation();
                     self.directory.announce(index, announcement);
                     if at_once {
-                        self.directory.settle(index, &[target]);
+                        self.directory.assign_homes(index, &[target]);
                     }
                 }
                 self.listed()
@@ -166,11 +166,11 @@
                 self.listed()
             }
             Command::Settle(targets) => {
-                self.directory.settle(index, &targets);
+                self.directory.assign_homes(index, &targets);
                 self.listed()
             }
             Command::Silence(targets) => {
-                self.directory.silence(index, &targets);
+                self.directory.mark_unresponsive(index, &targets);
                 self.listed()
             }
             Command::WarmAgain(halls) => {
@@ -202,7 +202,7 @@
     /// Lets the group use more; what it could not tell of targets so far comes with their next word.
     fn raise(&mut self, level: Level) {
         if self.level < Level::STARTS && level >= Level::STARTS {
-            self.directory.expect_starts();
+            self.directory.expect_start_times();
         }
         self.level = self.level.max(level);
     }
--- a/tests/compat/commands.rs
+++ b/tests/compat/commands.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use latchmount::directory::{Announcement, Born, Incarnation, TargetState};
+use latchmount::directory::{Announcement, Incarnation, StartTime, TargetState};
 use latchmount::evacuations::{EvacuationOrder, WarmAgain};
 use latchmount::level::Level;
 use latchmount::rollout::{RolloutOrder, RolloutStep, Stage};
@@ -12,8 +12,8 @@
 /// Variants that the first build knows.
 const BASE_VARIANTS: u8 = 10;
 
-fn born() -> impl Strategy<Value = Born> {
-    prop::option::of(0_u64..5).prop_map(Born)
+fn born() -> impl Strategy<Value = StartTime> {
+    prop::option::of(0_u64..5).prop_map(StartTime)
 }
 
 fn announcement() -> impl Strategy<Value = Announcement> {
@@ -84,7 +84,7 @@
     fn what_a_group_of_the_base_level_may_hold_of_a_target_the_first_build_can_say(
         announcement in announcement(),
     ) {
-        let sight = Sight { announcement: announcement.at(Level::BASE), at_once: false };
+        let sight = Sight { announcement: announcement.limited_to(Level::BASE), at_once: false };
         prop_assert_eq!(Command::Announce(vec![sight]).level(), Level::BASE);
     }
 }
--- a/tests/compat/samples.rs
+++ b/tests/compat/samples.rs
@@ -5,7 +5,7 @@
 
 use latchmount::blob::{Blob, Content};
 use latchmount::directory::{
-    Announcement, Born, DirectoryDelta, Incarnation, Listed, Moved, TargetState, key,
+    Announcement, DirectoryDelta, Incarnation, Listed, Moved, StartTime, TargetState, key,
 };
 use latchmount::document::Document;
 use latchmount::evacuations::{EvacuationOrder, WarmAgain};
@@ -25,7 +25,7 @@
 pub fn target(id: &str) -> Announcement {
     Announcement {
         id: id.into(),
-        born: Born(None),
+        born: StartTime(None),
         service: "s".into(),
         version: String::new(),
         addr: ([10, 0, 0, 7], 80).into(),
@@ -40,7 +40,7 @@
 /// The same target, which tells all.
 pub fn start(id: &str, born: u64) -> Announcement {
     let cold_left = Duration::from_millis(200);
-    Announcement { born: Born(Some(born)), version: "v2".into(), cold_left, ..target(id) }
+    Announcement { born: StartTime(Some(born)), version: "v2".into(), cold_left, ..target(id) }
 }
 
 pub fn incarnation(id: &str) -> Incarnation {
--- a/tests/compat/stores.rs
+++ b/tests/compat/stores.rs
@@ -1,6 +1,6 @@
 //! Stores of both levels, saved and read again.
 
-use latchmount::directory::{Heartbeat, TargetState};
+use latchmount::directory::{HeartbeatClass, TargetState};
 use latchmount::level::Level;
 use latchmount::store::{Command, Sight, Store};
 
@@ -46,7 +46,7 @@
     announce(&mut store, 3, start("t1", 7));
     let known = store.directory().get("t1").expect("it is there");
     assert_eq!(known.born, start("t1", 7).born);
-    assert!(!store.directory().is_over("t1", target("t1").born), "no start has ended");
+    assert!(!store.directory().has_ended("t1", target("t1").born), "no start has ended");
 }
 
 // Its count of heartbeats begins anew, so the known start is over.
@@ -56,7 +56,7 @@
     announce(&mut store, 1, target("t1"));
     store.apply(2, Command::Raise(Level::STARTS));
     announce(&mut store, 3, latchmount::directory::Announcement { sequence: 1, ..start("t1", 7) });
-    assert!(store.directory().is_over("t1", target("t1").born));
+    assert!(store.directory().has_ended("t1", target("t1").born));
 }
 
 #[test]
@@ -66,9 +66,9 @@
     store.apply(2, Command::Raise(Level::STARTS));
     let saved = postcard::to_stdvec(&store).expect("a store");
     let mut again: Store = postcard::from_bytes(&saved).expect("a store");
-    assert_eq!(again.directory().judge(&start("t1", 7)), Heartbeat::News);
+    assert_eq!(again.directory().classify(&start("t1", 7)), HeartbeatClass::Changed);
     announce(&mut again, 3, start("t1", 7));
-    assert_eq!(again.directory().judge(&start("t1", 7)), Heartbeat::Known);
+    assert_eq!(again.directory().classify(&start("t1", 7)), HeartbeatClass::Unchanged);
     let known = again.directory().get("t1").expect("it is there");
     assert_eq!(known.state, TargetState::Ready);
 }
--- a/tests/directory.rs
+++ b/tests/directory.rs
@@ -6,7 +6,9 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use latchmount::directory::{Announcement, Born, Directory, Heartbeat, Incarnation, TargetState};
+use latchmount::directory::{
+    Announcement, Directory, HeartbeatClass, Incarnation, StartTime, TargetState,
+};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -29,14 +31,14 @@
     fn announce(&mut self, index: u64, heartbeat: &Announcement) {
         let id = heartbeat.id.clone();
         let start = heartbeat.incarnation();
-        let says_less = start.born == Born(None) && self.over.iter().any(|over| over.id == id);
+        let says_less = start.born == StartTime(None) && self.over.iter().any(|over| over.id == id);
         if self.over.contains(&start) || (!self.targets.contains_key(&id) && says_less) {
             return;
         }
         if let Some(known) = self.targets.get(&id).map(|entry| entry.announcement.clone())
             && known.born != heartbeat.born
         {
-            let silent = known.state == TargetState::Silent && heartbeat.born != Born(None);
+            let silent = known.state == TargetState::Silent && heartbeat.born != StartTime(None);
             if heartbeat.born < known.born && !silent {
                 return;
             }
@@ -125,7 +127,7 @@
     fn remove(&mut self, index: u64, target: &Incarnation) {
         let known = self.targets.get(&target.id).map(|entry| entry.announcement.clone());
         match known {
-            Some(known) if target.born == Born(None) || target.born == known.born => {
+            Some(known) if target.born == StartTime(None) || target.born == known.born => {
                 self.end(index, &known);
             }
             Some(_) => {}
@@ -136,8 +138,8 @@
 }
 
 /// When a start was, by a clock that may step; at times it is not said.
-fn born(rng: &mut StdRng) -> Born {
-    Born(rng.random_bool(0.8).then(|| rng.random_range(1..5)))
+fn born(rng: &mut StdRng) -> StartTime {
+    StartTime(rng.random_bool(0.8).then(|| rng.random_range(1..5)))
 }
 
 fn heartbeat(rng: &mut StdRng, state: TargetState, sequence: u64) -> Announcement {
@@ -158,7 +160,7 @@
 
 /// Everything that gateways can see, with homes.
 fn seen(directory: &Directory) -> BTreeMap<String, (Announcement, Option<u32>)> {
-    let all = directory.since(0).map(|delta| delta.changed).unwrap_or_default();
+    let all = directory.delta_since(0).map(|delta| delta.changed).unwrap_or_default();
     let all = all.into_iter();
     all.map(|listed| (listed.announcement.id.clone(), (listed.announcement, listed.home))).collect()
 }
@@ -185,11 +187,11 @@
                     naive.announce(index, &draining);
                 }
                 7..10 => {
-                    directory.settle(index, std::slice::from_ref(&target));
+                    directory.assign_homes(index, std::slice::from_ref(&target));
                     naive.settle(index, &target);
                 }
                 10 => {
-                    directory.silence(index, std::slice::from_ref(&target));
+                    directory.mark_unresponsive(index, std::slice::from_ref(&target));
                     naive.silence(index, &target);
                 }
                 _ if rng.random_bool(0.3) => {
@@ -206,16 +208,16 @@
             let homeless = expected.values().filter(|(announcement, home)| {
                 home.is_none() && announcement.state == TargetState::Ready
             });
-            assert_eq!(directory.unsettled().count(), homeless.count());
+            assert_eq!(directory.ready_without_home().count(), homeless.count());
         }
         let saved = postcard::to_stdvec(&directory).expect("it can be saved");
         let restored: Directory = postcard::from_bytes(&saved).expect("it can be read");
         assert_eq!(restored, directory);
         let known = heartbeat(&mut rng, TargetState::Ready, 1_000);
-        assert_eq!(restored.judge(&known), directory.judge(&known));
+        assert_eq!(restored.classify(&known), directory.classify(&known));
         assert!(naive.over.iter().all(|over| {
             let gone = Announcement { id: over.id.clone(), born: over.born, ..known.clone() };
-            restored.judge(&gone) == Heartbeat::Late
+            restored.classify(&gone) == HeartbeatClass::Stale
         }));
     }
 }
--- a/tests/gateway/cold.rs
+++ b/tests/gateway/cold.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use latchmount::directory::{Announcement, Directory, Heartbeat, TargetState};
+use latchmount::directory::{Announcement, Directory, HeartbeatClass, TargetState};
 use latchmount::gateway::cold::{ColdRule, ColdState};
 use latchmount::gateway::fleet_size::FleetSize;
 use rand::rngs::StdRng;
@@ -209,13 +209,13 @@
 fn the_end_of_a_start_and_another_start_are_news_and_the_time_between_is_not() {
     let mut directory = Directory::default();
     directory.announce(1, cold(1, 3_000));
-    assert_eq!(directory.judge(&cold(2, 1_800)), Heartbeat::Known);
-    assert_eq!(directory.judge(&cold(3, 0)), Heartbeat::News);
+    assert_eq!(directory.classify(&cold(2, 1_800)), HeartbeatClass::Unchanged);
+    assert_eq!(directory.classify(&cold(3, 0)), HeartbeatClass::Changed);
     directory.announce(2, cold(3, 0));
-    assert_eq!(directory.judge(&cold(4, 0)), Heartbeat::Known);
-    assert_eq!(directory.judge(&cold(5, 2_000)), Heartbeat::News);
+    assert_eq!(directory.classify(&cold(4, 0)), HeartbeatClass::Unchanged);
+    assert_eq!(directory.classify(&cold(5, 2_000)), HeartbeatClass::Changed);
     directory.announce(3, cold(5, 2_000));
-    assert_eq!(directory.judge(&cold(6, 2_900)), Heartbeat::News);
-    let delta = directory.since(2).expect("a change");
+    assert_eq!(directory.classify(&cold(6, 2_900)), HeartbeatClass::Changed);
+    let delta = directory.delta_since(2).expect("a change");
     assert_eq!(delta.moved[0].cold_left, Duration::from_millis(2_000));
 }
--- a/tests/gateway/deltas.rs
+++ b/tests/gateway/deltas.rs
@@ -94,7 +94,7 @@
         lists.insert(directory.revision(), list(&directory));
         for known in lists.keys().copied().filter(|known| *known > 0) {
             let base = shared_base(directory.revision(), known);
-            let Some(delta) = directory.since(base) else {
+            let Some(delta) = directory.delta_since(base) else {
                 continue;
             };
             let mut list_there = lists[&known].clone();
--- a/tests/gateway/directory.rs
+++ b/tests/gateway/directory.rs
@@ -1,6 +1,8 @@
 //! The directory of targets: heartbeats, homes, differences.
 
-use latchmount::directory::{Announcement, Born, Directory, Heartbeat, Incarnation, TargetState};
+use latchmount::directory::{
+    Announcement, Directory, HeartbeatClass, Incarnation, StartTime, TargetState,
+};
 use latchmount::group::listing::Packer;
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -13,7 +15,7 @@
 pub(crate) fn heartbeat(id: &str, state: TargetState, sequence: u64) -> Announcement {
     Announcement {
         id: id.into(),
-        born: Born::default(),
+        born: StartTime::default(),
         service: "s".into(),
         version: "v1".into(),
         addr: SocketAddr::from(([10, 0, 0, 1], 80)),
@@ -27,21 +29,27 @@
 
 /// A target that does not say when it started.
 pub(crate) fn first_start(id: &str) -> Incarnation {
-    Incarnation { id: id.to_owned(), born: Born::default() }
+    Incarnation { id: id.to_owned(), born: StartTime::default() }
 }
 
 #[test]
 fn heartbeats_are_news_known_or_late() {
     let mut directory = Directory::default();
     let ready = heartbeat("a", TargetState::Ready, 5);
-    assert_eq!(directory.judge(&ready), Heartbeat::News);
+    assert_eq!(directory.classify(&ready), HeartbeatClass::Changed);
     directory.announce(10, ready);
-    assert_eq!(directory.judge(&heartbeat("a", TargetState::Ready, 6)), Heartbeat::Known);
+    assert_eq!(
+        directory.classify(&heartbeat("a", TargetState::Ready, 6)),
+        HeartbeatClass::Unchanged
+    );
     directory.announce(11, heartbeat("a", TargetState::Draining, 8));
-    assert_eq!(directory.judge(&heartbeat("a", TargetState::Ready, 7)), Heartbeat::Late);
-    assert_eq!(directory.judge(&heartbeat("a", TargetState::Draining, 9)), Heartbeat::Known);
-    directory.remove(12, "a", Born::default());
-    assert_eq!(directory.judge(&heartbeat("a", TargetState::Ready, 99)), Heartbeat::Late);
+    assert_eq!(directory.classify(&heartbeat("a", TargetState::Ready, 7)), HeartbeatClass::Stale);
+    assert_eq!(
+        directory.classify(&heartbeat("a", TargetState::Draining, 9)),
+        HeartbeatClass::Unchanged
+    );
+    directory.remove(12, "a", StartTime::default());
+    assert_eq!(directory.classify(&heartbeat("a", TargetState::Ready, 99)), HeartbeatClass::Stale);
     assert!(directory.targets().next().is_none());
 }
 
@@ -57,9 +65,9 @@
     for id in &ids {
         directory.announce(next(), heartbeat(id, TargetState::Ready, 1));
     }
-    directory.settle(next(), &ids.iter().map(|id| first_start(id)).collect::<Vec<_>>());
+    directory.assign_homes(next(), &ids.iter().map(|id| first_start(id)).collect::<Vec<_>>());
     let homes = |directory: &Directory| -> BTreeMap<String, u32> {
-        let delta = directory.since(0).expect("changes");
+        let delta = directory.delta_since(0).expect("changes");
         let changed = delta.changed.into_iter();
         changed.filter_map(|listed| Some((listed.announcement.id, listed.home?))).collect()
     };
@@ -72,9 +80,9 @@
     let left = expected.remove("old2").expect("it had one");
     expected.insert("new".into(), left);
     assert_eq!(homes(&directory), expected);
-    directory.remove(next(), "old2", Born::default());
+    directory.remove(next(), "old2", StartTime::default());
     assert_eq!(homes(&directory), expected);
-    directory.remove(next(), "old1", Born::default());
+    directory.remove(next(), "old1", StartTime::default());
     expected.remove("old1");
     assert_eq!(homes(&directory), expected, "without a newcomer there is a gap");
     directory.announce(next(), heartbeat("later", TargetState::Ready, 1));
@@ -95,12 +103,12 @@
         match rng.random_range(0..10) {
             0..6 => directory.announce(index, heartbeat(&id, TargetState::Ready, index)),
             6 => directory.announce(index, heartbeat(&id, TargetState::Draining, index)),
-            7 => directory.silence(index, &[first_start(&id)]),
-            _ => directory.remove(index, &id, Born::default()),
+            7 => directory.mark_unresponsive(index, &[first_start(&id)]),
+            _ => directory.remove(index, &id, StartTime::default()),
         }
         let at = rng.random_range(0..followers.len());
         let (known, targets) = &mut followers[at];
-        if let Some(delta) = directory.since(*known) {
+        if let Some(delta) = directory.delta_since(*known) {
             let packed = packer.pack(delta).expect("it encodes");
             let delta = packed.unpack().expect("it decodes");
             if delta.whole {
