--- a/src/compat/base.rs
+++ b/src/compat/base.rs
@@ -132,7 +132,7 @@
 #[derive(Serialize, Deserialize)]
 pub enum ToMember<'a> {
     /// Messages of the agreement, and where their sender is reached.
-    Agreement {
+    Raft {
         /// Where the sender is reached.
         from: SocketAddr,
         /// The messages.
@@ -157,11 +157,11 @@
     /// What a gateway has in flight.
     Loads(Cow<'a, Loads>),
     /// Version of the configuration that a gateway works by.
-    InForce(u64),
+    ConfigurationInForce(u64),
     /// A gateway has a parcel.
-    Has(BlobId),
+    HasBlob(BlobId),
     /// A gateway could not fetch a parcel.
-    Lacks(BlobId),
+    BlobFetchFailed(BlobId),
     /// A gateway wants to be told of changes.
     Subscribe(Subscription),
 }
@@ -176,7 +176,7 @@
     /// Take a heartbeat of a target.
     Announce(Announcement),
     /// Take note of targets that were heard.
-    Heard(Vec<u64>),
+    ReportHeartbeats(Vec<u64>),
     /// Take a store in.
     Join {
         /// Its identity.
@@ -213,7 +213,7 @@
     /// Data hall of the gateway.
     pub data_hall: String,
     /// Where other gateways fetch parcels from it.
-    pub passes_on_at: Option<SocketAddr>,
+    pub serves_blobs_at: Option<SocketAddr>,
 }
 
 /// A frame of a member.
@@ -238,9 +238,9 @@
     /// Version of the configuration that the member holds; 0 for none.
     pub version: u64,
     /// Bytes of parcels that the gateway lacks.
-    pub parcels: Cow<'a, [Bytes]>,
+    pub blobs: Cow<'a, [Bytes]>,
     /// A parcel that it lacks and is to fetch.
-    pub elsewhere: Option<BlobSource>,
+    pub blob_source: Option<BlobSource>,
     /// Where members are reached, when that changed.
     pub members: Option<Vec<SocketAddr>>,
     /// Gateways alive.
--- a/src/group/frames/to_member.rs
+++ b/src/group/frames/to_member.rs
@@ -68,7 +68,7 @@
             ToMember::Raft { from, messages, supported_level } => {
                 let messages = Cow::Borrowed(messages.as_slice());
                 encode_with_part(
-                    &base::ToMember::Agreement { from: *from, messages },
+                    &base::ToMember::Raft { from: *from, messages },
                     tag::SUPPORTED_LEVEL,
                     supported_level,
                 )
@@ -101,17 +101,19 @@
             }
             ToMember::MemberPoison { from, reports } => {
                 let messages = Cow::Borrowed([].as_slice());
-                let message = base::ToMember::Agreement { from: *from, messages };
+                let message = base::ToMember::Raft { from: *from, messages };
                 encode_with_part(&message, tag::POISON, reports)
             }
             ToMember::ConfigurationInForce(version) => {
-                parts::encode(&base::ToMember::InForce(*version))
+                parts::encode(&base::ToMember::ConfigurationInForce(*version))
             }
             ToMember::EvacuationsInForce(revision) => {
                 encode_with_part(&ignored_by_first_build(), tag::EVACUATIONS_IN_FORCE, revision)
             }
-            ToMember::HasBlob(blob) => parts::encode(&base::ToMember::Has(*blob)),
-            ToMember::BlobFetchFailed(blob) => parts::encode(&base::ToMember::Lacks(*blob)),
+            ToMember::HasBlob(blob) => parts::encode(&base::ToMember::HasBlob(*blob)),
+            ToMember::BlobFetchFailed(blob) => {
+                parts::encode(&base::ToMember::BlobFetchFailed(*blob))
+            }
             ToMember::Subscribe(subscription) => {
                 let Subscription {
                     gateway, version, directory, data_hall, serves_blobs_at, ..
@@ -121,7 +123,7 @@
                     version,
                     directory,
                     data_hall,
-                    passes_on_at: serves_blobs_at,
+                    serves_blobs_at,
                 });
                 let fields = SubscriptionFields {
                     supported_level: subscription.supported_level,
@@ -137,7 +139,7 @@
     fn from_bytes(bytes: &[u8]) -> Result<Self, LinkError> {
         let (message, parts) = parts::decode::<base::ToMember<'static>>(bytes)?;
         Ok(match message {
-            base::ToMember::Agreement { from, messages } => decode_raft(from, messages, parts)?,
+            base::ToMember::Raft { from, messages } => decode_raft(from, messages, parts)?,
             base::ToMember::Call { id, call } => {
                 ToMember::Call { id, call: decode_call(call, parts)? }
             }
@@ -163,9 +165,11 @@
                     (outcomes.into_owned(), prefix_holders.into_owned());
                 ToMember::Loads { loads, outcomes, prefix_holders, tallies: tallies.into_owned() }
             }
-            base::ToMember::InForce(version) => ToMember::ConfigurationInForce(version),
-            base::ToMember::Has(blob) => ToMember::HasBlob(blob),
-            base::ToMember::Lacks(blob) => decode_fetch_failed(blob, parts)?,
+            base::ToMember::ConfigurationInForce(version) => {
+                ToMember::ConfigurationInForce(version)
+            }
+            base::ToMember::HasBlob(blob) => ToMember::HasBlob(blob),
+            base::ToMember::BlobFetchFailed(blob) => decode_fetch_failed(blob, parts)?,
             base::ToMember::Subscribe(subscription) => {
                 ToMember::Subscribe(decode_subscription(subscription, parts)?)
             }
@@ -175,7 +179,7 @@
 
 /// A message that the first build ignores when a gateway sends it: no blob has this id.
 fn ignored_by_first_build() -> base::ToMember<'static> {
-    base::ToMember::Lacks(BlobId::NONE)
+    base::ToMember::BlobFetchFailed(BlobId::NONE)
 }
 
 fn decode_raft(
@@ -203,7 +207,7 @@
     parts: Parts<'_>,
 ) -> Result<Subscription, LinkError> {
     let fields = parts.get::<SubscriptionFields>(tag::SUBSCRIPTION)?;
-    let base::Subscription { gateway, version, directory, data_hall, passes_on_at } = base;
+    let base::Subscription { gateway, version, directory, data_hall, serves_blobs_at } = base;
     Ok(Subscription {
         gateway,
         supported_level: fields.as_ref().map_or(Level::BASE, |fields| fields.supported_level),
@@ -213,7 +217,7 @@
         rollouts: fields.as_ref().and_then(|fields| fields.rollouts),
         data_hall,
         status_only: fields.is_some_and(|fields| fields.status_only),
-        serves_blobs_at: passes_on_at,
+        serves_blobs_at,
     })
 }
 
@@ -230,7 +234,7 @@
             encode_with_part(&frame(base::Call::Announce(first.into())), tag::ANNOUNCEMENTS, all)
         }
         Call::ReportHeartbeats(targets) => {
-            parts::encode(&frame(base::Call::Heard(targets.clone())))
+            parts::encode(&frame(base::Call::ReportHeartbeats(targets.clone())))
         }
         Call::Join { store, addr, supported_level } => {
             let join = base::Call::Join { store: *store, addr: *addr };
@@ -247,7 +251,7 @@
             let all = parts.get::<Vec<Announcement>>(tag::ANNOUNCEMENTS)?;
             Call::Announce(all.unwrap_or_else(|| vec![first.into()]))
         }
-        base::Call::Heard(targets) => Call::ReportHeartbeats(targets),
+        base::Call::ReportHeartbeats(targets) => Call::ReportHeartbeats(targets),
         base::Call::Join { store, addr } => {
             let supported_level = parts.get(tag::SUPPORTED_LEVEL)?.unwrap_or_default();
             Call::Join { store, addr, supported_level }
