--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -6,8 +6,8 @@
 
 use latchmount::choice::{Candidate, Key, NameHash, cap, choose, score};
 use latchmount::slots::{
-    Ask, Bounds, Decision, Holder, Message, Owner, Place, Pool, Recent, RouterId, TeamId, Verdict,
-    Wish,
+    Ask, Bounds, ChatTurn, Decision, Holder, Message, Owner, Place, PoolLoad, Recent, RouterId,
+    TeamId, Verdict,
 };
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -173,7 +173,7 @@
         self.owner.set_view(ids.iter().copied().collect(), &names);
         for router in ids {
             let statement = self.holders.entry(router).or_default().statement(true);
-            self.owner.take_statement(router, &statement);
+            self.owner.apply_statement(router, &statement);
         }
     }
 
@@ -224,7 +224,7 @@
         let cached_chats = self.scenario.cache;
         let bounds =
             Bounds { returning: BOUND, first_turn, engine_slots: usize::MAX, cached_chats };
-        let pool = Pool { load: self.total, targets: self.engines.len() };
+        let pool = PoolLoad { load: self.total, targets: self.engines.len() };
         let mut scores: Vec<(u64, usize)> = self
             .engines
             .iter()
@@ -235,18 +235,18 @@
         scores.select_nth_unstable_by(asks - 1, |a, b| b.cmp(a));
         scores[..asks].sort_unstable_by(|a, b| b.cmp(a));
         let order = || scores[..asks].iter().map(|(_, at)| *at);
-        let (homes, wish) = match arrival.turn {
-            0 => (0, Wish::FirstTurn),
-            _ => (homes as u8, Wish::Returning),
+        let (homes, turn) = match arrival.turn {
+            0 => (0, ChatTurn::FirstTurn),
+            _ => (homes as u8, ChatTurn::Returning),
         };
         let router = RouterId(arrival.router as u64);
         let targets = order().map(|at| self.engines[at].name).collect();
-        let mut ask = Ask { homes, wish, ..ask(0, targets, arrival.chat) };
+        let mut ask = Ask { prefix_candidates: homes, turn, ..ask(0, targets, arrival.chat) };
         let holder = self.holders.entry(router).or_default();
         holder.ask(&mut ask);
         let verdict = self.owner.ask(router, &ask, pool, &bounds);
         self.control_bytes += self.slot_bytes;
-        match holder.answered(ask.ticket, verdict) {
+        match holder.record_answer(ask.ticket, verdict) {
             Decision::Granted(place) => order().find(|at| self.engines[*at].name == place.target),
             Decision::Full | Decision::Undecided => None,
         }
@@ -271,8 +271,8 @@
         self.engines[at].load -= 1;
         if matches!(self.way, Way::Slots(..)) {
             let router = RouterId(router as u64);
-            let sequence = self.holders.entry(router).or_default().give(place(name));
-            self.owner.give(router, sequence, place(name));
+            let sequence = self.holders.entry(router).or_default().release(place(name));
+            self.owner.release(router, sequence, place(name));
             self.control_bytes += self.slot_bytes / 2;
         }
     }
@@ -311,11 +311,11 @@
         ticket,
         team: TeamId(u32::MAX),
         targets,
-        homes: 0,
+        prefix_candidates: 0,
         usable: u16::MAX,
         share: 1_000,
         chat: Key(chat),
-        wish: Wish::FirstTurn,
+        turn: ChatTurn::FirstTurn,
     }
 }
 
--- a/src/router/slot.rs
+++ b/src/router/slot.rs
@@ -11,7 +11,7 @@
 use super::{Shared, lock};
 use crate::choice::{self, Candidate};
 use crate::reason::Reason;
-use crate::slots::{Ask, Decision, Place, TeamId, Wish};
+use crate::slots::{Ask, ChatTurn, Decision, Place, TeamId};
 use crate::targets::{Choice, Need};
 
 /// Engines asked for a slot before a request waits, and for the prefix of a chat that returns.
@@ -157,11 +157,11 @@
             ticket: 0,
             team,
             targets: choices.iter().map(|choice| choice.candidate.name).collect(),
-            homes: if work.first_turn { 0 } else { untried as u8 },
+            prefix_candidates: if work.first_turn { 0 } else { untried as u8 },
             usable,
             share: (work.policy.share_percent * 10.0) as u16,
             chat: work.key,
-            wish: if work.first_turn { Wish::FirstTurn } else { Wish::Returning },
+            turn: if work.first_turn { ChatTurn::FirstTurn } else { ChatTurn::Returning },
         };
         let now = self.now();
         match self.slots.ask(now, ask, OWNER_PATIENCE, work.deadline).await {
--- a/src/router/slots.rs
+++ b/src/router/slots.rs
@@ -18,8 +18,8 @@
 use crate::clock::Instant;
 use crate::rpc::LiveRouters;
 use crate::slots::{
-    Ask, Asked, Bounds, Datagram, Decision, Due, Message, Opened, Peer, Place, Rounds, RouterId,
-    Table, Ticket,
+    Ask, AskOutcome, Bounds, Datagram, DatagramCheck, Decision, Due, Message, Peer, Place, Rounds,
+    RouterId, Table, Ticket,
 };
 
 /// Between two statements to every owner.
@@ -189,8 +189,8 @@
     fn begin_ask(&self, now: Duration, ask: Ask) -> Result<Decision, Pending<'_>> {
         let mut state = lock(&self.state);
         let (to, ticket, ask) = match state.table.ask(now, ask, &self.bounds) {
-            Asked::Decided(decision) => return Ok(decision),
-            Asked::Send { to, ask } => (to, ask.ticket, ask),
+            AskOutcome::Decided(decision) => return Ok(decision),
+            AskOutcome::Send { to, ask } => (to, ask.ticket, ask),
         };
         let (sender, answer) = oneshot::channel();
         state.waiting.insert((to, ticket), sender);
@@ -204,10 +204,10 @@
     pub(super) fn give(&self, now: Duration, place: Place) {
         let to = {
             let mut state = lock(&self.state);
-            let Some((to, at)) = state.table.give(place) else {
+            let Some((to, at)) = state.table.release(place) else {
                 return;
             };
-            state.rounds.entry(to).or_default().give(at, place);
+            state.rounds.entry(to).or_default().release(at, place);
             to
         };
         self.send_due(now, to);
@@ -227,13 +227,13 @@
 
     /// Sends what is due to one owner now; tells when something is due to it next.
     fn send_due_now(&self, now: Duration, to: RouterId) -> Option<Duration> {
-        let (Due { messages, again }, due_at) = {
+        let (Due { messages, resent }, due_at) = {
             let mut state = lock(&self.state);
             let rounds = state.rounds.get_mut(&to)?;
             (rounds.due(now), rounds.due_at())
         };
         if !messages.is_empty() {
-            self.counters.resent.inc_by(u64::from(again));
+            self.counters.resent.inc_by(u64::from(resent));
             self.send(to, messages);
         }
         due_at
@@ -254,7 +254,7 @@
     fn send(&self, to: RouterId, messages: Vec<Message>) {
         let (addr, incarnation) = {
             let state = lock(&self.state);
-            (state.addrs.get(&to).copied(), state.table.present(to))
+            (state.addrs.get(&to).copied(), state.table.current_incarnation(to))
         };
         let Some(addr) = addr else {
             return;
@@ -287,9 +287,9 @@
                 *all_at = now;
                 state.table.statements()
             } else {
-                state.table.statements_to_unheard()
+                state.table.statements_to_unreported()
             };
-            (due, !changed_lately && state.table.knows_all())
+            (due, !changed_lately && state.table.has_all_statements())
         };
         due.into_iter().for_each(|(to, message)| self.send(to, vec![message]));
         settled
@@ -309,13 +309,13 @@
         let from = datagram.from.router;
         let replies = {
             let mut state = lock(&self.state);
-            match state.table.open(now, &datagram) {
-                Opened::Void => return,
-                Opened::Valid { new, answer } => {
-                    if let Some(rounds) = state.rounds.get_mut(&from).filter(|_| new) {
-                        rounds.lost();
+            match state.table.check_datagram(now, &datagram) {
+                DatagramCheck::Stale => return,
+                DatagramCheck::Current { new_process, reply } => {
+                    if let Some(rounds) = state.rounds.get_mut(&from).filter(|_| new_process) {
+                        rounds.requeue();
                     }
-                    answer.map_or_else(
+                    reply.map_or_else(
                         || self.take_all(&mut state, now, &datagram),
                         |answer| vec![answer],
                     )
@@ -346,9 +346,9 @@
         };
         state.heard_at.insert(from, now);
         // Decided here, so that a slot granted to an ask given up meanwhile is not held.
-        let decision = state.table.answered(from, ticket, verdict);
+        let decision = state.table.record_answer(from, ticket, verdict);
         if let Some(rounds) = state.rounds.get_mut(&from) {
-            rounds.answered(now, ticket);
+            rounds.record_answer(now, ticket);
         }
         if let Some(waiting) = state.waiting.remove(&(from, ticket)) {
             let _ = waiting.send(decision);
--- a/src/slots/holder.rs
+++ b/src/slots/holder.rs
@@ -1,4 +1,4 @@
-//! The router's side: the slots that it holds at one owner's targets.
+//! The requesting side: the slots that a router holds at the targets of one owner.
 
 use std::collections::BTreeMap;
 
@@ -10,43 +10,46 @@
 /// The slots that a router holds at the targets of one owner.
 #[derive(Clone, Debug, Default)]
 pub struct Holder {
-    asked: Ticket,
-    /// Asks without an answer, by their numbers.
+    /// Ticket of the newest ask; tickets are counted from 1.
+    last_ticket: Ticket,
+    /// Targets of each ask that has not been answered.
     open: BTreeMap<Ticket, Vec<Place>>,
     held: BTreeMap<Place, usize>,
+    /// Sequence number of the last statement or release.
     sequence: u32,
 }
 
-/// A router's complete statement to one owner.
+/// A complete report of the slots that a router holds at the targets of one owner.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Statement {
-    /// Orders statements and returns of one router.
-    pub at: u32,
-    /// Every ask up to this one has been answered or given up.
-    pub settled: Ticket,
-    /// Whether the sender has a statement of the receiver; without one it can't grant anything.
-    pub heard: bool,
-    /// Slots held; places not named hold none.
+    /// Orders the statements and releases of one router: grows with each of them.
+    pub sequence: u32,
+    /// Highest ticket up to which every ask has been answered or given up.
+    pub closed_up_to: Ticket,
+    /// Whether the sender has a statement from the receiver about every target that the sender owns. Without one the
+    /// sender can't grant any slot.
+    pub receiver_reported: bool,
+    /// Number of slots held; none at places that are not listed.
     pub held: Vec<(Place, usize)>,
 }
 
 impl Holder {
-    /// Numbers an ask.
+    /// Sets the ticket of an ask and keeps its targets until the answer arrives.
     pub fn ask(&mut self, ask: &mut Ask) {
-        self.asked += 1;
-        ask.ticket = self.asked;
+        self.last_ticket += 1;
+        ask.ticket = self.last_ticket;
         let place = |target: &NameHash| Place { target: *target, team: ask.team };
         self.open.insert(ask.ticket, ask.targets.iter().map(place).collect());
     }
 
-    /// Takes the answer to an ask. An answer to an ask that was given up is no slot.
-    pub fn answered(&mut self, ticket: Ticket, verdict: Verdict) -> Decision {
+    /// Applies the answer to an ask. A slot that is granted to an ask already given up is not held.
+    pub fn record_answer(&mut self, ticket: Ticket, verdict: Verdict) -> Decision {
         let Some(places) = self.open.remove(&ticket) else {
             return Decision::Undecided;
         };
         match verdict {
-            Verdict::Granted(at) => {
-                places.get(usize::from(at)).map_or(Decision::Undecided, |place| {
+            Verdict::Granted(index) => {
+                places.get(usize::from(index)).map_or(Decision::Undecided, |place| {
                     *self.held.entry(*place).or_default() += 1;
                     Decision::Granted(*place)
                 })
@@ -56,13 +59,13 @@
         }
     }
 
-    /// Gives up an ask whose answer did not come.
+    /// Gives up an ask that has not been answered.
     pub fn give_up(&mut self, ticket: Ticket) {
         self.open.remove(&ticket);
     }
 
-    /// Gives a slot back; returns the sequence to send with it.
-    pub fn give(&mut self, place: Place) -> u32 {
+    /// Releases a slot, and returns the sequence number to send with the release.
+    pub fn release(&mut self, place: Place) -> u32 {
         if let Some(count) = self.held.get_mut(&place) {
             *count = count.saturating_sub(1);
         }
@@ -71,22 +74,22 @@
         self.sequence
     }
 
-    /// Takes out all slots, to go on under another owner; gives up every ask.
+    /// Removes and returns all slots, for transfer to the targets' new owners, and gives up every open ask.
     pub fn take_held(&mut self) -> BTreeMap<Place, usize> {
         self.open.clear();
         std::mem::take(&mut self.held)
     }
 
-    /// Adds slots that another owner granted.
+    /// Adds slots that the targets' former owner granted.
     pub fn add_held(&mut self, place: Place, count: usize) {
         *self.held.entry(place).or_default() += count;
     }
 
-    /// What is held now, for an owner that has or has not stated what it holds here.
-    pub fn statement(&mut self, heard: bool) -> Statement {
+    /// The next statement to the owner. `receiver_reported` is whether the owner has sent its own statement to this router.
+    pub fn statement(&mut self, receiver_reported: bool) -> Statement {
         self.sequence += 1;
-        let settled = self.open.keys().next().map_or(self.asked, |first| first - 1);
+        let closed_up_to = self.open.keys().next().map_or(self.last_ticket, |first| first - 1);
         let held = self.held.iter().map(|(place, count)| (*place, *count)).collect();
-        Statement { at: self.sequence, settled, heard, held }
+        Statement { sequence: self.sequence, closed_up_to, receiver_reported, held }
     }
 }
--- a/src/slots/mod.rs
+++ b/src/slots/mod.rs
@@ -1,11 +1,12 @@
-//! Slots: the right to have one request in flight at a target, granted by the target's owner, so
-//! that no target carries more than its bound while each router sees a sliver of the traffic.
+//! Slots: a slot is the right to have one request in flight at a target. Each router sees only a
+//! small part of the traffic, so the load of a target is bounded in one place, by its owner.
 //!
-//! All targets that serve the same make a pool, and the owner of a pool is one of the live routers,
-//! by rendezvous hashing: so it knows the load of each target and the mean. It counts the slots
-//! that each router holds, from its own grants and from the routers' reports, which are complete
-//! statements and so mend every loss. An owner grants nothing on a target until every live router
-//! has reported to it, so that a new owner knows what the old one granted.
+//! All targets that serve the same model and version make a pool. One of the live routers owns the
+//! pool, chosen by rendezvous hashing, and so knows the load of each of its targets and the mean load. The owner
+//! counts the slots that each router holds, from its own grants and from the routers' statements.
+//! A statement lists all slots of a router, and so corrects the count after lost datagrams. An owner
+//! grants no slot at a target until every live router has sent it a statement, so that a new owner
+//! knows what the former one granted.
 
 mod holder;
 mod owner;
@@ -23,13 +24,13 @@
 pub use self::recent::Recent;
 pub use self::rounds::{Due, Rounds};
 pub use self::shares::Shares;
-pub use self::table::{Asked, Opened, Table};
+pub use self::table::{AskOutcome, DatagramCheck, Table};
 
-/// A router, by the hash of its host's name.
+/// Identifies a router: hash of its host's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RouterId(pub u64);
 
-/// A team, by the hash of its name.
+/// Identifies a team: hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct TeamId(pub u32);
 
@@ -37,30 +38,30 @@
     pub(crate) const MIN: TeamId = TeamId(u32::MIN);
     pub(crate) const MAX: TeamId = TeamId(u32::MAX);
 
-    /// The team of this name.
+    /// Hashes the name of a team.
     pub fn new(name: &str) -> Self {
         TeamId(NameHash::new(name).0 as u32)
     }
 }
 
-/// Where a slot is held, and for whom.
+/// The target at which a slot is held, and the team for which it is held.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Place {
-    /// The target.
+    /// Hash of the target's name.
     pub target: NameHash,
-    /// The team.
+    /// Team whose request uses the slot.
     pub team: TeamId,
 }
 
-/// Number of an ask, counted by each router for each owner.
+/// Number of an ask. Each router counts its asks to each owner.
 pub type Ticket = u32;
 
-/// One process of a router: a router that starts again knows nothing of what its former process asked and held.
+/// One process of a router. A restarted router knows nothing of the asks and slots of its former process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Peer {
-    /// The router.
+    /// Router that the process runs.
     pub router: RouterId,
-    /// When the process started, in nanoseconds since the start of its host.
+    /// Start time of the process, in nanoseconds since its host booted.
     pub incarnation: u64,
 }
 
@@ -70,113 +71,115 @@
     routers.iter().max_by_key(by_score).copied()
 }
 
-/// How far a target may lie above the mean load.
+/// Limits of the load of one target.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Bounds {
-    /// Multiple of the mean for a chat that returns.
+    /// Highest multiple of the pool's mean load at which a target still gets a returning chat.
     pub returning: f64,
-    /// Lower multiple for a chat's first turn, which keeps the last slots for those that return.
+    /// The same for a chat's first turn: lower, to keep the last slots for returning chats.
     pub first_turn: f64,
-    /// Most requests at one target.
+    /// Maximum number of requests in flight at one target.
     pub engine_slots: usize,
-    /// Chats whose prefixes one target's cache holds.
+    /// Number of chats whose prefixes fit into one target's cache.
     pub cached_chats: usize,
 }
 
-/// A router asks for a slot at one of several targets of a pool.
+/// A router's request to an owner for a slot at one of several targets of a pool.
 ///
-/// They are asked for together, since the owner alone sees all their loads at the same moment: asked for one after the
-/// other, each can be at its bound when its turn comes though never all are.
+/// The targets go into one ask, since only the owner sees all their loads at the same moment. If they were asked for
+/// one after the other, each could be at its bound when its turn comes, though they never all are at once.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ask {
-    /// Number of the ask.
+    /// Number of the ask, set by [`Holder::ask`].
     pub ticket: Ticket,
-    /// The team.
+    /// Team that the request belongs to.
     pub team: TeamId,
-    /// The targets, the best for the chat first.
+    /// Targets in order of preference, the best for the chat first.
     pub targets: Vec<NameHash>,
-    /// How many of them, from the first, are looked through for the prefix of a chat that returns.
-    pub homes: u8,
-    /// Targets of the pool that can take work, as the asking router sees them.
+    /// How many of `targets`, from the first, the owner searches for one whose cache holds the chat's prefix. 0 for a
+    /// first turn.
+    pub prefix_candidates: u8,
+    /// Number of targets of the pool that can take requests, as seen by the asking router.
     pub usable: u16,
-    /// Share of the pool that the team is sure of, in thousandths.
+    /// Share of the pool's slots that is guaranteed to the team, in thousandths.
     pub share: u16,
-    /// The chat.
+    /// Key of the chat.
     pub chat: Key,
-    /// What it is for.
-    pub wish: Wish,
+    /// Whether the chat is new or returns.
+    pub turn: ChatTurn,
 }
 
-/// Load of all targets of a pool, as its owner knows it.
+/// Load of a whole pool, as counted by its owner.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Pool {
-    /// Requests in flight at all of them.
+pub struct PoolLoad {
+    /// Requests in flight at all targets of the pool.
     pub load: usize,
-    /// Number of targets.
+    /// Number of targets in the pool.
     pub targets: usize,
 }
 
-/// What a slot is asked for.
+/// Turn of the chat for which a slot is asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Wish {
-    /// A chat's first turn.
+pub enum ChatTurn {
+    /// The first turn of a chat: no target has its prefix.
     FirstTurn,
-    /// A chat that returns.
+    /// A later turn of a chat: the target of an earlier turn may have its prefix.
     Returning,
 }
 
-/// What an owner answers to an ask.
+/// An owner's answer to an ask, as sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// A slot is held now at this one of the targets, counted from 0.
+    /// A slot is granted at the target with this index in [`Ask::targets`].
     Granted(u8),
-    /// All targets are at their bound.
+    /// All targets are at their bound, or the team may not have another slot of the pool.
     Full,
-    /// Not every live router has told yet what it holds at the targets that may have room.
+    /// The owner lacks some live router's statement for at least one of the targets, or does not count the asking router
+    /// as live.
     Undecided,
 }
 
-/// What the router that asked takes from that.
+/// Result of an ask for the router that asked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision {
-    /// A slot is held here.
+    /// A slot is held at this place.
     Granted(Place),
-    /// All targets are at their bound.
+    /// All targets are at their bound, or the team may not have another slot of the pool.
     Full,
-    /// The owner can't decide yet, or is no longer the owner.
+    /// The owner can't decide yet, is not known or has changed, or the ask was given up.
     Undecided,
 }
 
-/// What one router sends another at a time.
+/// One UDP datagram from a router to another.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Who sends it.
+    /// Sending process.
     pub from: Peer,
-    /// Incarnation of the router that it is for; `None` where nothing was ever heard of that one.
+    /// Incarnation of the receiving router; `None` if the sender has received nothing from it yet.
     pub to: Option<u64>,
-    /// What it says.
+    /// Messages, in the order in which the receiver handles them.
     pub messages: Vec<Message>,
 }
 
 /// A message between routers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Message {
-    /// Router to owner: may I send one request?
+    /// Router to owner: asks for a slot.
     Ask(Ask),
-    /// Owner to router: whether the ask is granted.
+    /// Owner to router: answers an ask.
     Answer {
         /// Number of the ask.
         ticket: Ticket,
-        /// What the owner decided.
+        /// The owner's decision.
         verdict: Verdict,
     },
-    /// Router to owner: one slot back.
-    Give {
-        /// Sequence, as of [`Holder::give`].
-        at: u32,
-        /// Where it was held.
+    /// Router to owner: releases one slot.
+    Release {
+        /// Sequence number from [`Holder::release`].
+        sequence: u32,
+        /// Place at which the slot was held.
         place: Place,
     },
-    /// Router to owner: all slots held.
+    /// Router to owner: reports all slots that the router holds.
     Statement(Statement),
 }
--- a/src/slots/owner.rs
+++ b/src/slots/owner.rs
@@ -1,19 +1,20 @@
-//! The owner's side: counts and grants the slots of its targets.
+//! The granting side: counts and grants the slots of the targets that a router owns.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use super::{
-    Ask, Bounds, Peer, Place, Pool, Recent, RouterId, Statement, TeamId, Ticket, Verdict, Wish,
+    Ask, Bounds, ChatTurn, Peer, Place, PoolLoad, Recent, RouterId, Statement, TeamId, Ticket,
+    Verdict,
 };
 use crate::choice::{NameHash, cap};
 
-/// Slots of one router and team at one target.
+/// Slots that one router holds for one team at one target.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 struct Held {
-    /// As the router last reported it, less what it gave back since.
+    /// Slots in the router's last statement, less those it released since.
     reported: usize,
-    /// Grants that the report does not cover yet.
+    /// Grants that the last statement does not include yet.
     granted: BTreeSet<Ticket>,
 }
 
@@ -22,13 +23,13 @@
         self.reported + self.granted.len()
     }
 
-    /// Takes the newest statement.
-    fn take_report(&mut self, settled: Ticket, count: usize) {
+    /// Applies the router's newest statement, which includes the grants for all asks up to `closed_up_to`.
+    fn apply_report(&mut self, closed_up_to: Ticket, count: usize) {
         self.reported = count;
-        self.granted.retain(|ticket| *ticket > settled);
+        self.granted.retain(|ticket| *ticket > closed_up_to);
     }
 
-    fn give(&mut self) {
+    fn release(&mut self) {
         if self.reported > 0 {
             self.reported -= 1;
         } else {
@@ -41,17 +42,18 @@
 #[derive(Clone, Debug, Default)]
 struct Target {
     held: BTreeMap<(RouterId, TeamId), Held>,
-    /// Sum of all that is held, and by team.
+    /// Sum of the slots in `held`.
     load: usize,
+    /// The same by team.
     by_team: BTreeMap<TeamId, usize>,
-    /// Routers that have reported since this target is owned here.
+    /// Routers that have sent a statement since this router became the target's owner.
     reported: BTreeSet<RouterId>,
-    /// Chats that it saw last.
+    /// Chats that were last granted a slot here.
     recent: Recent,
 }
 
 impl Target {
-    /// Changes what a router holds for a team and keeps the sums right.
+    /// Changes the slots that a router holds for a team, and updates the sums.
     fn change(&mut self, router: RouterId, team: TeamId, change: impl FnOnce(&mut Held)) {
         let held = self.held.entry((router, team)).or_default();
         let before = held.count();
@@ -62,19 +64,19 @@
         *of_team = *of_team - before + after;
     }
 
-    fn keep_only(&mut self, live: &BTreeSet<RouterId>) {
+    fn retain_routers(&mut self, live: &BTreeSet<RouterId>) {
         self.held.retain(|(router, _), _| live.contains(router));
         self.reported.retain(|router| live.contains(router));
-        self.add_up();
+        self.recompute_sums();
     }
 
-    /// A router's process has ended, and another that holds nothing is in its place.
-    fn forget(&mut self, router: RouterId) {
+    /// Frees all slots of a router whose process has been replaced by a new one.
+    fn free_slots_of(&mut self, router: RouterId) {
         self.held.retain(|(of, _), _| *of != router);
-        self.add_up();
+        self.recompute_sums();
     }
 
-    fn add_up(&mut self) {
+    fn recompute_sums(&mut self) {
         self.load = self.held.values().map(Held::count).sum();
         self.by_team.clear();
         for ((_, team), held) in &self.held {
@@ -82,15 +84,15 @@
         }
     }
 
-    /// Takes a router's complete statement: its slots here by team.
-    fn take_statement(&mut self, router: RouterId, statement: &Statement, by_team: &ByTeam) {
+    /// Applies a router's statement; `by_team` has its slots at this target.
+    fn apply_statement(&mut self, router: RouterId, statement: &Statement, by_team: &ByTeam) {
         let known = self.held.range((router, TeamId::MIN)..=(router, TeamId::MAX));
         let mut teams: BTreeSet<TeamId> = known.map(|((_, team), _)| *team).collect();
         teams.extend(by_team.keys());
         for team in teams {
             let count = *by_team.get(&team).unwrap_or(&0);
             self.change(router, team, |held| {
-                held.take_report(statement.settled, count);
+                held.apply_report(statement.closed_up_to, count);
             });
         }
         self.held.retain(|_, held| held.count() > 0);
@@ -100,25 +102,27 @@
 
 type ByTeam = BTreeMap<TeamId, usize>;
 
-/// Time after which nothing comes any more of a process that has ended. A process on a host that started anew seems
-/// older than its former one, and counts once that was not heard for so long.
-const FORMER_LATE: Duration = Duration::from_secs(10);
+/// Time after which no datagram of an ended process arrives any more. Incarnations count from the boot of the host, so
+/// that a process after a reboot may seem older than its predecessor. It is accepted once nothing has arrived from the
+/// predecessor for this time.
+const MAX_DATAGRAM_DELAY: Duration = Duration::from_secs(10);
 
-/// The present process of a router.
+/// The current process of a router.
 #[derive(Clone, Copy, Debug)]
-struct Present {
+struct Process {
     incarnation: u64,
-    heard_at: Duration,
+    /// When its last datagram arrived.
+    received_at: Duration,
 }
 
-/// Which process of a router something comes from.
+/// Which process of a router sent a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Met {
-    /// One that has ended; its words count no more.
+pub enum ProcessStatus {
+    /// A process that has ended; its datagrams are ignored.
     Former,
-    /// The present one.
-    Present,
-    /// One that was not heard before.
+    /// The current process.
+    Current,
+    /// A process from which nothing was received before.
     New,
 }
 
@@ -127,80 +131,81 @@
 pub struct Owner {
     live: BTreeSet<RouterId>,
     targets: BTreeMap<NameHash, Target>,
-    /// Sequence of each router's newest statement.
-    stated: BTreeMap<RouterId, u32>,
-    processes: BTreeMap<RouterId, Present>,
+    /// Sequence number of each router's newest statement.
+    newest_statements: BTreeMap<RouterId, u32>,
+    processes: BTreeMap<RouterId, Process>,
 }
 
 impl Owner {
-    /// Takes the routers that live now and the targets that this one owns among them.
+    /// Sets the routers that are live and the targets that this router owns.
     ///
-    /// The slots of a router that is gone are free; a target that is new here starts unknown.
+    /// Slots of routers that are no longer live become free. At a target that is new here no slot is granted until every
+    /// live router has sent a statement.
     pub fn set_view(&mut self, live: BTreeSet<RouterId>, targets: &BTreeSet<NameHash>) {
         self.targets.retain(|target, _| targets.contains(target));
         for target in targets {
-            self.targets.entry(*target).or_default().keep_only(&live);
+            self.targets.entry(*target).or_default().retain_routers(&live);
         }
-        self.stated.retain(|router, _| live.contains(router));
+        self.newest_statements.retain(|router, _| live.contains(router));
         self.processes.retain(|router, _| live.contains(router));
         self.live = live;
     }
 
-    /// The present process of a router, as far as was heard of one.
-    pub fn present(&self, router: RouterId) -> Option<u64> {
-        self.processes.get(&router).map(|present| present.incarnation)
+    /// Incarnation of a router's current process; `None` if nothing has been received from it.
+    pub fn current_incarnation(&self, router: RouterId) -> Option<u64> {
+        self.processes.get(&router).map(|process| process.incarnation)
     }
 
-    /// Takes note of a router's process.
+    /// Records that a datagram of a router's process has arrived.
     ///
-    /// A new process holds nothing: what its former one held is free.
-    pub fn meet(&mut self, now: Duration, peer: Peer) -> Met {
+    /// A new process holds no slots, so that those of its predecessor become free.
+    pub fn observe_process(&mut self, now: Duration, peer: Peer) -> ProcessStatus {
         let known = self.processes.contains_key(&peer.router);
-        let this = Present { incarnation: peer.incarnation, heard_at: now };
-        let present = self.processes.entry(peer.router).or_insert(this);
-        let ended = now > present.heard_at + FORMER_LATE;
-        if peer.incarnation < present.incarnation && !ended {
-            return Met::Former;
+        let this = Process { incarnation: peer.incarnation, received_at: now };
+        let current = self.processes.entry(peer.router).or_insert(this);
+        let ended = now > current.received_at + MAX_DATAGRAM_DELAY;
+        if peer.incarnation < current.incarnation && !ended {
+            return ProcessStatus::Former;
         }
-        let former = std::mem::replace(present, this);
+        let former = std::mem::replace(current, this);
         if former.incarnation == peer.incarnation {
-            return if known { Met::Present } else { Met::New };
+            return if known { ProcessStatus::Current } else { ProcessStatus::New };
         }
-        self.stated.remove(&peer.router);
-        self.targets.values_mut().for_each(|target| target.forget(peer.router));
-        Met::New
+        self.newest_statements.remove(&peer.router);
+        self.targets.values_mut().for_each(|target| target.free_slots_of(peer.router));
+        ProcessStatus::New
     }
 
-    /// Whether a router has said what it holds at every target owned here.
-    pub fn heard(&self, router: RouterId) -> bool {
+    /// Whether a router has sent a statement that covers every target owned here.
+    pub fn has_statement_of(&self, router: RouterId) -> bool {
         self.targets.values().all(|target| target.reported.contains(&router))
     }
 
-    /// Whether every live router has said what it holds at every target.
-    pub fn knows_all(&self) -> bool {
-        self.targets.keys().all(|target| self.knows(*target))
+    /// Whether every live router has sent a statement that covers every target owned here.
+    pub fn has_all_statements(&self) -> bool {
+        self.targets.keys().all(|target| self.all_reported(*target))
     }
 
-    /// Requests in flight at `target`, by all slots held; 0 for a target of another owner.
+    /// Requests in flight at `target`, that is slots held there by all routers; 0 for a target of another owner.
     pub fn load(&self, target: NameHash) -> usize {
         self.targets.get(&target).map_or(0, |target| target.load)
     }
 
-    /// The part of them that belongs to `team`.
+    /// Requests of `team` in flight at `target`.
     pub fn load_of(&self, target: NameHash, team: TeamId) -> usize {
         let target = self.targets.get(&target);
         target.and_then(|target| target.by_team.get(&team)).copied().unwrap_or(0)
     }
 
-    /// Whether every live router has said what it holds at `target`.
-    pub fn knows(&self, target: NameHash) -> bool {
+    /// Whether every live router has sent a statement that covers `target`.
+    pub fn all_reported(&self, target: NameHash) -> bool {
         let target = self.targets.get(&target);
         target.is_some_and(|target| self.live.is_subset(&target.reported))
     }
 
-    /// The verdict on an ask that was granted before, and is sent again since the answer was lost; or on one of a router
-    /// that does not count among the live ones.
-    pub fn known(&self, router: RouterId, ask: &Ask) -> Option<Verdict> {
+    /// The verdict that needs no new decision: on an ask that has been granted and is resent since the answer was lost, or
+    /// on one from a router that is not live.
+    pub fn existing_verdict(&self, router: RouterId, ask: &Ask) -> Option<Verdict> {
         if !self.live.contains(&router) {
             return Some(Verdict::Undecided);
         }
@@ -212,72 +217,75 @@
         Some(Verdict::Granted(granted as u8))
     }
 
-    /// Grants or refuses a slot for a chat.
-    pub fn ask(&mut self, router: RouterId, ask: &Ask, pool: Pool, bounds: &Bounds) -> Verdict {
-        self.known(router, ask).unwrap_or_else(|| self.decide(router, ask, pool, bounds))
+    /// Answers an ask for a slot, without regard to the team's share of the pool.
+    pub fn ask(&mut self, router: RouterId, ask: &Ask, pool: PoolLoad, bounds: &Bounds) -> Verdict {
+        self.existing_verdict(router, ask).unwrap_or_else(|| self.decide(router, ask, pool, bounds))
     }
 
-    /// Decides on an ask that is not [`known`](Owner::known).
+    /// Decides on an ask without an [`existing_verdict`](Owner::existing_verdict).
     pub(super) fn decide(
         &mut self,
         router: RouterId,
         ask: &Ask,
-        pool: Pool,
+        pool: PoolLoad,
         bounds: &Bounds,
     ) -> Verdict {
-        let Some(at) = self.find_room(ask, pool, bounds) else {
-            let all_known = ask.targets.iter().all(|target| self.knows(*target));
+        let Some(index) = self.find_room(ask, pool, bounds) else {
+            let all_known = ask.targets.iter().all(|target| self.all_reported(*target));
             return if all_known { Verdict::Full } else { Verdict::Undecided };
         };
-        if let Some(target) = self.targets.get_mut(&ask.targets[at]) {
+        if let Some(target) = self.targets.get_mut(&ask.targets[index]) {
             target.recent.touch(ask.chat, bounds.cached_chats);
             target.change(router, ask.team, |held| {
                 held.granted.insert(ask.ticket);
             });
         }
-        Verdict::Granted(at as u8)
+        Verdict::Granted(index as u8)
     }
 
-    /// The first target below its bound: of those that have the chat's prefix, else of all.
-    fn find_room(&self, ask: &Ask, pool: Pool, bounds: &Bounds) -> Option<usize> {
-        let multiple = match ask.wish {
-            Wish::FirstTurn => bounds.first_turn,
-            Wish::Returning => bounds.returning,
+    /// Index of the first target below its bound: among those whose cache holds the chat's prefix, else among all.
+    fn find_room(&self, ask: &Ask, pool: PoolLoad, bounds: &Bounds) -> Option<usize> {
+        let multiple = match ask.turn {
+            ChatTurn::FirstTurn => bounds.first_turn,
+            ChatTurn::Returning => bounds.returning,
         };
-        let most = cap(pool.load + 1, pool.targets, multiple).min(bounds.engine_slots);
+        let max_load = cap(pool.load + 1, pool.targets, multiple).min(bounds.engine_slots);
         let has_room = |name: &NameHash| {
-            let target = self.targets.get(name).filter(|target| target.load < most);
-            target.filter(|_| self.knows(*name))
+            let target = self.targets.get(name).filter(|target| target.load < max_load);
+            target.filter(|_| self.all_reported(*name))
         };
-        let mut homes = ask.targets.iter().take(usize::from(ask.homes));
+        let mut prefix_candidates = ask.targets.iter().take(usize::from(ask.prefix_candidates));
         let cached = |name: &NameHash| has_room(name).is_some_and(|t| t.recent.contains(ask.chat));
-        homes.position(cached).or_else(|| ask.targets.iter().position(|t| has_room(t).is_some()))
+        prefix_candidates
+            .position(cached)
+            .or_else(|| ask.targets.iter().position(|t| has_room(t).is_some()))
     }
 
-    /// Takes one slot back, unless a later statement covers that already.
-    pub fn give(&mut self, router: RouterId, at: u32, place: Place) {
-        if self.stated.get(&router).is_some_and(|stated| at < *stated) {
+    /// Frees one slot, unless a later statement already includes the release.
+    pub fn release(&mut self, router: RouterId, sequence: u32, place: Place) {
+        if self.newest_statements.get(&router).is_some_and(|newest| sequence < *newest) {
             return;
         }
         if let Some(target) = self.targets.get_mut(&place.target) {
-            target.change(router, place.team, Held::give);
+            target.change(router, place.team, Held::release);
         }
     }
 
-    /// Takes a router's complete statement about every target owned here, unless it is an old one.
-    pub fn take_statement(&mut self, router: RouterId, statement: &Statement) {
-        let newest = self.stated.get(&router).is_none_or(|at| statement.at >= *at);
+    /// Applies a router's statement to every target owned here, unless a newer one has been applied.
+    pub fn apply_statement(&mut self, router: RouterId, statement: &Statement) {
+        let newest =
+            self.newest_statements.get(&router).is_none_or(|newest| statement.sequence >= *newest);
         if !newest || !self.live.contains(&router) {
             return;
         }
-        self.stated.insert(router, statement.at);
+        self.newest_statements.insert(router, statement.sequence);
         let mut held: BTreeMap<NameHash, ByTeam> = BTreeMap::new();
         for (place, count) in &statement.held {
             held.entry(place.target).or_default().insert(place.team, *count);
         }
         let none = ByTeam::new();
         for (name, target) in &mut self.targets {
-            target.take_statement(router, statement, held.get(name).unwrap_or(&none));
+            target.apply_statement(router, statement, held.get(name).unwrap_or(&none));
         }
     }
 }
--- a/src/slots/recent.rs
+++ b/src/slots/recent.rs
@@ -1,26 +1,28 @@
-//! What a target's prefix cache is likely to hold.
+//! Estimate of the contents of a target's prefix cache.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::choice::Key;
 
-/// The chats that a target saw last, as many as its prefix cache holds.
+/// The chats that were last sent to a target, as many as fit into its prefix cache (LRU).
 #[derive(Clone, Debug, Default)]
 pub struct Recent {
+    /// Number of uses so far; numbers each use.
     uses: u64,
     last_use: BTreeMap<Key, u64>,
+    /// Uses, oldest first. An entry is outdated if the chat was used again later.
     order: VecDeque<(u64, Key)>,
 }
 
 impl Recent {
-    /// Whether `chat` is among them.
+    /// Whether the prefix of `chat` is probably in the cache.
     pub fn contains(&self, chat: Key) -> bool {
         self.last_use.contains_key(&chat)
     }
 
-    /// Notes that `chat` is used now; forgets the least recently used beyond `capacity`.
+    /// Records a use of `chat`, and evicts the least recently used chats beyond `capacity`.
     ///
-    /// Returns whether it was among them before.
+    /// Returns whether the chat was in the cache before.
     pub fn touch(&mut self, chat: Key, capacity: usize) -> bool {
         self.uses += 1;
         self.order.push_back((self.uses, chat));
--- a/src/slots/rounds.rs
+++ b/src/slots/rounds.rs
@@ -1,107 +1,115 @@
-//! Asks on their way to one owner, many in each datagram.
+//! Batches the asks and releases for one owner into datagrams, and resends asks that are not answered.
 //!
-//! One round of asks is under way at a time, so that the owner's receive buffer holds one datagram of each router
-//! however many requests come at once. A round that is not answered is sent again after a multiple of the smoothed
-//! round trip: a lost datagram, or a busy owner, delays its asks and refuses none.
+//! A round is a batch of asks in one datagram. Only one round is in flight at a time, so that the owner's receive buffer
+//! holds no more than one datagram with asks from each router, however many requests arrive at once. A round that is not
+//! answered in time is resent, after a multiple of the smoothed round trip: a lost datagram or a busy owner delays asks,
+//! but does not get them refused.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use super::{Ask, Message, Place, Ticket};
 
-/// Most asks of a round; some 6 KB.
-const ASKS_OF_ROUND: usize = 64;
-/// Most returns that go with a round.
-const GIVES_OF_ROUND: usize = 128;
-/// Round trip that is assumed before the first sample.
-const FIRST_ROUND_TRIP: Duration = Duration::from_millis(15);
-/// Multiple of the round trip after which a round is sent again.
-const ROUND_TRIPS: u32 = 4;
-/// Shortest and longest time until a round is sent again.
-const RESEND_WITHIN: (Duration, Duration) = (Duration::from_millis(20), Duration::from_secs(1));
+/// Maximum number of asks in a round; they take some 6 KB.
+const MAX_ASKS_PER_ROUND: usize = 64;
+/// Maximum number of releases in a datagram.
+const MAX_RELEASES_PER_DATAGRAM: usize = 128;
+/// Round trip assumed before the first sample.
+const INITIAL_ROUND_TRIP: Duration = Duration::from_millis(15);
+/// Multiple of the smoothed round trip after which a round is resent for the first time.
+const RESEND_ROUND_TRIPS: u32 = 4;
+/// Minimum and maximum time until a round is resent.
+const RESEND_DELAY_RANGE: (Duration, Duration) =
+    (Duration::from_millis(20), Duration::from_secs(1));
 /// Weight of a new sample in the smoothed round trip.
 const SAMPLE_WEIGHT: f64 = 0.125;
-/// Time between two datagrams that only bring slots back.
-const GIVES_APART: Duration = Duration::from_millis(2);
+/// Minimum time between the last datagram and one that contains only releases.
+const RELEASES_INTERVAL: Duration = Duration::from_millis(2);
 
-/// A slot that is given back.
+/// A release that has not been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Given {
-    at: u32,
+struct PendingRelease {
+    sequence: u32,
     place: Place,
 }
 
-/// A round that is not answered yet.
+/// The round in flight.
 #[derive(Clone, Debug, PartialEq)]
-struct UnderWay {
+struct Round {
+    /// Asks that have not been answered or given up.
     asks: Vec<Ask>,
     sent_at: Duration,
-    /// How often it was sent.
-    sent: u32,
-    /// Whether it gave a sample of the round trip.
+    /// How many times the round was sent.
+    times_sent: u32,
+    /// Whether a sample of the round trip was taken from it.
     sampled: bool,
 }
 
-/// What is to be sent to an owner now.
+/// Content of the next datagram to an owner.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Due {
-    /// The messages of one datagram; none where nothing is due.
+    /// Messages of the datagram; empty if nothing is to be sent now.
     pub messages: Vec<Message>,
-    /// Whether its asks were sent before.
-    pub again: bool,
+    /// Whether its asks have been sent before.
+    pub resent: bool,
 }
 
-/// What is on its way to one owner, or waits for its turn.
+/// Asks and releases for one owner that are queued or in flight.
 #[derive(Clone, Debug, Default)]
 pub struct Rounds {
+    /// Asks for the next rounds.
     waiting: VecDeque<Ask>,
-    given: VecDeque<Given>,
-    under_way: Option<UnderWay>,
+    releases: VecDeque<PendingRelease>,
+    in_flight: Option<Round>,
+    /// Smoothed round trip.
     round_trip: Option<Duration>,
+    /// When the last datagram was sent.
     last_sent: Option<Duration>,
 }
 
 impl Rounds {
-    /// An ask is to be sent.
+    /// Queues an ask.
     pub fn ask(&mut self, ask: Ask) {
         self.waiting.push_back(ask);
     }
 
-    /// A slot is to be given back.
-    pub fn give(&mut self, at: u32, place: Place) {
-        self.given.push_back(Given { at, place });
+    /// Queues a release with its sequence number.
+    pub fn release(&mut self, sequence: u32, place: Place) {
+        self.releases.push_back(PendingRelease { sequence, place });
     }
 
-    /// An ask was answered.
-    pub fn answered(&mut self, now: Duration, ticket: Ticket) {
-        let asked = |round: &UnderWay| round.asks.iter().any(|ask| ask.ticket == ticket);
-        // Of a round that was sent twice it is not known which one was answered.
-        let first = |round: &&mut UnderWay| round.sent == 1 && !round.sampled && asked(round);
-        if let Some(round) = self.under_way.as_mut().filter(first) {
+    /// Records that an ask was answered, and takes a sample of the round trip if it can.
+    pub fn record_answer(&mut self, now: Duration, ticket: Ticket) {
+        let contains_ask = |round: &Round| round.asks.iter().any(|ask| ask.ticket == ticket);
+        // The answer to a resent round may belong to any of its datagrams.
+        let gives_sample =
+            |round: &&mut Round| round.times_sent == 1 && !round.sampled && contains_ask(round);
+        if let Some(round) = self.in_flight.as_mut().filter(gives_sample) {
             round.sampled = true;
             let sample = now.saturating_sub(round.sent_at);
-            let known = self.round_trip.unwrap_or(sample);
+            let smoothed = self.round_trip.unwrap_or(sample);
             self.round_trip =
-                Some(known.mul_f64(1.0 - SAMPLE_WEIGHT) + sample.mul_f64(SAMPLE_WEIGHT));
+                Some(smoothed.mul_f64(1.0 - SAMPLE_WEIGHT) + sample.mul_f64(SAMPLE_WEIGHT));
         }
         self.give_up(ticket);
     }
 
-    /// An ask is not sent again.
+    /// Removes an ask, so that it is not sent or resent.
     pub fn give_up(&mut self, ticket: Ticket) {
-        if let Some(round) = &mut self.under_way
+        if let Some(round) = &mut self.in_flight
             && let Some(at) = round.asks.iter().position(|ask| ask.ticket == ticket)
         {
             round.asks.remove(at);
-            self.under_way.take_if(|round| round.asks.is_empty());
+            self.in_flight.take_if(|round| round.asks.is_empty());
             return;
         }
         self.waiting.retain(|ask| ask.ticket != ticket);
     }
 
-    /// What was sent is lost, since the owner started again; it is sent to its new process.
-    pub fn lost(&mut self) {
-        let Some(round) = self.under_way.take() else {
+    /// Puts the asks of the round in flight back into the queue. Called when the owner has restarted: its new process has
+    /// not received them.
+    pub fn requeue(&mut self) {
+        let Some(round) = self.in_flight.take() else {
             return;
         };
         for ask in round.asks.into_iter().rev() {
@@ -109,52 +117,59 @@
         }
     }
 
-    /// What is to be sent now, in one datagram; no asks while a round is under way that is not late.
+    /// Takes what is to be sent now, in one datagram. It contains no asks while a round is in flight that need not be
+    /// resent yet.
     pub fn due(&mut self, now: Duration) -> Due {
-        let (mut messages, mut again) = (Vec::new(), false);
-        match &mut self.under_way {
-            Some(round) if now < round.sent_at + resend_after(self.round_trip, round.sent) => {}
+        let (mut messages, mut resent) = (Vec::new(), false);
+        match &mut self.in_flight {
+            Some(round)
+                if now < round.sent_at + resend_delay(self.round_trip, round.times_sent) => {}
             Some(round) => {
                 round.sent_at = now;
-                round.sent += 1;
-                again = true;
+                round.times_sent += 1;
+                resent = true;
                 messages.extend(round.asks.iter().cloned().map(Message::Ask));
             }
             None if !self.waiting.is_empty() => {
-                let many = self.waiting.len().min(ASKS_OF_ROUND);
-                let asks: Vec<Ask> = self.waiting.drain(..many).collect();
+                let count = self.waiting.len().min(MAX_ASKS_PER_ROUND);
+                let asks: Vec<Ask> = self.waiting.drain(..count).collect();
                 messages.extend(asks.iter().cloned().map(Message::Ask));
-                self.under_way = Some(UnderWay { asks, sent_at: now, sent: 1, sampled: false });
+                self.in_flight = Some(Round { asks, sent_at: now, times_sent: 1, sampled: false });
             }
             None => {}
         }
-        let alone = messages.is_empty();
-        if !alone || self.last_sent.is_none_or(|last| now >= last + GIVES_APART) {
-            let many = self.given.len().min(GIVES_OF_ROUND);
-            let given = self.given.drain(..many);
-            messages.extend(given.map(|Given { at, place }| Message::Give { at, place }));
+        let only_releases = messages.is_empty();
+        if !only_releases || self.last_sent.is_none_or(|last| now >= last + RELEASES_INTERVAL) {
+            let count = self.releases.len().min(MAX_RELEASES_PER_DATAGRAM);
+            let releases = self.releases.drain(..count);
+            messages.extend(
+                releases
+                    .map(|PendingRelease { sequence, place }| Message::Release { sequence, place }),
+            );
         }
         if !messages.is_empty() {
             self.last_sent = Some(now);
         }
-        Due { messages, again }
+        Due { messages, resent }
     }
 
-    /// When something is due next, if nothing else happens.
+    /// When the next datagram is due if nothing is queued or answered before. An ask in the queue is due at once if no
+    /// round is in flight.
     pub fn due_at(&self) -> Option<Duration> {
-        let round = self.under_way.as_ref();
-        let resend = round.map(|round| round.sent_at + resend_after(self.round_trip, round.sent));
+        let round = self.in_flight.as_ref();
+        let resend =
+            round.map(|round| round.sent_at + resend_delay(self.round_trip, round.times_sent));
         if round.is_none() && !self.waiting.is_empty() {
             return Some(Duration::ZERO);
         }
-        let gives = self.last_sent.filter(|_| !self.given.is_empty());
-        resend.into_iter().chain(gives.map(|last| last + GIVES_APART)).min()
+        let releases = self.last_sent.filter(|_| !self.releases.is_empty());
+        resend.into_iter().chain(releases.map(|last| last + RELEASES_INTERVAL)).min()
     }
 }
 
-/// Time after which a round that was sent so often is sent again.
-fn resend_after(round_trip: Option<Duration>, sent: u32) -> Duration {
-    let usual = round_trip.unwrap_or(FIRST_ROUND_TRIP) * ROUND_TRIPS;
-    let doubled = usual * 2_u32.saturating_pow(sent.saturating_sub(1).min(8));
-    doubled.clamp(RESEND_WITHIN.0, RESEND_WITHIN.1)
+/// Time after which a round that was sent `times_sent` times is resent; doubles with each resend.
+fn resend_delay(round_trip: Option<Duration>, times_sent: u32) -> Duration {
+    let first_delay = round_trip.unwrap_or(INITIAL_ROUND_TRIP) * RESEND_ROUND_TRIPS;
+    let delay = first_delay * 2_u32.saturating_pow(times_sent.saturating_sub(1).min(8));
+    delay.clamp(RESEND_DELAY_RANGE.0, RESEND_DELAY_RANGE.1)
 }
--- a/src/slots/table.rs
+++ b/src/slots/table.rs
@@ -1,59 +1,59 @@
-//! One router's part in granting slots: owner of some targets, holder at all others.
+//! Slots as seen by one router: it is the [`Owner`] of some pools, and a [`Holder`] of slots at the targets of every owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use super::owner::Met;
+use super::owner::ProcessStatus;
 use super::{
-    Ask, Bounds, Datagram, Decision, Holder, Message, Owner, Peer, Place, Pool, RouterId, Shares,
-    Statement, TeamId, Ticket, Verdict, owner,
+    Ask, Bounds, Datagram, Decision, Holder, Message, Owner, Peer, Place, PoolLoad, RouterId,
+    Shares, Statement, TeamId, Ticket, Verdict, owner,
 };
 use crate::choice::NameHash;
 
-/// What came of asking for a slot.
+/// Result of [`Table::ask`].
 #[derive(Clone, Debug, PartialEq)]
-pub enum Asked {
-    /// This router owns the target and has decided.
+pub enum AskOutcome {
+    /// The ask is decided: this router owns the targets, or no owner is known.
     Decided(Decision),
-    /// The owner has to be asked.
+    /// The ask has to be sent to the owner.
     Send {
-        /// The owner.
+        /// Owner of the targets.
         to: RouterId,
-        /// What to ask it.
+        /// The ask, with its ticket and only the targets of this owner.
         ask: Ask,
     },
 }
 
-/// What is to be done with a datagram.
+/// Whether the messages of a datagram may be handled.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Opened {
-    /// Nothing: it comes of a process that has ended.
-    Void,
-    /// It comes of a router's present process.
-    Valid {
-        /// Whether nothing was heard of this process before, so that it can't have what was sent to that router.
-        new: bool,
-        /// What to answer instead of taking its messages, if it is not for this process.
-        answer: Option<Message>,
+pub enum DatagramCheck {
+    /// No: the sending process has ended.
+    Stale,
+    /// The datagram was sent by the current process of a router.
+    Current {
+        /// Whether nothing was received from this process before. What was sent to that router until now did not reach it.
+        new_process: bool,
+        /// Set if the datagram was meant for another process of this router: to be sent instead of handling the messages.
+        reply: Option<Message>,
     },
 }
 
-/// Slots granted by and to one router.
+/// Slots that one router grants and holds.
 #[derive(Clone, Debug)]
 pub struct Table {
     me: Peer,
     routers: Vec<RouterId>,
-    /// Pool of each target.
+    /// Pool of each known target.
     pools: BTreeMap<NameHash, NameHash>,
     owner: Owner,
-    /// What is held at each owner, this router included.
+    /// Slots that this router holds, by owner (itself included).
     holders: BTreeMap<RouterId, Holder>,
-    /// Which teams lack slots, in each pool owned here.
+    /// Guaranteed shares, by pool owned here.
     shares: BTreeMap<NameHash, Shares>,
 }
 
 impl Table {
-    /// The table of the router `me`, which knows no others yet.
+    /// Creates the table of a router process that knows no other routers yet.
     pub fn new(me: Peer) -> Self {
         Table {
             me,
@@ -65,18 +65,18 @@
         }
     }
 
-    /// Whether the live routers are known.
+    /// Whether the set of live routers is known.
     pub fn has_view(&self) -> bool {
         !self.routers.is_empty()
     }
 
-    /// Requests in flight at `target` by all slots, if this router owns it.
+    /// Requests in flight at `target` from all routers; 0 if this router does not own it.
     pub fn load(&self, target: NameHash) -> usize {
         self.owner.load(target)
     }
 
-    /// Takes the live routers and the pool of each known target; tells whether anything changed,
-    /// after which [`statements`](Table::statements) are due at once.
+    /// Sets the live routers and the pool of each known target. Returns whether anything changed; the caller then has to
+    /// send [`statements`](Table::statements) at once.
     pub fn set_view(
         &mut self,
         routers: &BTreeSet<RouterId>,
@@ -91,7 +91,7 @@
         self.pools.clone_from(pools);
         let owned = pools.keys().filter(|target| self.owner_of(**target) == Some(self.me.router));
         self.owner.set_view(live, &owned.copied().collect());
-        self.move_held();
+        self.reassign_held();
         true
     }
 
@@ -99,10 +99,10 @@
         owner(*self.pools.get(&target)?, &self.routers)
     }
 
-    /// Load of a pool that this router owns, and the part of it that belongs to `team`.
-    fn pool(&self, name: NameHash, team: TeamId) -> (Pool, usize) {
+    /// Load of a pool that this router owns, and the number of requests of `team` in it.
+    fn pool(&self, name: NameHash, team: TeamId) -> (PoolLoad, usize) {
         let members = self.pools.iter().filter(|(_, of)| **of == name);
-        let (mut pool, mut of_team) = (Pool::default(), 0);
+        let (mut pool, mut of_team) = (PoolLoad::default(), 0);
         for (target, _) in members {
             pool.load += self.owner.load(*target);
             pool.targets += 1;
@@ -111,8 +111,8 @@
         (pool, of_team)
     }
 
-    /// Slots held at a target go on under its present owner; asks under way are given up.
-    fn move_held(&mut self) {
+    /// Transfers the slots held by this router to the present owners of their targets, and gives up all open asks.
+    fn reassign_held(&mut self) {
         let held: Vec<_> = self.holders.values_mut().flat_map(Holder::take_held).collect();
         for (place, count) in held {
             if let Some(owner) = self.owner_of(place.target) {
@@ -121,32 +121,32 @@
         }
     }
 
-    /// Asks for a slot; `ask` needs no ticket yet.
-    pub fn ask(&mut self, now: Duration, mut ask: Ask, bounds: &Bounds) -> Asked {
+    /// Asks the owner of the first target for a slot. The ticket of `ask` is set here.
+    pub fn ask(&mut self, now: Duration, mut ask: Ask, bounds: &Bounds) -> AskOutcome {
         let owner = ask.targets.first().and_then(|target| self.owner_of(*target));
         let Some(to) = owner else {
-            return Asked::Decided(Decision::Undecided);
+            return AskOutcome::Decided(Decision::Undecided);
         };
         ask.targets.retain(|target| self.owner_of(*target) == owner);
         self.holders.entry(to).or_default().ask(&mut ask);
         if to != self.me.router {
-            return Asked::Send { to, ask };
+            return AskOutcome::Send { to, ask };
         }
         let verdict = self.decide(now, self.me.router, &ask, bounds);
-        Asked::Decided(self.answered(to, ask.ticket, verdict))
+        AskOutcome::Decided(self.record_answer(to, ask.ticket, verdict))
     }
 
-    /// Decides on an ask for a target owned here: by the team's share, then by the bound.
+    /// Decides on an ask for targets owned here: checks the team's share of the pool, then the targets' bounds.
     fn decide(&mut self, now: Duration, from: RouterId, ask: &Ask, bounds: &Bounds) -> Verdict {
         let pool = ask.targets.first().and_then(|target| self.pools.get(target));
         let Some(name) = pool.copied() else {
             return Verdict::Undecided;
         };
-        if let Some(known) = self.owner.known(from, ask) {
-            return known;
+        if let Some(verdict) = self.owner.existing_verdict(from, ask) {
+            return verdict;
         }
         let (mut pool, used) = self.pool(name, ask.team);
-        // Targets that take no work carry none either, and would only lower the mean.
+        // Targets that take no requests would only lower the mean load.
         pool.targets = pool.targets.min(usize::from(ask.usable));
         let capacity = pool.targets * bounds.engine_slots;
         let shares = self.shares.entry(name).or_default();
@@ -154,37 +154,38 @@
         if admitted { self.owner.decide(from, ask, pool, bounds) } else { Verdict::Full }
     }
 
-    /// Takes the answer of an owner.
-    pub fn answered(&mut self, from: RouterId, ticket: Ticket, verdict: Verdict) -> Decision {
+    /// Applies an owner's answer to an ask.
+    pub fn record_answer(&mut self, from: RouterId, ticket: Ticket, verdict: Verdict) -> Decision {
         let holder = self.holders.get_mut(&from);
-        holder.map_or(Decision::Undecided, |holder| holder.answered(ticket, verdict))
+        holder.map_or(Decision::Undecided, |holder| holder.record_answer(ticket, verdict))
     }
 
-    /// Gives up an ask whose answer did not come.
+    /// Gives up an ask that has not been answered.
     pub fn give_up(&mut self, to: RouterId, ticket: Ticket) {
         if let Some(holder) = self.holders.get_mut(&to) {
             holder.give_up(ticket);
         }
     }
 
-    /// Gives a slot back; returns its present owner, if that is another router, and the sequence to send it.
-    pub fn give(&mut self, place: Place) -> Option<(RouterId, u32)> {
+    /// Releases a slot. If another router owns the target, returns that owner and the sequence number of the release to
+    /// send to it.
+    pub fn release(&mut self, place: Place) -> Option<(RouterId, u32)> {
         let to = self.owner_of(place.target)?;
-        let at = self.holders.entry(to).or_default().give(place);
+        let sequence = self.holders.entry(to).or_default().release(place);
         if to == self.me.router {
-            self.owner.give(self.me.router, at, place);
+            self.owner.release(self.me.router, sequence, place);
             return None;
         }
-        Some((to, at))
+        Some((to, sequence))
     }
 
-    /// What this router holds, for every other owner; its own part is noted at once.
+    /// The statements to all other routers. The statement of this router to itself is applied at once.
     pub fn statements(&mut self) -> Vec<(RouterId, Message)> {
         let mut due = Vec::new();
         for to in self.routers.clone() {
             let statement = self.statement(to);
             if to == self.me.router {
-                self.owner.take_statement(self.me.router, &statement);
+                self.owner.apply_statement(self.me.router, &statement);
             } else {
                 due.push((to, Message::Statement(statement)));
             }
@@ -192,43 +193,47 @@
         due
     }
 
-    /// The process of a router that datagrams to it are for.
-    pub fn present(&self, router: RouterId) -> Option<u64> {
-        self.owner.present(router)
+    /// Incarnation of a router's current process, to which datagrams are addressed; `None` if nothing has been received
+    /// from it.
+    pub fn current_incarnation(&self, router: RouterId) -> Option<u64> {
+        self.owner.current_incarnation(router)
     }
 
-    /// Looks at whom a datagram is from and for. One for a former process of this router proves nothing: what it says
-    /// was said before its sender knew that this one has forgotten all.
-    pub fn open(&mut self, now: Duration, datagram: &Datagram) -> Opened {
-        let met = self.owner.meet(now, datagram.from);
-        if met == Met::Former {
-            return Opened::Void;
+    /// Checks by which process a datagram was sent, and for which.
+    ///
+    /// The messages of a datagram for a former process of this router must not be handled: the sender did not know yet
+    /// that this router has lost the state of its former process.
+    pub fn check_datagram(&mut self, now: Duration, datagram: &Datagram) -> DatagramCheck {
+        let sender = self.owner.observe_process(now, datagram.from);
+        if sender == ProcessStatus::Former {
+            return DatagramCheck::Stale;
         }
-        let answer = datagram.to != Some(self.me.incarnation);
-        let answer = answer.then(|| Message::Statement(self.statement(datagram.from.router)));
-        Opened::Valid { new: met == Met::New, answer }
+        let misaddressed = datagram.to != Some(self.me.incarnation);
+        let reply = misaddressed.then(|| Message::Statement(self.statement(datagram.from.router)));
+        DatagramCheck::Current { new_process: sender == ProcessStatus::New, reply }
     }
 
-    /// What this router holds, for those that have not told it what they hold.
-    pub fn statements_to_unheard(&mut self) -> Vec<(RouterId, Message)> {
+    /// The statements to the routers from which this one lacks a statement.
+    pub fn statements_to_unreported(&mut self) -> Vec<(RouterId, Message)> {
         let others = self.routers.iter().filter(|router| **router != self.me.router);
-        let unheard: Vec<RouterId> =
-            others.filter(|router| !self.owner.heard(**router)).copied().collect();
+        let unreported: Vec<RouterId> =
+            others.filter(|router| !self.owner.has_statement_of(**router)).copied().collect();
         let statement = |to| (to, Message::Statement(self.statement(to)));
-        unheard.into_iter().map(statement).collect()
+        unreported.into_iter().map(statement).collect()
     }
 
     fn statement(&mut self, to: RouterId) -> Statement {
-        let heard = self.owner.heard(to);
-        self.holders.entry(to).or_default().statement(heard)
+        let receiver_reported = self.owner.has_statement_of(to);
+        self.holders.entry(to).or_default().statement(receiver_reported)
     }
 
-    /// Whether all that is owned here can be granted.
-    pub fn knows_all(&self) -> bool {
-        self.owner.knows_all()
+    /// Whether every live router has sent a statement that covers all targets owned here, so that slots can be granted at
+    /// each of them.
+    pub fn has_all_statements(&self) -> bool {
+        self.owner.has_all_statements()
     }
 
-    /// Takes a message that an owner handles; returns the answer to send.
+    /// Handles a message to this router as an owner, and returns the reply to send.
     pub fn receive(
         &mut self,
         now: Duration,
@@ -241,11 +246,11 @@
                 let verdict = self.decide(now, from, ask, bounds);
                 return Some(Message::Answer { ticket: ask.ticket, verdict });
             }
-            Message::Give { at, place } => self.owner.give(from, *at, *place),
+            Message::Release { sequence, place } => self.owner.release(from, *sequence, *place),
             Message::Statement(statement) => {
-                self.owner.take_statement(from, statement);
-                let lacks = !statement.heard && self.routers.contains(&from);
-                return lacks.then(|| Message::Statement(self.statement(from)));
+                self.owner.apply_statement(from, statement);
+                let wants_statement = !statement.receiver_reported && self.routers.contains(&from);
+                return wants_statement.then(|| Message::Statement(self.statement(from)));
             }
             Message::Answer { .. } => {}
         }
--- a/tests/slots.rs
+++ b/tests/slots.rs
@@ -8,8 +8,8 @@
 
 use latchmount::choice::{Key, NameHash};
 use latchmount::slots::{
-    Ask, Asked, Bounds, Datagram, Decision, Due, Message, Opened, Owner, Peer, Place, Pool, Rounds,
-    RouterId, Shares, Statement, Table, TeamId, Verdict, Wish,
+    Ask, AskOutcome, Bounds, ChatTurn, Datagram, DatagramCheck, Decision, Due, Message, Owner,
+    Peer, Place, PoolLoad, Rounds, RouterId, Shares, Statement, Table, TeamId, Verdict,
 };
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -120,7 +120,7 @@
     }
 
     fn send(&mut self, from: u64, to: RouterId, message: Message) {
-        let incarnation = self.table(from).present(to);
+        let incarnation = self.table(from).current_incarnation(to);
         let datagram = Datagram { from: self.peer(from), to: incarnation, messages: vec![message] };
         self.network.push((to, datagram));
     }
@@ -145,18 +145,18 @@
             ticket: 0,
             team,
             targets: vec![name],
-            homes: 0,
+            prefix_candidates: 0,
             usable: 9,
             share: 500,
             chat: Key(target),
-            wish: Wish::Returning,
+            turn: ChatTurn::Returning,
         };
         match self.table(router).ask(Duration::ZERO, ask, &BOUNDS) {
-            Asked::Decided(Decision::Full | Decision::Undecided) => {}
-            Asked::Decided(Decision::Granted(_)) => {
+            AskOutcome::Decided(Decision::Full | Decision::Undecided) => {}
+            AskOutcome::Decided(Decision::Granted(_)) => {
                 *self.held.entry((router, target)).or_default() += 1
             }
-            Asked::Send { to, ask } => {
+            AskOutcome::Send { to, ask } => {
                 self.asked.insert((router, to.0, ask.ticket), target);
                 self.send(router, to, Message::Ask(ask));
             }
@@ -170,8 +170,8 @@
         };
         *count -= 1;
         let place = place(*target);
-        if let Some((to, at)) = self.table(router).give(place) {
-            self.send(router, to, Message::Give { at, place });
+        if let Some((to, at)) = self.table(router).release(place) {
+            self.send(router, to, Message::Release { sequence: at, place });
         }
     }
 
@@ -181,20 +181,20 @@
         }
         let (to, datagram) = self.network.remove(pick % self.network.len());
         let from = datagram.from.router;
-        match self.table(to.0).open(Duration::ZERO, &datagram) {
-            Opened::Void => return self.lose(to, &datagram),
-            Opened::Valid { answer: Some(answer), .. } => {
+        match self.table(to.0).check_datagram(Duration::ZERO, &datagram) {
+            DatagramCheck::Stale => return self.lose(to, &datagram),
+            DatagramCheck::Current { reply: Some(answer), .. } => {
                 self.send(to.0, from, answer);
                 return self.lose(to, &datagram);
             }
-            Opened::Valid { answer: None, .. } => {}
+            DatagramCheck::Current { reply: None, .. } => {}
         }
         let [message] = &datagram.messages[..] else {
             unreachable!("one message each");
         };
         if let Message::Answer { ticket, verdict } = *message {
             let asked = self.asked.remove(&(to.0, from.0, ticket));
-            if let Decision::Granted(_) = self.table(to.0).answered(from, ticket, verdict)
+            if let Decision::Granted(_) = self.table(to.0).record_answer(from, ticket, verdict)
                 && let Some(target) = asked
             {
                 *self.held.entry((to.0, target)).or_default() += 1;
@@ -334,11 +334,11 @@
         ticket,
         team: TeamId(1),
         targets: vec![NameHash(1), NameHash(2)],
-        homes: 0,
+        prefix_candidates: 0,
         usable: 2,
         share: 500,
         chat: Key(1),
-        wish: Wish::FirstTurn,
+        turn: ChatTurn::FirstTurn,
     }
 }
 
@@ -349,11 +349,11 @@
     (0..1_000).for_each(|ticket| rounds.ask(ask_with(ticket)));
     let mut now = Duration::ZERO;
     let first = rounds.due(now);
-    assert!(!first.again && first.messages.len() > 10);
+    assert!(!first.resent && first.messages.len() > 10);
     assert_eq!(rounds.due(now), Due::default());
     now = rounds.due_at().expect("a time to send it again");
     let second = rounds.due(now);
-    assert!(second.again);
+    assert!(second.resent);
     assert_eq!(second.messages, first.messages);
     let (mut datagrams, mut answered) = (0, Vec::new());
     let mut due = second;
@@ -364,7 +364,7 @@
             let Message::Ask(ask) = message else {
                 unreachable!("only asks");
             };
-            rounds.answered(now, ask.ticket);
+            rounds.record_answer(now, ask.ticket);
             answered.push(ask.ticket);
         }
         due = rounds.due(now);
@@ -382,7 +382,7 @@
     (0..first).for_each(|ticket| rounds.give_up(ticket));
     assert_eq!(rounds.due_at(), Some(Duration::ZERO));
     let next = rounds.due(Duration::ZERO);
-    assert_eq!((next.again, next.messages.len()), (false, 100 - first as usize));
+    assert_eq!((next.resent, next.messages.len()), (false, 100 - first as usize));
 }
 
 /// Each engine was full when its turn came, though never all were; and an ask that is sent again is granted once.
@@ -392,9 +392,9 @@
     let mut owner = Owner::default();
     owner.set_view([me].into(), &[NameHash(1), NameHash(2)].into());
     let bounds = Bounds { engine_slots: 1, ..BOUNDS };
-    let pool = Pool { load: 0, targets: 2 };
+    let pool = PoolLoad { load: 0, targets: 2 };
     assert_eq!(owner.ask(me, &ask_with(1), pool, &bounds), Verdict::Undecided);
-    owner.take_statement(me, &Statement { heard: true, ..Statement::default() });
+    owner.apply_statement(me, &Statement { receiver_reported: true, ..Statement::default() });
     assert_eq!(owner.ask(me, &ask_with(1), pool, &bounds), Verdict::Granted(0));
     assert_eq!(owner.ask(me, &ask_with(1), pool, &bounds), Verdict::Granted(0));
     assert_eq!(owner.ask(me, &ask_with(2), pool, &bounds), Verdict::Granted(1));
