--- a/src/directory/entry.rs
+++ b/src/directory/entry.rs
@@ -1,4 +1,4 @@
-//! A target in the directory, and the forms in which it travels.
+//! A target in the directory, and the types in which targets and changes of them are sent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -9,50 +9,50 @@
 use crate::level::Level;
 use crate::store::Revision;
 
-/// Whether a target takes new work.
+/// Whether a target takes new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TargetState {
-    /// It does.
+    /// It takes new requests.
     Ready,
-    /// It ends what it has and then leaves.
+    /// It completes its requests in flight and then shuts down.
     Draining,
-    /// It has not been heard for long, and may be gone.
+    /// It is unresponsive: no heartbeat has arrived within the timeout.
     Silent,
 }
 
-/// What a target says of itself in a heartbeat.
+/// Content of a target's heartbeat.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
-    /// Identity of the target, which it may have again after a start.
+    /// Identity of the target. It may keep it when it restarts.
     pub id: String,
-    /// When it started, by its own clock: tells its starts apart.
+    /// When it started, by its own clock: distinguishes the incarnations of the target.
     pub born: StartTime,
     /// Service that it belongs to.
     pub service: String,
-    /// Version of its software; empty where it does not say.
+    /// Version of its software; empty if it does not send one.
     pub version: String,
-    /// Where it takes requests.
+    /// Address at which it takes requests.
     pub addr: SocketAddr,
-    /// Data hall that it stands in.
+    /// Data hall in which it runs.
     pub data_hall: String,
-    /// Requests that it works on at once.
+    /// Number of requests that it processes at a time.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it takes new requests.
     pub state: TargetState,
-    /// How long it stays slow yet after its start; zero once it is warm.
+    /// Remaining time for which it is cold, that is slow after its start; zero once it is warm.
     pub cold_left: Duration,
-    /// Grows with each heartbeat of this start of the target.
+    /// Grows with each heartbeat of this incarnation.
     pub sequence: u64,
 }
 
 impl Announcement {
-    /// Short form of this start of the target.
+    /// Hash that identifies this incarnation of the target.
     pub fn key(&self) -> u64 {
         incarnation_key(&self.id, self.born)
     }
 
-    /// What of it a group of this level may hold.
+    /// Drops what a group of this level must not store.
     pub fn limited_to(self, level: Level) -> Self {
         if level >= Level::STARTS {
             return self;
@@ -65,71 +65,72 @@
         }
     }
 
-    /// This start of the target.
+    /// The incarnation that sent it.
     pub fn incarnation(&self) -> Incarnation {
         Incarnation { id: self.id.clone(), born: self.born }
     }
 }
 
-/// When a target started, by its own clock, in milliseconds since 1970. The clock may step, so that a later start may
-/// have an earlier time; none for a target that does not say.
+/// When a target started, by its own clock, in milliseconds since 1970; `None` if the target does not send it. The clock
+/// may step back, so that a later incarnation can have an earlier time.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct StartTime(pub Option<u64>);
 
-/// One start of a target.
+/// One incarnation of a target: its life from one start to the end of the process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
     /// Identity of the target.
     pub id: String,
-    /// When it started.
+    /// When it started, which distinguishes incarnations of the same identity.
     pub born: StartTime,
 }
 
-/// A target in the directory.
+/// A target as the directory stores it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryEntry {
-    /// What it said when it last brought something new.
+    /// The last heartbeat that changed the entry.
     pub announcement: Announcement,
-    /// Revision that brought it, or changed it last.
+    /// Revision of the last change of the entry.
     pub revision: Revision,
-    /// Revision that brought what its identity, start, service and address say.
+    /// Revision of the last change of anything besides state, remaining cold time and home. Gateways with an older revision
+    /// need the whole entry.
     pub since: Revision,
-    /// Its home, once it has one.
+    /// Its home, if it has one.
     pub home: Option<u32>,
 }
 
-/// A target as gateways are told of it.
+/// A whole entry as sent to gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Listed {
-    /// What it said when it last brought something new.
+    /// The last heartbeat that changed the entry.
     pub announcement: Announcement,
-    /// Its home, once it has one.
+    /// Its home, if it has one.
     pub home: Option<u32>,
 }
 
-/// A target that is known, in its present state and home.
+/// A change of state, remaining cold time or home of a target that the receiving gateway already has.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Moved {
-    /// Short form of its start.
+    /// Hash of the incarnation, as of [`Announcement::key`].
     pub target: u64,
-    /// Short form of its identity.
+    /// Hash of the identity, as of [`key`].
     pub identity: u64,
-    /// Whether it takes new work.
+    /// Whether it takes new requests.
     pub state: TargetState,
-    /// How long it stayed slow yet when it last brought something new; zero once it is warm.
+    /// Remaining cold time at the last heartbeat that changed the entry; zero once it is warm.
     pub cold_left: Duration,
-    /// Its home, once it has one.
+    /// Its home, if it has one.
     pub home: Option<u32>,
 }
 
-/// Short form of a name.
+/// Hash of a name, sent and stored in its place.
 pub fn key(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
-/// Short form of one start of a target; that of its identity where it does not say when it started.
+/// Hash of an incarnation; of the identity alone if the start time is not known.
 fn incarnation_key(id: &str, born: StartTime) -> u64 {
     match born.0 {
         Some(born) => xxh3_64_with_seed(id.as_bytes(), born),
@@ -137,29 +138,29 @@
     }
 }
 
-/// What became of a heartbeat.
+/// What a heartbeat means for the directory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeartbeatClass {
-    /// It brings nothing new.
+    /// It changes nothing.
     Unchanged,
-    /// It must go into the log before it is acknowledged.
+    /// It changes the directory, and must be committed to the log before it is acknowledged.
     Changed,
-    /// It is older than what is known, or of a start that was removed or that another one followed.
+    /// It is older than the entry, or is from an incarnation that was removed or replaced.
     Stale,
 }
 
-/// What a gateway lacks of the directory.
+/// Changes of the directory that a gateway lacks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryDelta {
-    /// Revision after applying it.
+    /// Revision of the directory after applying the changes.
     pub revision: Revision,
-    /// Whether it holds all targets, so that others are to be dropped.
+    /// Whether it contains all targets, so that the receiver drops all others.
     pub whole: bool,
-    /// New targets, and those at another address.
+    /// New targets, and targets of which anything besides state, remaining cold time and home changed.
     pub changed: Vec<Listed>,
-    /// Targets that the receiver knows, with another state or home.
+    /// Targets that the receiver has, of which only state, remaining cold time or home changed.
     pub moved: Vec<Moved>,
-    /// Removed targets.
+    /// Identities of targets whose incarnation ended. One that restarted is in `changed` as well.
     pub removed: Vec<String>,
 }
 
@@ -174,16 +175,19 @@
         Moved { target, identity, state, cold_left, home: self.home }
     }
 
-    /// Whether a heartbeat says what is known: the time that is left of a start goes down by itself.
-    pub(super) fn says_nothing_new(known: &Announcement, heartbeat: &Announcement) -> bool {
-        let turned = known.cold_left.is_zero() != heartbeat.cold_left.is_zero();
+    /// Whether a heartbeat changes nothing. The remaining cold time decreases by itself, so that only its end and an
+    /// increase are changes.
+    pub(super) fn is_unchanged(known: &Announcement, heartbeat: &Announcement) -> bool {
+        let cold_toggled = known.cold_left.is_zero() != heartbeat.cold_left.is_zero();
         let longer = heartbeat.cold_left > known.cold_left;
         let Announcement { sequence, cold_left, .. } = *known;
-        !turned && !longer && Announcement { sequence, cold_left, ..heartbeat.clone() } == *known
+        !cold_toggled
+            && !longer
+            && Announcement { sequence, cold_left, ..heartbeat.clone() } == *known
     }
 
-    /// Whether a target is where it was, as far as gateways are concerned.
-    pub(super) fn same_place(&self, other: &Announcement) -> bool {
+    /// Whether the announcements of a target differ at most in what [`Moved`] can express.
+    pub(super) fn same_except_state(&self, other: &Announcement) -> bool {
         let here = &self.announcement;
         here.born == other.born
             && here.addr == other.addr
