--- a/src/compat/base.rs
+++ b/src/compat/base.rs
@@ -1,4 +1,4 @@
-//! The types of the first build that ran in production, as it encodes them. They never change.
+//! Types of the first build that ran in production, as it encodes them in postcard. The encoding never changes.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -14,7 +14,7 @@
 use crate::raft::{Envelope, Index, StoreId};
 use crate::store::{Answer, Revision};
 
-/// What a target says of itself; see [`directory::Announcement`].
+/// Content of a target's heartbeat; see [`directory::Announcement`].
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Announcement {
     id: String,
@@ -62,7 +62,7 @@
     home: Option<u32>,
 }
 
-/// What a directory is saved as.
+/// Form in which a directory is saved.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Directory {
     revision: Revision,
@@ -106,24 +106,24 @@
     }
 }
 
-/// Whether the first build could say this of a target.
+/// Whether the types of the first build can express an announcement.
 pub fn can_encode_announcement(announcement: &directory::Announcement) -> bool {
     announcement.born.0.is_none()
         && announcement.version.is_empty()
         && announcement.cold_left.is_zero()
 }
 
-/// Whether the first build could name this target: it knows no starts.
+/// Whether the first build can identify the target: it knows no start times, so it can't tell incarnations apart.
 pub fn can_encode_target(target: &Incarnation) -> bool {
     target.born.0.is_none()
 }
 
-/// The identities of targets, by which the first build names them.
+/// Identities of the targets, by which the first build identifies them.
 pub fn identities(targets: Vec<Incarnation>) -> Vec<String> {
     targets.into_iter().map(|target| target.id).collect()
 }
 
-/// A target in whichever start it is.
+/// A target without start time, as the first build identifies it. It stands for whichever incarnation is current.
 pub fn incarnation(id: String) -> Incarnation {
     Incarnation { id, born: StartTime::default() }
 }
@@ -131,77 +131,77 @@
 /// A frame to a member.
 #[derive(Serialize, Deserialize)]
 pub enum ToMember<'a> {
-    /// Messages of the agreement, and where their sender is reached.
+    /// Raft messages, and the address of the sender.
     Raft {
-        /// Where the sender is reached.
+        /// Address of the sender.
         from: SocketAddr,
         /// The messages.
         messages: Cow<'a, [Envelope]>,
     },
-    /// A call.
+    /// A request to the member.
     Call {
-        /// Chosen by the caller.
+        /// Id that the caller chose; the reply has the same.
         id: u64,
         /// The call.
         call: Call,
     },
     /// Gateways that are connected to the sender.
     Presence(Cow<'a, [String]>),
-    /// What the gateways of another member have in flight.
+    /// Requests in flight from the gateways connected to another member.
     MemberLoads {
-        /// Where the sender is reached.
+        /// Address of the sending member.
         from: SocketAddr,
-        /// What they have in flight.
+        /// Requests in flight by target.
         loads: Cow<'a, Loads>,
     },
-    /// What a gateway has in flight.
+    /// Requests in flight from a gateway.
     Loads(Cow<'a, Loads>),
-    /// Version of the configuration that a gateway works by.
+    /// Version of the configuration that a gateway applies.
     ConfigurationInForce(u64),
-    /// A gateway has a parcel.
+    /// The gateway has a blob.
     HasBlob(BlobId),
-    /// A gateway could not fetch a parcel.
+    /// The gateway could not fetch a blob.
     BlobFetchFailed(BlobId),
-    /// A gateway wants to be told of changes.
+    /// The gateway subscribes to updates.
     Subscribe(Subscription),
 }
 
-/// A call to a member.
+/// A request to a member.
 #[derive(Serialize, Deserialize)]
 pub enum Call {
-    /// Put a command in the log.
+    /// Append a command to the log.
     Propose(Encoded),
-    /// The index up to which a reader must have applied.
+    /// Return the log index that a reader must have applied in order to see every acknowledged change.
     ReadIndex,
-    /// Take a heartbeat of a target.
+    /// Handle a target's heartbeat.
     Announce(Announcement),
-    /// Take note of targets that were heard.
+    /// Record that heartbeats of these targets arrived which change nothing.
     ReportHeartbeats(Vec<u64>),
-    /// Take a store in.
+    /// Add a store to the group.
     Join {
-        /// Its identity.
+        /// Identity of the store.
         store: StoreId,
-        /// Where it is reached.
+        /// Address of the store's process.
         addr: SocketAddr,
     },
 }
 
-/// The answer to a call.
+/// The reply to a call.
 #[derive(Serialize, Deserialize)]
 pub enum Reply {
     /// The store's answer to a command.
     Answer(Answer),
-    /// The index for a reader.
+    /// The log index for [`Call::ReadIndex`].
     ReadIndex(Index),
-    /// Taken.
+    /// Handled.
     Done,
-    /// This member does not lead.
+    /// This member is not the leader; the leader's address, if known.
     NotLeader(Option<SocketAddr>),
-    /// The outcome is not known.
+    /// The outcome is unknown: the command may or may not be committed.
     Unknown,
 }
 
-/// What a gateway has when it connects.
+/// A gateway's subscription, with the versions that it already has.
 #[derive(Serialize, Deserialize)]
 pub struct Subscription {
     /// Name of the gateway.
@@ -212,69 +212,69 @@
     pub directory: Revision,
     /// Data hall of the gateway.
     pub data_hall: String,
-    /// Where other gateways fetch parcels from it.
+    /// Address at which peer gateways fetch blobs from it.
     pub serves_blobs_at: Option<SocketAddr>,
 }
 
-/// A frame of a member.
+/// A frame from a member.
 #[derive(Serialize, Deserialize)]
 pub enum FromMember<'a> {
-    /// The answer to a call.
+    /// The reply to a call.
     Reply {
         /// Id of the call.
         id: u64,
-        /// The answer.
+        /// The reply.
         reply: Reply,
     },
-    /// News for a gateway.
+    /// An update for a gateway.
     Update(Box<Update<'a>>),
 }
 
-/// News for a gateway.
+/// An update for a gateway.
 #[derive(Serialize, Deserialize)]
 pub struct Update<'a> {
-    /// Whether the member has heard a leader lately.
+    /// Whether the member has had recent contact with a leader.
     pub fresh: bool,
     /// Version of the configuration that the member holds; 0 for none.
     pub version: u64,
-    /// Bytes of parcels that the gateway lacks.
+    /// Blobs that the gateway lacks.
     pub blobs: Cow<'a, [Bytes]>,
-    /// A parcel that it lacks and is to fetch.
+    /// A blob that the gateway is to fetch from a peer gateway.
     pub blob_source: Option<BlobSource>,
-    /// Where members are reached, when that changed.
+    /// Addresses of the members, if they changed.
     pub members: Option<Vec<SocketAddr>>,
-    /// Gateways alive.
+    /// Number of live gateways.
     pub gateways: u32,
-    /// What all gateways have in flight.
+    /// Requests in flight from all gateways.
     pub loads: Option<Cow<'a, Loads>>,
 }
 
-/// The list of targets by columns.
+/// A [`directory::DirectoryDelta`] by columns, which compress better than rows.
 #[derive(Serialize, Deserialize)]
 pub struct Columns {
     /// Revision after applying it.
     pub revision: Revision,
-    /// Whether it holds all targets.
+    /// Whether it contains all targets.
     pub whole: bool,
-    /// Identities of targets that are gone.
+    /// Identities of targets whose incarnation ended.
     pub removed: Vec<String>,
-    /// Short forms of the identities of targets that changed their state or home.
+    /// Hashes of the identities of targets of which only state or home changed.
     pub moved_targets: Vec<u64>,
     /// Their states.
     pub moved_states: Vec<TargetState>,
     /// Their homes.
     pub moved_homes: Vec<Option<u32>>,
-    /// Identities of targets that are new or elsewhere.
+    /// Identities of new targets, and of those of which anything else changed.
     pub ids: Vec<String>,
     /// Their services.
     pub services: Vec<String>,
-    /// Where they take requests.
+    /// Their addresses.
     pub addrs: Vec<SocketAddr>,
     /// Their data halls.
     pub data_halls: Vec<String>,
-    /// Requests that they work on at once.
+    /// Numbers of requests that they process at a time.
     pub slots: Vec<u32>,
-    /// Whether they take new work.
+    /// Whether they take new requests.
     pub states: Vec<TargetState>,
     /// Their homes.
     pub homes: Vec<Option<u32>>,
--- a/src/compat/command.rs
+++ b/src/compat/command.rs
@@ -1,4 +1,4 @@
-//! A command as it is encoded: in the words of the first build where they say it all, else by a variant behind them.
+//! The encoding of commands: as a variant of the first build if that can express the command, else as one added later.
 
 use serde::{Deserialize, Serialize};
 
@@ -11,7 +11,7 @@
 use crate::rollout::{RolloutOrder, RolloutStep};
 use crate::store::{Change, Command, Drain, Move, Sight};
 
-/// A command as it is encoded. Variants are never changed, removed or put in between.
+/// A command as it is encoded. Released variants are never changed, removed or reordered; new ones go to the end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Encoded {
     /// See [`Command::Change`].
@@ -26,20 +26,20 @@
     Release(Release),
     /// See [`Command::Configure`].
     Configure(PackedDocument),
-    /// One target, known by its identity, announces something new.
+    /// One target announces a change; without start time.
     Announce {
-        /// What it says.
+        /// Its heartbeat.
         announcement: base::Announcement,
-        /// Whether it gets a home now.
+        /// Whether it gets a home at once instead of waiting to inherit one.
         at_once: bool,
     },
-    /// A target leaves, in whichever start it is.
+    /// A target is removed, whichever its current incarnation is.
     Remove(String),
-    /// Targets, known by their identity, have not been heard for long.
+    /// Targets, given by their identities, are unresponsive.
     Silence(Vec<String>),
-    /// Targets, known by their identity, have been there for a while.
+    /// Targets, given by their identities, have waited long enough to inherit a home, and get one of their own.
     Settle(Vec<String>),
-    /// See [`Command::Evacuate`]; from here on of [`Level::STARTS`].
+    /// See [`Command::Evacuate`]. This variant and all below need [`Level::STARTS`].
     Evacuate(EvacuationOrder),
     /// See [`Command::Rollout`].
     Rollout(RolloutOrder),
--- a/src/compat/parts.rs
+++ b/src/compat/parts.rs
@@ -1,17 +1,17 @@
-//! What follows a message that an earlier build reads to its end, and no further.
+//! Tagged parts that are appended to a message. An earlier build decodes the message and ignores the bytes after it.
 //!
-//! A part is a tag, its length as a little-endian `u32`, and its content in postcard. A reader takes the parts that it
-//! knows and passes over the others.
+//! A part is a one-byte tag, the length of its content as a little-endian `u32`, and the content in postcard. A reader
+//! skips parts with unknown tags.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
 use crate::link::LinkError;
 
-/// Bytes before a part's content.
+/// Length of the tag and the length field before a part's content.
 const HEADER_BYTES: usize = 5;
 
-/// Encodes a message that earlier builds know.
+/// Encodes a message, to which parts may be appended.
 ///
 /// # Errors
 /// [`LinkError::Garbled`] when it can't be encoded.
@@ -19,10 +19,10 @@
     postcard::to_stdvec(message).map_err(|_| LinkError::Garbled)
 }
 
-/// Adds a part behind a message.
+/// Appends a part to an encoded message.
 ///
 /// # Errors
-/// [`LinkError::Garbled`] when it can't be encoded.
+/// [`LinkError::Garbled`] when it can't be encoded, or its length does not fit into a `u32`.
 pub fn add(bytes: &mut Vec<u8>, tag: u8, content: &impl Serialize) -> Result<(), LinkError> {
     let content = encode(content)?;
     let len = u32::try_from(content.len()).map_err(|_| LinkError::Garbled)?;
@@ -33,11 +33,11 @@
     Ok(())
 }
 
-/// What follows a message.
+/// The encoded parts after a message.
 #[derive(Clone, Copy, Debug)]
 pub struct Parts<'a>(&'a [u8]);
 
-/// Decodes a message that earlier builds know; what follows it are its parts.
+/// Decodes a message, and returns it with the parts after it.
 ///
 /// # Errors
 /// [`LinkError::Garbled`] when it can't be decoded.
@@ -47,10 +47,10 @@
 }
 
 impl Parts<'_> {
-    /// The part with this tag, if it is there.
+    /// Decodes the first part with this tag; `None` if there is none.
     ///
     /// # Errors
-    /// [`LinkError::Garbled`] when the parts are cut short, or this one can't be decoded.
+    /// [`LinkError::Garbled`] when a part up to this one is truncated, or this one can't be decoded.
     pub fn get<T: DeserializeOwned>(&self, tag: u8) -> Result<Option<T>, LinkError> {
         let mut rest = self.0;
         while !rest.is_empty() {
