--- a/src/slots/mod.rs
+++ b/src/slots/mod.rs
@@ -130,7 +130,7 @@
 /// An owner's answer to an ask, as sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// A slot is granted at the target with this index in [`Ask::targets`].
+    /// A slot is granted at the target with this index, counted from 0, in [`Ask::targets`].
     Granted(u8),
     /// All targets are at their bound, or the team may not have another slot of the pool.
     Full,
