--- a/src/directory/entry.rs
+++ b/src/directory/entry.rs
@@ -1,5 +1,6 @@
 //! A target in the directory, and the types in which targets and changes of them are sent.
 
+use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -73,11 +74,16 @@
 
 /// When a target started, by its own clock, in milliseconds since 1970; `None` if the target does not send it. The clock
 /// may step back, so that a later incarnation can have an earlier time.
-#[derive(
-    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
-)]
+#[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct StartTime(pub Option<u64>);
 
+/// Keeps the name `Born` in the `ids` of the log events `targets_settled` and `targets_silent`.
+impl fmt::Debug for StartTime {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        f.debug_tuple("Born").field(&self.0).finish()
+    }
+}
+
 /// One incarnation of a target: its life from one start to the end of the process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
--- a/src/slots/mod.rs
+++ b/src/slots/mod.rs
@@ -2,11 +2,11 @@
 //! small part of the traffic, so the load of a target is bounded in one place, by its owner.
 //!
 //! All targets that serve the same model and version make a pool. One of the live routers owns the
-//! pool, chosen by rendezvous hashing, and so knows the load of each of its targets and the mean load. The owner
-//! counts the slots that each router holds, from its own grants and from the routers' statements.
-//! A statement lists all slots of a router, and so corrects the count after lost datagrams. An owner
-//! grants no slot at a target until every live router has sent it a statement, so that a new owner
-//! knows what the former one granted.
+//! pool, chosen by rendezvous hashing, and so knows the load of each of its targets and the mean
+//! load. The owner counts the slots that each router holds, from its own grants and from the
+//! routers' statements. A statement lists all slots of a router, and so corrects the count after
+//! lost datagrams. An owner grants no slot at a target until every live router has sent it a
+//! statement, so that a new owner knows what the former one granted.
 
 mod holder;
 mod owner;
--- a/src/slots/table.rs
+++ b/src/slots/table.rs
@@ -33,7 +33,7 @@
     Current {
         /// Whether nothing was received from this process before. What was sent to that router until now did not reach it.
         new_process: bool,
-        /// Set if the datagram was meant for another process of this router: to be sent instead of handling the messages.
+        /// Set if the datagram is not addressed to this process: the reply to send instead of handling the messages.
         reply: Option<Message>,
     },
 }
@@ -201,7 +201,7 @@
 
     /// Checks by which process a datagram was sent, and for which.
     ///
-    /// The messages of a datagram for a former process of this router must not be handled: the sender did not know yet
+    /// The messages of a datagram that is not addressed to this process must not be handled: the sender did not know yet
     /// that this router has lost the state of its former process.
     pub fn check_datagram(&mut self, now: Duration, datagram: &Datagram) -> DatagramCheck {
         let sender = self.owner.observe_process(now, datagram.from);
