--- a/src/dialect.rs
+++ b/src/dialect.rs
@@ -12,7 +12,7 @@
 
 use crate::checks::Checks;
 use crate::configuration::Configuration;
-use crate::directory::{Announcement, Born, TargetState};
+use crate::directory::{Announcement, StartTime, TargetState};
 use crate::jsonc::{self, Fault, Validate};
 use crate::retry_after::RetryAfter;
 use crate::rollout::{Rollout, Stage};
@@ -200,12 +200,12 @@
     ///
     /// # Errors
     /// The faults found, with the path of each field.
-    fn removal(&self, bytes: &[u8]) -> Result<Born, Vec<Fault>> {
+    fn removal(&self, bytes: &[u8]) -> Result<StartTime, Vec<Fault>> {
         if bytes.is_empty() {
-            return Ok(Born::default());
+            return Ok(StartTime::default());
         }
         let removal: Removal = jsonc::from_slice_lenient(bytes)?;
-        Ok(Born(removal.born))
+        Ok(StartTime(removal.born))
     }
 
     /// Decodes the body of an operator's call to start a roll-out.
@@ -453,7 +453,7 @@
         let heartbeat: NativeHeartbeat = jsonc::from_slice(bytes)?;
         Ok(Announcement {
             id: id.to_owned(),
-            born: Born(heartbeat.born),
+            born: StartTime(heartbeat.born),
             service: heartbeat.service,
             version: heartbeat.version,
             addr: heartbeat.addr,
--- a/src/router/slot.rs
+++ b/src/router/slot.rs
@@ -14,7 +14,7 @@
 use super::{Shared, lock};
 use crate::choice::{self, Candidate};
 use crate::reason::Reason;
-use crate::slots::{Ask, Decision, Place, TeamId, Wish};
+use crate::slots::{Ask, ChatTurn, Decision, Place, TeamId};
 use crate::targets::{Choice, Need};
 
 /// Maximum number of engines in one slot request; for a returning chat, the owner looks for its prefix at these only.
@@ -170,11 +170,11 @@
             ticket: 0,
             team,
             targets: choices.iter().map(|choice| choice.candidate.name).collect(),
-            homes: if request.first_turn { 0 } else { untried as u8 },
+            prefix_candidates: if request.first_turn { 0 } else { untried as u8 },
             usable,
             share: (request.policy.share_percent * 10.0) as u16,
             chat: request.key,
-            wish: if request.first_turn { Wish::FirstTurn } else { Wish::Returning },
+            turn: if request.first_turn { ChatTurn::FirstTurn } else { ChatTurn::Returning },
         };
         let now = self.now();
         match self.slots.ask(now, ask, OWNER_TIMEOUT, request.deadline).await {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -161,7 +161,7 @@
                     let target = announcement.incarnation();
                     self.directory.announce(index, announcement);
                     if at_once {
-                        self.directory.settle(index, &[target]);
+                        self.directory.assign_homes(index, &[target]);
                     }
                 }
                 self.listed()
@@ -171,11 +171,11 @@
                 self.listed()
             }
             Command::Settle(targets) => {
-                self.directory.settle(index, &targets);
+                self.directory.assign_homes(index, &targets);
                 self.listed()
             }
             Command::Silence(targets) => {
-                self.directory.silence(index, &targets);
+                self.directory.mark_unresponsive(index, &targets);
                 self.listed()
             }
             Command::WarmAgain(halls) => {
@@ -208,7 +208,7 @@
     /// start times with their next announcement, which the base level could not hold.
     fn raise(&mut self, level: Level) {
         if self.level < Level::STARTS && level >= Level::STARTS {
-            self.directory.expect_starts();
+            self.directory.expect_start_times();
         }
         self.level = self.level.max(level);
     }
