--- a/benches/poison.rs
+++ b/benches/poison.rs
@@ -69,7 +69,7 @@
         let fingerprint = began.elapsed() / rounds;
         let began = Instant::now();
         (0..rounds).for_each(|_| {
-            std::hint::black_box(identity.outline());
+            std::hint::black_box(identity.quick_hash());
         });
         println!("body={bytes} fingerprint={fingerprint:?} outline={:?}", began.elapsed() / rounds);
     }
--- a/src/availability.rs
+++ b/src/availability.rs
@@ -1,173 +1,191 @@
-//! Whether a target may be sent anything: by its own word, by the list that it stands in, and by orders about its
-//! data hall.
+//! Whether a target may be sent requests. That depends on the target's own reports (that it shuts down, or
+//! `Retry-After`), on its state in the list of targets, and on the evacuation of its data hall.
 //!
-//! Every way to a target asks here, before it is chosen and again once a connection is there, so that a word that is
-//! heard on any answer holds for all that is sent later.
+//! Every path that sends to a target checks this twice: before the target is chosen, and again once a connection is
+//! open. So a report received with any answer applies to everything that is sent later.
 
 use std::time::Duration;
 
 use crate::retry_after::RetryAfter;
 
-/// Rest of a target that wants some and does not say how much in a way that can be read.
-const UNCLEAR_REST: Duration = Duration::from_secs(1);
-/// How long a start of a target may answer under its identity before the list tells of it.
-const UNLISTED_FOR: Duration = Duration::from_secs(5);
-/// Longest rest: a target that asks for more is asked again after that.
-const LONGEST_REST: Duration = Duration::from_secs(3_600);
-/// Requests that a target has had at once from here since its rest from which it is back for good.
-const BACK_AT: u32 = 16;
+/// Back-off for a target whose `Retry-After` is not a number of seconds.
+const DEFAULT_BACKOFF: Duration = Duration::from_secs(1);
+/// How long a new incarnation of a target may answer before the list of targets shows it.
+const UNLISTED_WINDOW: Duration = Duration::from_secs(5);
+/// Upper bound of a back-off; a target that asks for more is sent requests again after this time.
+const MAX_BACKOFF: Duration = Duration::from_secs(3_600);
+/// The return from a back-off is over once the number of concurrent requests allowed from this process reaches this.
+const RETURN_COMPLETE_AT: u32 = 16;
 
 /// What a target may be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
-    /// Anything.
+pub enum Eligibility {
+    /// Any request.
     Open,
-    /// So many requests at once from here, and more only if no other target will do: it comes back from a rest.
+    /// The target returns from a back-off: it may get `allowed` concurrent requests from this process, and more only if
+    /// no other target is suitable.
     Returning {
-        /// Requests at once.
+        /// Concurrent requests from this process.
         allowed: u32,
     },
-    /// Nothing before that time: it has asked for rest.
-    Resting {
-        /// End of the rest.
+    /// No request before that time, since the target asked for a back-off.
+    BackingOff {
+        /// End of the back-off.
         until: Duration,
     },
-    /// Nothing, as its data hall is evacuated.
+    /// No request, since its data hall is evacuated.
     Evacuated,
-    /// Nothing any more.
-    Leaving,
+    /// No request any more, since it shuts down.
+    ShuttingDown,
 }
 
-impl Standing {
-    /// Whether it may be sent a request.
-    pub fn takes_work(self) -> bool {
-        matches!(self, Standing::Open | Standing::Returning { .. })
+impl Eligibility {
+    /// Whether the target may be sent a request.
+    pub fn accepts_work(self) -> bool {
+        matches!(self, Eligibility::Open | Eligibility::Returning { .. })
     }
 
-    /// Time until its rest ends, if it rests.
-    pub fn rest_left(self, now: Duration) -> Option<Duration> {
+    /// Time until its back-off ends; `None` if it is not backing off.
+    pub fn backoff_left(self, now: Duration) -> Option<Duration> {
         match self {
-            Standing::Resting { until } => Some(until.saturating_sub(now)),
+            Eligibility::BackingOff { until } => Some(until.saturating_sub(now)),
             _ => None,
         }
     }
 
-    /// Whether it should be left alone if another will do, while it has so many requests from here.
-    pub fn hesitates(self, in_flight: u32) -> bool {
-        matches!(self, Standing::Returning { allowed } if in_flight >= allowed)
+    /// Whether other targets are preferred because the target returns from a back-off and already has `in_flight`
+    /// requests from this process.
+    pub fn over_return_limit(self, in_flight: u32) -> bool {
+        matches!(self, Eligibility::Returning { allowed } if in_flight >= allowed)
     }
 }
 
-/// A rest that a target has asked for, and its return from it.
+/// A back-off that a target asked for, and its return afterwards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Rest {
-    said_at: Duration,
+struct Backoff {
+    requested_at: Duration,
     until: Duration,
-    /// When its return begins from here; at each gateway at another time.
+    /// When this process starts to send to it again. Drawn at random, so that it differs between gateways.
     returns_at: Duration,
-    /// Requests at once during the return.
+    /// Concurrent requests allowed during the return.
     allowed: u32,
 }
 
-/// What one start of a target has said of itself in its answers; it holds wherever and however that start is listed.
+/// What one incarnation of a target reported about itself in its answers. It stays valid if that incarnation is listed
+/// anew.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct OwnWord {
-    leaving: bool,
-    rest: Option<Rest>,
+pub struct OwnReport {
+    shutting_down: bool,
+    backoff: Option<Backoff>,
 }
 
-/// What is known of whether one start of a target takes work. Times are those of the caller's clock.
+/// Whether one incarnation of a target may be sent requests, from all sources. Times are those of the caller's clock.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Availability {
-    listed_leaving: bool,
+    listed_draining: bool,
     evacuated: bool,
-    said: OwnWord,
+    reported: OwnReport,
 }
 
 impl Availability {
-    /// Takes what the list says, which may be older than the target's own word and never undoes that.
-    pub fn list(&mut self, leaving: bool) {
-        self.listed_leaving = leaving;
+    /// Sets whether the list of targets shows it as draining. The list may be older than the target's own report and
+    /// never overrides it.
+    pub fn set_listed_draining(&mut self, draining: bool) {
+        self.listed_draining = draining;
     }
 
-    /// Its data hall is evacuated, or taken back into use.
-    pub fn evacuate(&mut self, evacuated: bool) {
+    /// Sets whether its data hall is evacuated.
+    pub fn set_evacuated(&mut self, evacuated: bool) {
         self.evacuated = evacuated;
     }
 
-    /// The target said in an answer that it leaves: that is final, since answers and lists overtake each other. Tells
-    /// whether it had not said so before.
-    pub fn says_leaving(&mut self) -> bool {
-        !std::mem::replace(&mut self.said.leaving, true)
+    /// Records that an answer of the target said that it shuts down. This is final, since answers and lists may arrive
+    /// out of order. Returns whether it was not known yet.
+    pub fn record_shutdown(&mut self) -> bool {
+        !std::mem::replace(&mut self.reported.shutting_down, true)
     }
 
-    /// The target wants nothing for a while. Each such word holds by itself, since answers overtake each other: the latest
-    /// end counts. Its return begins a part of `spread` later, which `chance` from 0 to 1 draws.
-    pub fn rests(&mut self, now: Duration, rest: RetryAfter, spread: Duration, chance: f64) {
-        let length = match rest {
-            RetryAfter::In(length) => length.min(LONGEST_REST),
-            RetryAfter::Unclear => UNCLEAR_REST,
+    /// Records that the target asked for a back-off. Answers may arrive out of order, so the latest end of all back-offs
+    /// applies. The return begins after a further fraction `chance` (random, from 0 to 1) of `spread`.
+    pub fn back_off(
+        &mut self,
+        now: Duration,
+        retry_after: RetryAfter,
+        spread: Duration,
+        chance: f64,
+    ) {
+        let length = match retry_after {
+            RetryAfter::In(length) => length.min(MAX_BACKOFF),
+            RetryAfter::Unclear => DEFAULT_BACKOFF,
         };
         let until = now + length;
-        let before = self.said.rest.map_or(Duration::ZERO, |rest| rest.until);
+        let before = self.reported.backoff.map_or(Duration::ZERO, |backoff| backoff.until);
         if !length.is_zero() && until > before {
             let returns_at = until + spread.mul_f64(chance);
-            self.said.rest = Some(Rest { said_at: now, until, returns_at, allowed: 1 });
+            self.reported.backoff =
+                Some(Backoff { requested_at: now, until, returns_at, allowed: 1 });
         }
     }
 
-    /// The target has answered a request that it did not turn away: once its return has begun, twice as many may be sent.
-    pub fn answered(&mut self, now: Duration) {
-        if let Some(rest) = self.said.rest.as_mut().filter(|rest| now >= rest.returns_at) {
-            rest.allowed *= 2;
-            if rest.allowed >= BACK_AT {
-                self.said.rest = None;
+    /// Records that the target answered a request without turning it away. Once its return has begun, this doubles the
+    /// allowed concurrent requests.
+    pub fn record_answer(&mut self, now: Duration) {
+        if let Some(backoff) =
+            self.reported.backoff.as_mut().filter(|backoff| now >= backoff.returns_at)
+        {
+            backoff.allowed *= 2;
+            if backoff.allowed >= RETURN_COMPLETE_AT {
+                self.reported.backoff = None;
             }
         }
     }
 
-    /// What it may be sent now.
-    pub fn standing(&self, now: Duration) -> Standing {
-        if self.leaving() {
-            return Standing::Leaving;
+    /// What the target may be sent now.
+    pub fn eligibility(&self, now: Duration) -> Eligibility {
+        if self.shutting_down() {
+            return Eligibility::ShuttingDown;
         }
         if self.evacuated {
-            return Standing::Evacuated;
+            return Eligibility::Evacuated;
         }
-        match self.said.rest {
-            Some(Rest { until, .. }) if now < until => Standing::Resting { until },
-            Some(Rest { returns_at, .. }) if now < returns_at => Standing::Returning { allowed: 0 },
-            Some(Rest { allowed, .. }) => Standing::Returning { allowed },
-            None => Standing::Open,
+        match self.reported.backoff {
+            Some(Backoff { until, .. }) if now < until => Eligibility::BackingOff { until },
+            Some(Backoff { returns_at, .. }) if now < returns_at => {
+                Eligibility::Returning { allowed: 0 }
+            }
+            Some(Backoff { allowed, .. }) => Eligibility::Returning { allowed },
+            None => Eligibility::Open,
         }
     }
 
-    /// Whether it is to be sent nothing any more.
-    pub fn leaving(&self) -> bool {
-        self.listed_leaving || self.said.leaving
+    /// Whether it shuts down, by its own report or by the list of targets.
+    pub fn shutting_down(&self) -> bool {
+        self.listed_draining || self.reported.shutting_down
     }
 
-    /// Whether it serves, be it that it rests now.
+    /// Whether it is neither shutting down nor evacuated. A target that backs off is in service.
     pub fn in_service(&self) -> bool {
-        !self.leaving() && !self.evacuated
+        !self.shutting_down() && !self.evacuated
     }
 
-    /// What the target has said of itself; `None` where that is nothing.
-    pub fn own_word(&self) -> Option<OwnWord> {
-        (self.said != OwnWord::default()).then_some(self.said)
+    /// What the target reported about itself; `None` if it reported nothing.
+    pub fn own_report(&self) -> Option<OwnReport> {
+        (self.reported != OwnReport::default()).then_some(self.reported)
     }
 
-    /// What may be the word of the next start under the same identity, which may have answered before the list told of it:
-    /// a rest that was asked for a short time ago.
-    pub fn word_of_next_start(&self, now: Duration) -> Option<OwnWord> {
-        let rest = self.said.rest.filter(|rest| now < rest.said_at + UNLISTED_FOR);
-        rest.map(|rest| OwnWord { leaving: false, rest: Some(rest) })
+    /// The part of the report that may come from the next incarnation under the same identity: a back-off requested
+    /// within [`UNLISTED_WINDOW`], since a new incarnation may answer before the list of targets shows it.
+    pub fn next_incarnation_report(&self, now: Duration) -> Option<OwnReport> {
+        let backoff =
+            self.reported.backoff.filter(|backoff| now < backoff.requested_at + UNLISTED_WINDOW);
+        backoff.map(|backoff| OwnReport { shutting_down: false, backoff: Some(backoff) })
     }
 
-    /// The same start has said this before, under another listing.
-    pub fn recall(&mut self, said: OwnWord) {
-        self.said.leaving |= said.leaving;
-        let until = |rest: &Option<Rest>| rest.map(|rest| rest.until);
-        self.said.rest = [self.said.rest, said.rest].into_iter().max_by_key(until).flatten();
+    /// Merges a report that the same incarnation made while it was listed before.
+    pub fn restore(&mut self, report: OwnReport) {
+        self.reported.shutting_down |= report.shutting_down;
+        let until = |backoff: &Option<Backoff>| backoff.map(|backoff| backoff.until);
+        self.reported.backoff =
+            [self.reported.backoff, report.backoff].into_iter().max_by_key(until).flatten();
     }
 }
--- a/src/compat/command.rs
+++ b/src/compat/command.rs
@@ -39,7 +39,7 @@
     Silence(Vec<String>),
     /// Targets, known by their identity, have been there for a while.
     Settle(Vec<String>),
-    /// See [`Command::Evacuate`]; from here on of [`Level::STARTS`].
+    /// See [`Command::Evacuate`]; from here on of [`Level::INCARNATIONS`].
     Evacuate(EvacuationOrder),
     /// See [`Command::Rollout`].
     Rollout(RolloutOrder),
--- a/src/control/placing.rs
+++ b/src/control/placing.rs
@@ -9,7 +9,7 @@
 use slog::{info, warn};
 
 use super::calls::Calls;
-use crate::orders::{FLIGHT, Orders};
+use crate::orders::{ORDER_TIMEOUT, Orders};
 use crate::placement::{Change, Demand, Engine, plan};
 use crate::raft::Time;
 use crate::rpc::ControlError;
@@ -188,7 +188,7 @@
         if self.calls.lead(|_, _| ()).await.is_err() {
             return;
         }
-        let sent = self.calls.platform().post(&listed.url, "/orders", &order, FLIGHT).await;
+        let sent = self.calls.platform().post(&listed.url, "/orders", &order, ORDER_TIMEOUT).await;
         let accepted = sent.is_ok();
         orders.answered(&listed.name);
         if accepted {
--- a/src/directory/entry.rs
+++ b/src/directory/entry.rs
@@ -54,7 +54,7 @@
 
     /// What of it a group of this level may hold.
     pub fn at(self, level: Level) -> Self {
-        if level >= Level::STARTS {
+        if level >= Level::INCARNATIONS {
             return self;
         }
         Announcement {
--- a/src/evacuations.rs
+++ b/src/evacuations.rs
@@ -80,14 +80,14 @@
     }
 
     /// Revision of a hall's last order; 0 if it never had one.
-    pub fn last(&self, data_hall: &str) -> Revision {
+    pub fn last_order(&self, data_hall: &str) -> Revision {
         self.halls.get(data_hall).map_or(0, |order| order.at)
     }
 
     /// Applies an order that stands in the log at `index`.
     pub fn apply(&mut self, index: Revision, order: EvacuationOrder) -> OrderVerdict {
         let as_wanted = self.evacuated(&order.data_hall) == order.evacuate;
-        if self.last(&order.data_hall) != order.after {
+        if self.last_order(&order.data_hall) != order.after {
             return if as_wanted { OrderVerdict::InForce } else { OrderVerdict::Overtaken };
         }
         let known = self.halls.get(&order.data_hall);
@@ -108,7 +108,7 @@
     }
 
     /// Notes halls whose targets are surely warm, unless they had an order since.
-    pub fn note_warm(&mut self, halls: &[WarmAgain]) {
+    pub fn mark_warm(&mut self, halls: &[WarmAgain]) {
         for warm in halls {
             if let Some(order) = self.halls.get_mut(&warm.data_hall)
                 && order.since == warm.since
--- a/src/gateway/choice.rs
+++ b/src/gateway/choice.rs
@@ -114,7 +114,7 @@
     ) -> Option<(VersionGroup, Vec<&'a Arc<Target>>)> {
         let (body, max_bytes) = (plan.outgoing.body_bytes(), self.max_bodies_per_target());
         let usable = |target: &&Arc<Target>| {
-            target.eligibility(now).takes_work()
+            target.eligibility(now).accepts_work()
                 && self.region_allows(plan, target)
                 && !plan.tried.contains(&target.key)
                 && target.has_room(body, max_bytes)
@@ -160,7 +160,7 @@
         // The other targets take over the work of the avoided ones. With a mean over all targets,
         // the others would all exceed the load bound.
         let avoided = |target: &Arc<Target>| {
-            let backing_off = target.eligibility(now).rest_left(now).is_some();
+            let backing_off = target.eligibility(now).backoff_left(now).is_some();
             backing_off || target.unresponsive() || self.is_last_resort(now, target)
         };
         Preference {
@@ -183,7 +183,7 @@
         let known = read(&self.targets);
         let suitable = self.suitable(&known, plan);
         let untried = suitable.iter().filter(|target| !plan.tried.contains(&target.key));
-        let open = untried.clone().filter(|target| target.eligibility(now).takes_work());
+        let open = untried.clone().filter(|target| target.eligibility(now).accepts_work());
         let (body, max_bytes) = (plan.outgoing.body_bytes(), self.max_bodies_per_target());
         if open.clone().any(|target| target.has_room(body, max_bytes)) {
             return Refusal::Cold;
@@ -191,7 +191,7 @@
         if open.count() > 0 {
             return Refusal::NoRoom;
         }
-        if suitable.iter().any(|target| target.eligibility(now).rest_left(now).is_some()) {
+        if suitable.iter().any(|target| target.eligibility(now).backoff_left(now).is_some()) {
             return Refusal::BackingOff;
         }
         if untried.count() > 0 && plan.tried.is_empty() {
@@ -206,7 +206,8 @@
         let now = self.now();
         let known = read(&self.targets);
         let suitable = self.suitable(&known, plan);
-        let remaining = suitable.iter().filter_map(|target| target.eligibility(now).rest_left(now));
+        let remaining =
+            suitable.iter().filter_map(|target| target.eligibility(now).backoff_left(now));
         let first = remaining.min()?;
         Some(first + BACKOFF_RETURN_SPREAD.mul_f64(rand::random()))
     }
@@ -302,7 +303,7 @@
         let on_probation_and_busy = health.on_probation(now) && target.in_flight() > 0;
         let ejected =
             self.uses(Mechanism::Pauses) && (health.ejected(now) || on_probation_and_busy);
-        let over_return_limit = target.eligibility(now).hesitates(target.in_flight());
+        let over_return_limit = target.eligibility(now).over_return_limit(target.in_flight());
         ejected || over_return_limit || (target.unresponsive() && !answered_recently)
     }
 }
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -340,7 +340,7 @@
 
 impl Supervisor for AttemptSupervisor<'_> {
     fn may_send(&self) -> bool {
-        let takes_work = self.target.eligibility(self.gateway.now()).takes_work();
+        let takes_work = self.target.eligibility(self.gateway.now()).accepts_work();
         takes_work && self.gateway.version_may_receive(self.target)
     }
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -81,7 +81,7 @@
 
 use crate::clock::Instant;
 use crate::dialect::{Headers, SharedDialect};
-use crate::poison::Board;
+use crate::poison::PoisonTracker;
 use crate::rollout::tally::Tallies;
 use crate::route_table::RouteTable;
 use crate::run_clock::RunClock;
@@ -124,7 +124,7 @@
     client_connections: AtomicUsize,
     last_request: Mutex<Instant>,
     /// Requests during which targets ended (suspected poison requests).
-    poison: Mutex<Board>,
+    poison: Mutex<PoisonTracker>,
     /// Wakes the task that reports changes of `poison` to a member.
     poison_changed: Notify,
     attempt_sampler: Mutex<Sampler>,
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -7,7 +7,7 @@
 
 use super::Gateway;
 use super::exchange::Plan;
-use crate::poison::{Origin, Report, Reporter, Suspect, Verdict, log_turned};
+use crate::poison::{Origin, Report, Reporter, Suspect, Verdict, log_block_changes};
 use crate::sync::lock;
 
 impl Gateway {
@@ -22,9 +22,9 @@
         match board.verdict(now, fingerprint, self.gateways()) {
             Verdict::Blocked => true,
             Verdict::Trial => {
-                board.note_trial(now, fingerprint);
+                board.record_trial(now, fingerprint);
                 info!(self.log, "poison request let through as a trial"; "event" => "poison_trial",
-                    "fingerprint" => %fingerprint, "ends" => board.ends(fingerprint));
+                    "fingerprint" => %fingerprint, "ends" => board.crash_count(fingerprint));
                 false
             }
             Verdict::Free | Verdict::Watched => false,
@@ -35,13 +35,13 @@
     /// most requests.
     fn may_be_known_poison(&self, plan: &Plan) -> bool {
         let board = lock(&self.poison);
-        !board.is_empty() && board.may_know(plan.identity().outline())
+        !board.is_empty() && board.may_contain(plan.identity().quick_hash())
     }
 
     /// Records that a target ended while processing a request.
     pub(super) fn note_target_ended(&self, suspect: Suspect, target: u64) {
         let by = Reporter::of(&self.settings.host);
-        lock(&self.poison).note_end(self.now(), suspect, target, by);
+        lock(&self.poison).record_crash(self.now(), suspect, target, by);
         self.poison_changed.notify_one();
         self.log_poison();
     }
@@ -52,7 +52,7 @@
         if !self.may_be_known_poison(plan) {
             return;
         }
-        let cleared = lock(&self.poison).note_ended_well(self.now(), plan.fingerprint());
+        let cleared = lock(&self.poison).record_success(self.now(), plan.fingerprint());
         if cleared {
             self.metrics.poison_cleared();
             self.poison_changed.notify_one();
@@ -67,14 +67,14 @@
         }
         let now = self.now();
         let mut board = lock(&self.poison);
-        reports.iter().for_each(|report| board.take(now, Origin::Elsewhere, report.clone()));
+        reports.iter().for_each(|report| board.apply(now, Origin::Relayed, report.clone()));
         drop(board);
         self.log_poison();
     }
 
     /// This gateway's reports since change `known`, and the number of the latest change.
     pub(super) fn poison_reports_since(&self, known: u64) -> (Vec<Report>, u64) {
-        lock(&self.poison).news_from_here(self.now(), known)
+        lock(&self.poison).local_updates(self.now(), known)
     }
 
     /// Number of tracked requests, and how many of them are blocked.
@@ -88,6 +88,6 @@
     fn log_poison(&self) {
         let mut board = lock(&self.poison);
         self.metrics.poison_dropped.inc_by(board.take_dropped());
-        log_turned(&mut board, &self.log);
+        log_block_changes(&mut board, &self.log);
     }
 }
--- a/src/gateway/prefix_source.rs
+++ b/src/gateway/prefix_source.rs
@@ -9,7 +9,7 @@
 use super::mechanism::Mechanism;
 use super::target::Target;
 use super::targets::Targets;
-use crate::availability::Standing;
+use crate::availability::Eligibility;
 use crate::group::loads::LoadKey;
 use crate::group::prefix_holders::PromptKey;
 use crate::sync::lock;
@@ -85,9 +85,11 @@
     fn unavailable_home<'a>(&self, search: &PrefixSearch<'a>) -> Option<&'a Arc<Target>> {
         let uses_homes = self.uses(Mechanism::Homes);
         let unavailable = |target: &&Arc<Target>| match target.eligibility(search.now) {
-            Standing::Evacuated | Standing::Resting { .. } => true,
-            Standing::Leaving => false,
-            Standing::Open | Standing::Returning { .. } => target.health().rejects_work(search.now),
+            Eligibility::Evacuated | Eligibility::BackingOff { .. } => true,
+            Eligibility::ShuttingDown => false,
+            Eligibility::Open | Eligibility::Returning { .. } => {
+                target.health().rejects_work(search.now)
+            }
         };
         let others = search.of_service.iter().filter(|target| target.key != search.chosen().key);
         let others: Vec<&Arc<Target>> = others.filter(unavailable).collect();
--- a/src/gateway/probe.rs
+++ b/src/gateway/probe.rs
@@ -46,7 +46,7 @@
             {
                 // The failure counts for the version only if the target still runs: one that has ended, or can't be
                 // reached, shows nothing about its version.
-                lock(&gateway.tallies).note_failed(subject);
+                lock(&gateway.tallies).record_failure(subject);
             }
             if result == ProbeResult::Ended && !leaves {
                 gateway.note_target_ended(suspect, target.key);
--- a/src/gateway/running.rs
+++ b/src/gateway/running.rs
@@ -17,7 +17,7 @@
 use super::{Gateway, Stage, listener, peers, subscriber};
 use crate::clock::Instant;
 use crate::dialect::SharedDialect;
-use crate::poison::{Board, Reporter, Rule};
+use crate::poison::{PoisonTracker, Reporter, Rule};
 use crate::run_clock::RunClock;
 use crate::start::{StartError, listen_if_set, listen_on};
 use crate::sync::lock;
@@ -111,7 +111,7 @@
             open_requests: AtomicU32::new(0),
             client_connections: AtomicUsize::new(0),
             last_request: Mutex::new(Instant::now()),
-            poison: Mutex::new(Board::new(Rule::default(), Some(reporter))),
+            poison: Mutex::new(PoisonTracker::new(Rule::default(), Some(reporter))),
             poison_changed: Notify::new(),
             attempt_sampler: Mutex::default(),
             answer_sampler: Mutex::default(),
--- a/src/gateway/target.rs
+++ b/src/gateway/target.rs
@@ -9,7 +9,7 @@
 use super::connection::IdleConnection;
 use super::health::Health;
 use super::slowdown::Slowdown;
-use crate::availability::{Availability, OwnWord, Standing};
+use crate::availability::{Availability, Eligibility, OwnReport};
 use crate::dialect::TargetLoad;
 use crate::directory::{Announcement, TargetState, key};
 use crate::group::evidence::Outcomes;
@@ -101,7 +101,7 @@
     }
 
     pub(super) fn set_state(&self, state: TargetState) {
-        lock(&self.availability).list(state == TargetState::Draining);
+        lock(&self.availability).set_listed_draining(state == TargetState::Draining);
         self.unresponsive.store(state == TargetState::Silent, Ordering::Relaxed);
         if state != TargetState::Ready {
             self.close_idle();
@@ -120,7 +120,7 @@
 
     /// Records whether its data hall is evacuated.
     pub(super) fn set_evacuated(&self, evacuated: bool) {
-        lock(&self.availability).evacuate(evacuated);
+        lock(&self.availability).set_evacuated(evacuated);
         if evacuated {
             self.close_idle();
         }
@@ -129,7 +129,7 @@
     /// Records that the target said in an answer that it is shutting down. Returns whether this is
     /// the first such answer.
     pub(super) fn note_draining(&self) -> bool {
-        let first = lock(&self.availability).says_leaving();
+        let first = lock(&self.availability).record_shutdown();
         if first {
             self.close_idle();
         }
@@ -139,17 +139,17 @@
     /// Records that the target asked for a pause with `Retry-After`. This gateway resumes sending
     /// at a random time within `spread` after the pause.
     pub(super) fn note_backoff(&self, now: Duration, retry_after: RetryAfter, spread: Duration) {
-        lock(&self.availability).rests(now, retry_after, spread, rand::random());
+        lock(&self.availability).back_off(now, retry_after, spread, rand::random());
     }
 
     /// Records that the target answered a request without rejecting it.
     pub(super) fn note_answered(&self, now: Duration) {
-        lock(&self.availability).answered(now);
+        lock(&self.availability).record_answer(now);
     }
 
     /// Which requests the target may be sent now.
-    pub(super) fn eligibility(&self, now: Duration) -> Standing {
-        lock(&self.availability).standing(now)
+    pub(super) fn eligibility(&self, now: Duration) -> Eligibility {
+        lock(&self.availability).eligibility(now)
     }
 
     /// Whether the target is neither draining nor in an evacuated data hall. It may be backing off.
@@ -160,23 +160,23 @@
     /// Whether the target takes no new requests because it shuts down, according to the members or
     /// to its own answers.
     pub(super) fn draining(&self) -> bool {
-        lock(&self.availability).leaving()
+        lock(&self.availability).shutting_down()
     }
 
     /// What the target reported about itself in its answers, if anything.
-    pub(super) fn own_report(&self) -> Option<OwnWord> {
-        lock(&self.availability).own_word()
+    pub(super) fn own_report(&self) -> Option<OwnReport> {
+        lock(&self.availability).own_report()
     }
 
     /// The part of the target's own report that may come from the next process under the same
     /// identity.
-    pub(super) fn next_incarnation_report(&self, now: Duration) -> Option<OwnWord> {
-        lock(&self.availability).word_of_next_start(now)
+    pub(super) fn next_incarnation_report(&self, now: Duration) -> Option<OwnReport> {
+        lock(&self.availability).next_incarnation_report(now)
     }
 
     /// Applies what the same process of the target reported about itself under an earlier listing.
-    pub(super) fn restore_report(&self, report: OwnWord) {
-        lock(&self.availability).recall(report);
+    pub(super) fn restore_report(&self, report: OwnReport) {
+        lock(&self.availability).restore(report);
     }
 
     /// Whether the members have had no heartbeat from it within the timeout.
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -10,9 +10,9 @@
 use crate::clock::Instant;
 use crate::directory::{DirectoryDelta, Listed, Moved, TargetState};
 use crate::group::message::{Evacuation, EvacuationsUpdate};
-use crate::rollout::division::RolloutMix;
+use crate::rollout::route_mix::RolloutMix;
 use crate::rollout::tally::RouteKey;
-use crate::rollout::{RolloutNews, RolloutTold, Stage};
+use crate::rollout::{RolloutState, RolloutsUpdate, Stage};
 use crate::store::Revision;
 
 /// How long the shares of the routes in a service's requests are used for a roll-out. Without
@@ -36,7 +36,7 @@
     /// Evacuations of data halls; `None` before the first update.
     evacuations: Option<EvacuationsUpdate>,
     /// Roll-outs of services; `None` before the first update.
-    rollouts: Option<RolloutNews>,
+    rollouts: Option<RolloutsUpdate>,
     /// Share of each route in a service's requests, for roll-outs under way, and when it was
     /// received.
     mixes: (Duration, Vec<RolloutMix>),
@@ -74,7 +74,7 @@
     }
 
     /// The last roll-out of a service, if it ever had one.
-    pub(super) fn rollout(&self, service: &str) -> Option<&RolloutTold> {
+    pub(super) fn rollout(&self, service: &str) -> Option<&RolloutState> {
         let mut rollouts = self.rollouts.iter().flat_map(|update| &update.rollouts);
         rollouts.find(|rollout| rollout.service == service)
     }
@@ -88,20 +88,20 @@
     pub(super) fn stage_on_route(
         &self,
         now: Duration,
-        rollout: &RolloutTold,
+        rollout: &RolloutState,
         route: &str,
     ) -> Stage {
         let (received_at, mixes) = &self.mixes;
         let mix = mixes.iter().find(|mix| mix.rollout == rollout.at);
         match mix.filter(|_| now < *received_at + ROUTE_MIX_TTL) {
-            Some(mix) => mix.mix.stage(RouteKey::of(route), rollout.stage),
+            Some(mix) => mix.mix.stage_on_route(RouteKey::of(route), rollout.stage),
             None => rollout.stage,
         }
     }
 
     /// Applies an update of roll-outs if it is newer than the known one, and returns whether it
     /// did.
-    pub(super) fn apply_rollouts(&mut self, update: RolloutNews) -> bool {
+    pub(super) fn apply_rollouts(&mut self, update: RolloutsUpdate) -> bool {
         let newer = self.rollouts_revision().is_none_or(|known| known < update.revision);
         if newer {
             self.rollouts = Some(update);
--- a/src/gateway/update_receiver.rs
+++ b/src/gateway/update_receiver.rs
@@ -15,7 +15,7 @@
 use crate::group::listing::PackedDelta;
 use crate::group::message::{BlobSource, Evacuation, EvacuationsUpdate, ToMember, Update};
 use crate::link::{FrameSender, LinkError};
-use crate::rollout::RolloutNews;
+use crate::rollout::RolloutsUpdate;
 use crate::route_table::RouteTable;
 use crate::sync::{lock, read, write};
 
@@ -197,7 +197,7 @@
         targets.evacuations_revision().is_some() && targets.rollouts_revision().is_some()
     }
 
-    fn apply_rollouts(&self, update: RolloutNews, from: SocketAddr) {
+    fn apply_rollouts(&self, update: RolloutsUpdate, from: SocketAddr) {
         let summaries = update.rollouts.iter().map(|rollout| {
             format!(
                 "{}:{}:{}:{}",
--- a/src/gateway/versions.rs
+++ b/src/gateway/versions.rs
@@ -12,7 +12,7 @@
 use super::targets::Targets;
 use crate::clock::Instant;
 use crate::rollout::tally::{RouteKey, Side, Subject, Tallies};
-use crate::rollout::{RolloutTold, Stage};
+use crate::rollout::{RolloutState, Stage};
 use crate::sync::{lock, read};
 
 /// Minimum number of trial targets, so that the failure of a single one does not decide about the
@@ -56,7 +56,7 @@
 /// The targets of a service, with the roll-out that divides them by version.
 pub(super) struct Versions<'a> {
     of_service: &'a [Arc<Target>],
-    rollout: Option<&'a RolloutTold>,
+    rollout: Option<&'a RolloutState>,
     /// Stage of the roll-out on the request's route.
     stage: Option<Stage>,
     /// New targets with a trial rank below this one are on trial.
@@ -75,7 +75,7 @@
         versions
     }
 
-    fn trial_end(&self, rollout: &RolloutTold) -> u64 {
+    fn trial_end(&self, rollout: &RolloutState) -> u64 {
         let alive = self.of_service.iter().filter(|target| target.in_service());
         let (new, old): (Vec<_>, Vec<_>) = alive.partition(|target| self.is_new(target));
         let count = trial_size(rollout.stage.share(), old.len(), new.len());
@@ -109,7 +109,7 @@
 
 /// Rank of a target among the candidates for the trial: the same at all gateways, different for
 /// each roll-out.
-fn trial_rank(rollout: &RolloutTold, target: &Target) -> u64 {
+fn trial_rank(rollout: &RolloutState, target: &Target) -> u64 {
     xxh3_64_with_seed(&target.key.to_le_bytes(), rollout.at) >> 1
 }
 
@@ -139,7 +139,7 @@
     /// Counts a request that failed because of its target.
     pub(super) fn note_version_failure(&self, plan: &Plan) {
         if let Some((subject, _)) = plan.counted_under {
-            lock(&self.tallies).note_failed(subject);
+            lock(&self.tallies).record_failure(subject);
         }
     }
 
@@ -147,7 +147,7 @@
     pub(super) fn note_version_answer(&self, plan: &Plan) {
         if let Some((subject, began)) = plan.counted_under {
             let took = Instant::now().saturating_duration_since(began);
-            lock(&self.tallies).note_answered(subject, took);
+            lock(&self.tallies).record_answer(subject, took);
         }
     }
 
--- a/src/group/endpoints.rs
+++ b/src/group/endpoints.rs
@@ -24,7 +24,7 @@
 use crate::document::{Document, MAX_DOCUMENT_BYTES};
 use crate::jsonc::{Fault, Validate};
 use crate::level::Level;
-use crate::poison::NotAFingerprint;
+use crate::poison::InvalidFingerprint;
 use crate::rollout::Stage;
 use crate::store::{Answer, Command};
 use crate::sync::lock;
@@ -255,7 +255,7 @@
         }
     };
     let published = shared.published();
-    let born = if published.level < Level::STARTS { Born::default() } else { born };
+    let born = if published.level < Level::INCARNATIONS { Born::default() } else { born };
     if published.directory.was_removed(id) || published.directory.is_over(id, born) {
         return empty_response(StatusCode::OK);
     }
@@ -374,7 +374,7 @@
     let fingerprint = match fingerprint.parse() {
         Ok(fingerprint) => fingerprint,
         Err(error) => {
-            let error: NotAFingerprint = error;
+            let error: InvalidFingerprint = error;
             let fault = Fault::new("fingerprint", error.to_string());
             return fault_response(StatusCode::BAD_REQUEST, &[fault]);
         }
@@ -401,7 +401,7 @@
 /// The response to a call that the group can't execute before all its processes support it.
 fn upgrading(shared: &Shared, call: &'static str) -> ApiResponse {
     let (published, supported) = (shared.published(), shared.supported_level());
-    let behind = lock(&shared.readiness).holding_back(&published.members, published.level);
+    let behind = lock(&shared.readiness).members_behind(&published.members, published.level);
     warn!(shared.log, "call refused during an upgrade"; "event" => "upgrading", "call" => call,
         "level" => %published.level, "knows" => %supported, "gateways_behind" => shared.gateways_behind(),
         "members_behind" => ?behind);
--- a/src/group/evacuation.rs
+++ b/src/group/evacuation.rs
@@ -98,10 +98,10 @@
     async fn propose_order(&self, data_hall: String, evacuate: bool) -> Result<(), OrderError> {
         let published = self.read().await?;
         self.check_hall(&published, &data_hall)?;
-        if published.level < Level::STARTS {
+        if published.level < Level::INCARNATIONS {
             return Err(OrderError::Upgrading);
         }
-        let after = published.evacuations.last(&data_hall);
+        let after = published.evacuations.last_order(&data_hall);
         let order = EvacuationOrder { data_hall: data_hall.clone(), evacuate, after };
         match self.propose(Command::Evacuate(order)).await? {
             Answer::Evacuation(OrderVerdict::InForce) => {
@@ -123,7 +123,7 @@
         let configured = &self.settings.data_halls;
         let has_targets =
             || published.directory.targets().any(|target| target.data_hall == data_hall);
-        let ordered = || published.evacuations.last(data_hall) > 0;
+        let ordered = || published.evacuations.last_order(data_hall) > 0;
         if configured.contains_key(data_hall) || ordered() || has_targets() {
             return Ok(());
         }
--- a/src/group/frames/from_member.rs
+++ b/src/group/frames/from_member.rs
@@ -13,8 +13,8 @@
 use crate::group::prefix_holders::PrefixHolder;
 use crate::link::{LinkError, Message};
 use crate::poison::Report;
-use crate::rollout::RolloutNews;
-use crate::rollout::division::RolloutMix;
+use crate::rollout::RolloutsUpdate;
+use crate::rollout::route_mix::RolloutMix;
 use crate::store::Answer;
 
 /// Tags of the parts of these frames.
@@ -29,7 +29,7 @@
 #[derive(Serialize, Deserialize)]
 struct AddedFields<'a> {
     evacuations: Option<Cow<'a, EvacuationsUpdate>>,
-    rollouts: Option<Cow<'a, RolloutNews>>,
+    rollouts: Option<Cow<'a, RolloutsUpdate>>,
     evidence: Option<Cow<'a, [Evidence]>>,
     prefix_holders: Cow<'a, [PrefixHolder]>,
     mixes: Cow<'a, [RolloutMix]>,
@@ -115,7 +115,7 @@
     let added = parts.get::<AddedFields<'static>>(tag::UPDATE_FIELDS)?;
     let added = added.unwrap_or_else(|| AddedFields {
         evacuations: Some(Cow::Owned(EvacuationsUpdate::default())),
-        rollouts: Some(Cow::Owned(RolloutNews::default())),
+        rollouts: Some(Cow::Owned(RolloutsUpdate::default())),
         evidence: None,
         prefix_holders: Cow::default(),
         mixes: Cow::default(),
--- a/src/group/incoming.rs
+++ b/src/group/incoming.rs
@@ -40,7 +40,7 @@
             ToMember::Raft { from, messages, supported_level } => {
                 if let Some(first) = messages.first() {
                     lock(&shared.store_addrs).insert(first.from, from);
-                    lock(&shared.readiness).hear(shared.now(), first.from, supported_level);
+                    lock(&shared.readiness).record(shared.now(), first.from, supported_level);
                 }
                 shared.member.deliver(messages);
             }
@@ -58,7 +58,7 @@
                 lock(&shared.rollouts).record_member(from, tallies);
             }
             ToMember::MemberPoison { reports, .. } => {
-                shared.record_poison(Origin::Elsewhere, reports)?;
+                shared.record_poison(Origin::Relayed, reports)?;
             }
             // Only a gateway sends these, after it has subscribed.
             ToMember::Loads { .. }
--- a/src/group/message.rs
+++ b/src/group/message.rs
@@ -16,8 +16,8 @@
 use crate::level::Level;
 use crate::poison::Report;
 use crate::raft::{Envelope, Index, StoreId};
-use crate::rollout::RolloutNews;
-use crate::rollout::division::RolloutMix;
+use crate::rollout::RolloutsUpdate;
+use crate::rollout::route_mix::RolloutMix;
 use crate::rollout::tally::Tallies;
 use crate::store::{Answer, Command, Revision};
 
@@ -201,7 +201,7 @@
     /// targets or a configuration without them.
     pub evacuations: Option<EvacuationsUpdate>,
     /// Roll-outs, if the gateway lacks the newest; sent before or with any blob too.
-    pub rollouts: Option<RolloutNews>,
+    pub rollouts: Option<RolloutsUpdate>,
     /// Blobs that the gateway lacks.
     pub blobs: Vec<Bytes>,
     /// A blob that the gateway lacks and must fetch from a peer.
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -51,7 +51,7 @@
 use crate::control::member::{Member, Published, Started};
 use crate::dialect::SharedDialect;
 use crate::level::{Level, Readiness};
-use crate::poison::{Board, Rule};
+use crate::poison::{PoisonTracker, Rule};
 use crate::raft::{
     BoxedDisk, FolderDisk, GroupId, Members, PatientDisk, Replica, Standing, StoreId, Tail,
     TimedDisk, WalError, fresh_store,
@@ -155,7 +155,7 @@
     /// Limits the log lines about refused heartbeats.
     refused_lines: Mutex<Sampler>,
     /// Requests under which targets crashed, as reported by all gateways.
-    poison: Mutex<Board>,
+    poison: Mutex<PoisonTracker>,
     /// Number of the last change in `poison` that gateways are to know.
     poison_updates: watch::Sender<u64>,
     /// Wakes the task that sends poison reports of the gateways here to the other members.
@@ -236,7 +236,7 @@
             heard: Mutex::default(),
             batches: Batches::default(),
             refused_lines: Mutex::default(),
-            poison: Mutex::new(Board::new(Rule::default(), None)),
+            poison: Mutex::new(PoisonTracker::new(Rule::default(), None)),
             poison_updates: watch::Sender::new(0),
             poison_reported: Notify::new(),
             poison_blocks_changed: Notify::new(),
--- a/src/group/poison.rs
+++ b/src/group/poison.rs
@@ -10,7 +10,9 @@
 use super::Shared;
 use super::message::ToMember;
 use crate::link::LinkError;
-use crate::poison::{Fingerprint, MOST_IN_WORD, Origin, Report, Reporter, log_turned};
+use crate::poison::{
+    Fingerprint, MAX_REPORTS_PER_MESSAGE, Origin, Report, Reporter, log_block_changes,
+};
 use crate::sync::lock;
 
 /// Time without a new report after which the next part of all that gateways are to know is sent to the other members
@@ -30,12 +32,12 @@
 
 impl From<Report> for BlockedRequest {
     fn from(report: Report) -> Self {
-        let last = report.ends.iter().map(|end| end.ago_ms).min();
+        let last = report.crashes.iter().map(|crash| crash.ago_ms).min();
         BlockedRequest {
             fingerprint: report.suspect.fingerprint.to_string(),
             team: report.suspect.team,
             route: report.suspect.route,
-            ends: report.ends.len(),
+            ends: report.crashes.len(),
             last_end_ms_ago: last.unwrap_or_default(),
         }
     }
@@ -50,25 +52,25 @@
         mut reports: Vec<Report>,
     ) -> Result<(), LinkError> {
         let by = Reporter::of(gateway);
-        reports.iter_mut().for_each(|report| report.ends.retain(|end| end.by == by));
-        self.record_poison(Origin::Here, reports)
+        reports.iter_mut().for_each(|report| report.crashes.retain(|crash| crash.by == by));
+        self.record_poison(Origin::Local, reports)
     }
 
     /// Records the reports of a gateway connected here or of another member.
     ///
     /// # Errors
-    /// [`LinkError::Garbled`] for more than [`MOST_IN_WORD`] reports.
+    /// [`LinkError::Garbled`] for more than [`MAX_REPORTS_PER_MESSAGE`] reports.
     pub(super) fn record_poison(
         &self,
         origin: Origin,
         reports: Vec<Report>,
     ) -> Result<(), LinkError> {
-        if reports.len() > MOST_IN_WORD {
+        if reports.len() > MAX_REPORTS_PER_MESSAGE {
             return Err(LinkError::Garbled);
         }
         let now = self.now();
         let mut board = lock(&self.poison);
-        reports.into_iter().for_each(|report| board.take(now, origin, report));
+        reports.into_iter().for_each(|report| board.apply(now, origin, report));
         drop(board);
         self.publish_poison();
         Ok(())
@@ -77,11 +79,11 @@
     /// Logs changed blocks, and wakes the tasks that send changes to gateways and members and that save blocks.
     pub(super) fn publish_poison(&self) {
         let mut board = lock(&self.poison);
-        if log_turned(&mut board, &self.log) {
+        if log_block_changes(&mut board, &self.log) {
             self.poison_blocks_changed.notify_one();
         }
         self.metrics.poison_dropped.inc_by(board.take_dropped());
-        let newest = board.newest_for_gateways();
+        let newest = board.newest_gateway_change();
         drop(board);
         self.poison_updates.send_if_modified(|known| std::mem::replace(known, newest) != newest);
         self.poison_reported.notify_one();
@@ -95,7 +97,7 @@
 
     /// Lifts the block of a request at all processes. Returns whether the request is known here.
     pub(super) fn lift_poison(&self, fingerprint: Fingerprint) -> bool {
-        let known = lock(&self.poison).settle(self.now(), fingerprint);
+        let known = lock(&self.poison).clear(self.now(), fingerprint);
         if known {
             info!(self.log, "block lifted"; "event" => "poison_lifted",
                 "fingerprint" => %fingerprint);
@@ -120,7 +122,7 @@
             tokio::time::timeout(RESEND_INTERVAL, shared.poison_reported.notified()).await;
         let now = shared.now();
         loop {
-            let (reports, upto) = lock(&shared.poison).news_from_here(now, sent);
+            let (reports, upto) = lock(&shared.poison).local_updates(now, sent);
             if reports.is_empty() {
                 break;
             }
@@ -128,7 +130,7 @@
             shared.broadcast(&ToMember::MemberPoison { from: shared.own_addr, reports });
         }
         if reported.is_err() {
-            let (reports, upto) = lock(&shared.poison).news_for_gateways(now, resent);
+            let (reports, upto) = lock(&shared.poison).gateway_updates(now, resent);
             resent = if reports.is_empty() { 0 } else { upto };
             if !reports.is_empty() {
                 shared.broadcast(&ToMember::MemberPoison { from: shared.own_addr, reports });
--- a/src/group/poison_file.rs
+++ b/src/group/poison_file.rs
@@ -37,7 +37,7 @@
                 "blocked" => reports.len());
             let now = shared.now();
             let mut board = lock(&shared.poison);
-            reports.into_iter().for_each(|report| board.take(now, Origin::Here, report));
+            reports.into_iter().for_each(|report| board.apply(now, Origin::Local, report));
             drop(board);
             shared.publish_poison();
         }
--- a/src/group/rollout.rs
+++ b/src/group/rollout.rs
@@ -14,11 +14,11 @@
 use crate::dialect::RolloutCall;
 use crate::jsonc::Fault;
 use crate::level::Level;
-use crate::rollout::division::RolloutMix;
-use crate::rollout::steps::{Progress, Step, Why, next};
+use crate::rollout::route_mix::RolloutMix;
+use crate::rollout::steps::{Progress, Step, StepReason, next_step};
 use crate::rollout::tally::{Compared, History, RouteKey, Tallies};
 use crate::rollout::{
-    Rollout, RolloutNews, RolloutOrder, RolloutStep, RolloutVerdict, Rollouts, Stage,
+    Rollout, RolloutOrder, RolloutStep, RolloutVerdict, Rollouts, RolloutsUpdate, Stage,
 };
 use crate::store::{Answer, Command, Revision};
 use crate::sync::lock;
@@ -159,7 +159,7 @@
     fn total(&self, at: Revision) -> BTreeMap<RouteKey, Compared> {
         let mut all = self.local.clone();
         self.members.values().for_each(|tallies| all.add(tallies));
-        all.of_rollout(at)
+        all.by_route(at)
     }
 
     /// The same outcomes by route and slices of time.
@@ -197,7 +197,7 @@
     async fn propose_rollout(&self, call: RolloutCall) -> Result<(), RolloutError> {
         let published = self.read().await?;
         self.check_service(&published, &call.service)?;
-        if published.level < Level::STARTS {
+        if published.level < Level::INCARNATIONS {
             return Err(RolloutError::Upgrading);
         }
         let last = published.rollouts.get(&call.service).map(|rollout| rollout.at);
@@ -274,8 +274,8 @@
     }
 
     /// The state of all roll-outs, for a gateway.
-    pub(super) fn rollouts_update(&self) -> RolloutNews {
-        self.member.published().borrow().rollouts.news()
+    pub(super) fn rollouts_update(&self) -> RolloutsUpdate {
+        self.member.published().borrow().rollouts.update()
     }
 
     /// The commands that are due for roll-outs under way, by what this member knows: the next stage, or else storing the
@@ -300,13 +300,13 @@
                 answers_before: known.answers_before,
                 old_in_flight: self.in_flight_at_old(published, rollout),
             };
-            let step = next(&progress);
+            let step = next_step(&progress);
             if step.is_none() && elapsed < known.stored_elapsed.0 + ELAPSED_INTERVAL {
                 return None;
             }
             let why = step.map(|step| step.why);
             let unproven = match why {
-                Some(Why::Unproven) => tracker.keys(rollout.at, progress.unproven()),
+                Some(StepReason::Unproven) => tracker.keys(rollout.at, progress.unproven()),
                 _ => Vec::new(),
             };
             let command = RolloutStep {
--- a/src/group/update_sender.rs
+++ b/src/group/update_sender.rs
@@ -22,7 +22,7 @@
 use crate::clock::Instant;
 use crate::control::member::Published;
 use crate::link::{FrameSender, LinkError, encode};
-use crate::rollout::RolloutNews;
+use crate::rollout::RolloutsUpdate;
 use crate::sync::lock;
 
 /// Longest time between two updates to a gateway, also while nothing is in flight.
@@ -158,7 +158,7 @@
     async fn send_poison(&mut self, turn: Turn<'a>) -> Result<(), LinkError> {
         self.poison_turn = None;
         let now = self.shared.now();
-        let (poison, newest) = lock(&self.shared.poison).news_for_gateways(now, self.cursor.poison);
+        let (poison, newest) = lock(&self.shared.poison).gateway_updates(now, self.cursor.poison);
         self.cursor.poison = newest;
         let frame =
             encode(&FromMember::Update(Box::new(Update { poison, ..self.periodic_update() })))?;
@@ -223,7 +223,7 @@
     }
 
     /// The roll-outs, if the gateway lacks any change; from then on they count as sent.
-    fn next_rollouts(&mut self) -> Option<RolloutNews> {
+    fn next_rollouts(&mut self) -> Option<RolloutsUpdate> {
         if !self.lacks_rollouts() {
             return None;
         }
--- a/src/group/upgrade.rs
+++ b/src/group/upgrade.rs
@@ -9,7 +9,7 @@
 
 use super::Shared;
 use super::message::Reply;
-use crate::level::{Group, Level};
+use crate::level::{GroupState, Level};
 use crate::raft::StoreId;
 use crate::store::Command;
 use crate::sync::lock;
@@ -105,7 +105,7 @@
             return false;
         }
         let published = self.published();
-        lock(&self.readiness).open(&published.members, published.level)
+        lock(&self.readiness).level_pending(&published.members, published.level)
     }
 
     /// The level to which this member, as the leader, has to raise the group now.
@@ -115,11 +115,11 @@
         }
         let (now, published, supported) = (self.now(), self.published(), self.supported_level());
         let mut readiness = lock(&self.readiness);
-        readiness.hear(now, self.store, supported);
+        readiness.record(now, self.store, supported);
         if !self.leads() {
             return None;
         }
-        let group = Group {
+        let group = GroupState {
             members: &published.members,
             level: published.level,
             formed_here: self.formed_here,
--- a/src/orders.rs
+++ b/src/orders.rs
@@ -12,7 +12,7 @@
 use crate::template::Spec;
 
 /// Longest time from the decision to send an order until it has taken effect or failed.
-pub const FLIGHT: Duration = Duration::from_secs(10);
+pub const ORDER_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// An order to an engine, as it is sent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -47,7 +47,7 @@
         Orders {
             term,
             sequence: 0,
-            unfenced_from: now + lease + FLIGHT,
+            unfenced_from: now + lease + ORDER_TIMEOUT,
             under_way: BTreeMap::new(),
             loads: 1.0,
             loads_per_second: f64::from(loads_per_minute) / 60.0,
@@ -69,7 +69,7 @@
         models: BTreeSet<Spec>,
     ) -> Option<Order> {
         self.refill(now);
-        let busy = self.under_way.get(engine).is_some_and(|sent| now < *sent + FLIGHT);
+        let busy = self.under_way.get(engine).is_some_and(|sent| now < *sent + ORDER_TIMEOUT);
         let early = !fenced && now < self.unfenced_from;
         if busy || early || self.loads < 1.0 {
             return None;
--- a/src/poison/identity.rs
+++ b/src/poison/identity.rs
@@ -1,4 +1,4 @@
-//! What makes two tries the same request: the caller, the path and the body.
+//! Identity of a request across its repetitions: the team, the host, the path and the body.
 
 use std::fmt;
 use std::str::FromStr;
@@ -7,38 +7,39 @@
 use sha2::{Digest, Sha256};
 use xxhash_rust::xxh3::Xxh3Default;
 
-/// Bytes of a fingerprint: nobody can find a second request with a given one, and by chance two of a billion share
-/// one in no fleet.
+/// Length of a fingerprint in bytes. It is long enough that nobody can construct a second request with a given
+/// fingerprint, and that no two of a billion requests share one by chance.
 const FINGERPRINT_BYTES: usize = 16;
 
-/// What identifies a request across its tries.
+/// What identifies a request across its repetitions.
 #[derive(Clone, Copy, Debug)]
 pub struct Identity<'a> {
-    /// Team that sends it; `None` where callers need no key.
+    /// Team that sends it; `None` where callers need no API key.
     pub team: Option<&'a str>,
-    /// Host that it names.
+    /// Host that the request names.
     pub host: &'a str,
     /// Path and query.
     pub path: &'a str,
-    /// Its body.
+    /// Body of the request.
     pub body: &'a [u8],
 }
 
-/// Digest of an [`Identity`].
+/// Cryptographic digest of an [`Identity`].
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
-/// Digest of all of an [`Identity`] but the content of its body: cheap, and shared by different requests.
+/// Hash of an [`Identity`] with the length of the body but not its content. It is cheap to compute; different requests may
+/// share it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Outline(u64);
+pub struct QuickHash(u64);
 
-/// A text that is no fingerprint.
+/// A text is not a valid fingerprint.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("must be {} hexadecimal digits", 2 * FINGERPRINT_BYTES)]
-pub struct NotAFingerprint;
+pub struct InvalidFingerprint;
 
 impl Identity<'_> {
-    /// The digest that tells requests apart, over all bytes of the body.
+    /// Computes the fingerprint, which covers all bytes of the body.
     pub fn fingerprint(&self) -> Fingerprint {
         let mut digest = Sha256::new();
         self.feed(|bytes| digest.update(bytes));
@@ -47,14 +48,15 @@
         Fingerprint(std::array::from_fn(|at| digest[at]))
     }
 
-    /// The cheap digest.
-    pub fn outline(&self) -> Outline {
+    /// Computes the hash that leaves out the content of the body.
+    pub fn quick_hash(&self) -> QuickHash {
         let mut digest = Xxh3Default::new();
         self.feed(|bytes| digest.update(bytes));
-        Outline(digest.digest())
+        QuickHash(digest.digest())
     }
 
-    /// Feeds all but the body's content, with lengths, so that no part can pass for a piece of another.
+    /// Passes everything except the body's content to `feed`. Each part is preceded by its length, so that different
+    /// identities never give the same bytes.
     fn feed(&self, mut feed: impl FnMut(&[u8])) {
         feed(&[u8::from(self.team.is_some())]);
         for part in [self.team.unwrap_or(""), self.host, self.path] {
@@ -78,14 +80,14 @@
 }
 
 impl FromStr for Fingerprint {
-    type Err = NotAFingerprint;
+    type Err = InvalidFingerprint;
 
-    fn from_str(text: &str) -> Result<Self, NotAFingerprint> {
+    fn from_str(text: &str) -> Result<Self, InvalidFingerprint> {
         let digits = text.bytes().all(|digit| digit.is_ascii_hexdigit());
         if text.len() != 2 * FINGERPRINT_BYTES || !digits {
-            return Err(NotAFingerprint);
+            return Err(InvalidFingerprint);
         }
-        let number = u128::from_str_radix(text, 16).map_err(|_| NotAFingerprint)?;
+        let number = u128::from_str_radix(text, 16).map_err(|_| InvalidFingerprint)?;
         Ok(Fingerprint(number.to_be_bytes()))
     }
 }
--- a/src/poison/mod.rs
+++ b/src/poison/mod.rs
@@ -1,17 +1,18 @@
-//! Poison requests: those that end each target that begins to run them.
+//! Poison requests: requests that crash each target that processes them.
 //!
-//! A caller repeats its request, each time under a new id and mostly at another gateway. What stays the same is who
-//! asks, for what, with which body: its [`Identity`]. Gateways note under which requests targets ended; each keeps a
-//! [`Board`] of its own, and members keep one of all. Boards take the same [`Report`]s in any order, any number of
-//! times, and come to the same: a request under which enough targets ended, and which never ended well since, is
-//! sent to none for a while.
+//! A caller repeats such a request, each time under a new id and mostly at another gateway. What stays the same is its
+//! [`Identity`]: the team, the host, the path and the body. Gateways record during which requests targets crashed. Each
+//! gateway has a [`PoisonTracker`] of its own observations and the reports of others, and each member has one of the
+//! reports of all. Trackers may apply the same [`Report`]s in any order and any number of times, and reach the same
+//! result: a request under which enough targets crashed, and which has not succeeded since, is sent to no target for a
+//! while.
 
-mod board;
 mod identity;
-mod logged;
+mod log;
 mod report;
+mod tracker;
 
-pub use self::board::{Board, Origin, Rule, Turned, Verdict};
-pub use self::identity::{Fingerprint, Identity, NotAFingerprint, Outline};
-pub(crate) use self::logged::log_turned;
-pub use self::report::{EndReport, MOST_IN_WORD, Report, Reporter, Suspect};
+pub use self::identity::{Fingerprint, Identity, InvalidFingerprint, QuickHash};
+pub(crate) use self::log::log_block_changes;
+pub use self::report::{CrashReport, MAX_REPORTS_PER_MESSAGE, Report, Reporter, Suspect};
+pub use self::tracker::{BlockChange, Origin, PoisonTracker, Rule, Verdict};
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -6,8 +6,8 @@
 //! whether or not members are out of reach. A gateway that has not heard of a stage is at an earlier one, which allows
 //! less. Before an order nothing is told apart by versions.
 
-pub mod division;
 pub mod judge;
+pub mod route_mix;
 pub mod steps;
 pub mod tally;
 
@@ -144,7 +144,7 @@
     }
 
     /// Applies an order that stands in the log at `index`.
-    pub fn order(&mut self, index: Revision, order: RolloutOrder) -> RolloutVerdict {
+    pub fn apply_order(&mut self, index: Revision, order: RolloutOrder) -> RolloutVerdict {
         if let Some(last) = self.by_service.get(&order.service) {
             if last.repeated_by(&order) {
                 return RolloutVerdict::Taken;
@@ -161,7 +161,7 @@
     }
 
     /// Applies a stage that stands in the log at `index`; one of a roll-out that is over, or an earlier stage, is void.
-    pub fn step(&mut self, index: Revision, step: &RolloutStep) {
+    pub fn apply_step(&mut self, index: Revision, step: &RolloutStep) {
         let Some(rollout) = self.by_service.get_mut(&step.service) else {
             return;
         };
@@ -195,16 +195,16 @@
 
 /// Roll-outs, as gateways are told of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RolloutNews {
+pub struct RolloutsUpdate {
     /// Revision that last changed anything; 0 before the first order.
     pub revision: Revision,
     /// The last roll-out of each service.
-    pub rollouts: Vec<RolloutTold>,
+    pub rollouts: Vec<RolloutState>,
 }
 
 /// A roll-out, as gateways are told of it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RolloutTold {
+pub struct RolloutState {
     /// The service.
     pub service: String,
     /// Its new version.
@@ -217,13 +217,13 @@
 
 impl Rollouts {
     /// All of them, for gateways.
-    pub fn news(&self) -> RolloutNews {
-        let told = self.by_service.values().map(|rollout| RolloutTold {
+    pub fn update(&self) -> RolloutsUpdate {
+        let told = self.by_service.values().map(|rollout| RolloutState {
             service: rollout.order.service.clone(),
             version: rollout.order.version.clone(),
             at: rollout.at,
             stage: rollout.stage,
         });
-        RolloutNews { revision: self.revision, rollouts: told.collect() }
+        RolloutsUpdate { revision: self.revision, rollouts: told.collect() }
     }
 }
--- a/src/rollout/division.rs
+++ b/src/rollout/route_mix.rs
@@ -27,7 +27,7 @@
 
 /// What part of all requests of a service each route has, as far as was seen.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-pub struct Mix(pub Vec<RouteShare>);
+pub struct RouteMix(pub Vec<RouteShare>);
 
 /// The mix of the service that a roll-out is of.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -35,21 +35,23 @@
     /// Revision of the roll-out's order.
     pub rollout: Revision,
     /// The mix.
-    pub mix: Mix,
+    pub mix: RouteMix,
 }
 
-impl Mix {
+impl RouteMix {
     /// The stage as it is on a route: a part of all requests becomes the route's own part.
-    pub fn stage(&self, route: RouteKey, stage: Stage) -> Stage {
+    pub fn stage_on_route(&self, route: RouteKey, stage: Stage) -> Stage {
         match stage {
-            Stage::Part(_) => Stage::Part((self.part(route, stage.share()) * 1_000.0) as u16),
+            Stage::Part(_) => {
+                Stage::Part((self.fraction_of_route(route, stage.share()) * 1_000.0) as u16)
+            }
             other => other,
         }
     }
 
     /// Part of a route's requests that the new version gets so that it gets `part` of all at most. A route that was not
     /// seen before gets that part itself.
-    pub fn part(&self, route: RouteKey, part: f64) -> f64 {
+    pub fn fraction_of_route(&self, route: RouteKey, part: f64) -> f64 {
         let seen = self.0.iter().find(|seen| seen.route == route);
         let Some(RouteShare { share, .. }) = seen.filter(|_| part < MOST_OF_ROUTE) else {
             return part;
--- a/src/rollout/steps.rs
+++ b/src/rollout/steps.rs
@@ -58,13 +58,13 @@
 pub struct Step {
     /// The stage.
     pub stage: Stage,
-    /// Why.
-    pub why: Why,
+    /// StepReason.
+    pub why: StepReason,
 }
 
-/// Why a stage is taken.
+/// StepReason a stage is taken.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Why {
+pub enum StepReason {
     /// The new version is worse.
     Worse(Fault),
     /// It is no worse, and enough answers show so.
@@ -78,19 +78,19 @@
 }
 
 /// The next stage, if it is time for that.
-pub fn next(progress: &Progress<'_>) -> Option<Step> {
+pub fn next_step(progress: &Progress<'_>) -> Option<Step> {
     if !progress.stage.under_way() {
         return None;
     }
     if let Some(fault) = judge_all(progress.routes) {
-        return Some(Step { stage: Stage::RolledBack, why: Why::Worse(fault) });
+        return Some(Step { stage: Stage::RolledBack, why: StepReason::Worse(fault) });
     }
     let part = progress.part();
     if progress.stage == Stage::Shifted {
         return shifted(progress, part);
     }
     if part >= LATEST_SHIFT_PART {
-        return Some(Step { stage: Stage::RolledBack, why: Why::Unproven });
+        return Some(Step { stage: Stage::RolledBack, why: StepReason::Unproven });
     }
     let Stage::Part(permille) = progress.stage else {
         return None;
@@ -102,16 +102,16 @@
     };
     let enough = progress.answers() >= progress.answers_before + ANSWERS_OF_STEP;
     let proven = || !progress.unjudged && progress.unproven().next().is_none();
-    (long && enough && proven()).then_some(Step { stage, why: Why::NoWorse })
+    (long && enough && proven()).then_some(Step { stage, why: StepReason::NoWorse })
 }
 
 fn shifted(progress: &Progress<'_>, part: f64) -> Option<Step> {
     let long = progress.in_stage >= progress.lasts.mul_f64(STEP_PART);
     if part >= COMPLETED_PART {
-        return Some(Step { stage: Stage::Completed, why: Why::TimeUp });
+        return Some(Step { stage: Stage::Completed, why: StepReason::TimeUp });
     }
     let idle = long && progress.old_in_flight == 0;
-    idle.then_some(Step { stage: Stage::Completed, why: Why::OldIdle })
+    idle.then_some(Step { stage: Stage::Completed, why: StepReason::OldIdle })
 }
 
 /// The stage after one in which both versions get requests.
--- a/src/rollout/tally.rs
+++ b/src/rollout/tally.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::division::{Mix, RouteShare};
+use super::route_mix::{RouteMix, RouteShare};
 use crate::store::Revision;
 
 /// Buckets of times; each holds times up to half an octave longer than the one before, the last from 46 s on.
@@ -154,14 +154,14 @@
     }
 
     /// Counts an attempt that failed.
-    pub fn note_failed(&mut self, subject: Subject) {
+    pub fn record_failure(&mut self, subject: Subject) {
         if let Some(outcomes) = self.of_subject(subject) {
             outcomes.failed = outcomes.failed.saturating_add(1);
         }
     }
 
     /// Counts an answer that began after so long.
-    pub fn note_answered(&mut self, subject: Subject, took: Duration) {
+    pub fn record_answer(&mut self, subject: Subject, took: Duration) {
         if let Some(outcomes) = self.of_subject(subject) {
             outcomes.times.note(took);
         }
@@ -187,7 +187,7 @@
     }
 
     /// Outcomes of a roll-out by route, those of the old version first.
-    pub fn of_rollout(&self, rollout: Revision) -> BTreeMap<RouteKey, Compared> {
+    pub fn by_route(&self, rollout: Revision) -> BTreeMap<RouteKey, Compared> {
         let mut by_route: BTreeMap<RouteKey, Compared> = BTreeMap::new();
         for (subject, outcomes) in self.0.iter().filter(|(subject, _)| subject.rollout == rollout) {
             let compared = by_route.entry(subject.route).or_default();
@@ -295,7 +295,7 @@
     }
 
     /// What part of all requests each route has: of all since the order, or of the latest where that is clearly more.
-    pub fn mix(&self) -> Mix {
+    pub fn mix(&self) -> RouteMix {
         let from = self.over.saturating_sub(LATEST);
         let all: f64 = self.slices.values().map(|slices| attempts(slices)).sum();
         let latest: f64 = self.slices.values().map(|slices| attempts_from(slices, from)).sum();
@@ -305,7 +305,7 @@
             let lately = (late - LATEST_DEVIATIONS * late.sqrt()) / latest.max(1.0);
             RouteShare { route: *route, share: since_order.max(lately) as f32 }
         };
-        Mix(self.slices.iter().map(share).collect())
+        RouteMix(self.slices.iter().map(share).collect())
     }
 
     /// The routes, in the order of [`routes`](History::routes).
--- a/src/store/command.rs
+++ b/src/store/command.rs
@@ -75,7 +75,7 @@
             | Command::WarmAgain(_)
             | Command::Raise(_) => false,
         };
-        if base { Level::BASE } else { Level::STARTS }
+        if base { Level::BASE } else { Level::INCARNATIONS }
     }
 }
 
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -174,16 +174,16 @@
                 self.listed()
             }
             Command::WarmAgain(halls) => {
-                self.evacuations.note_warm(&halls);
+                self.evacuations.mark_warm(&halls);
                 self.listed()
             }
             Command::Rollout(order) => {
-                let verdict = self.rollouts.order(index, order);
+                let verdict = self.rollouts.apply_order(index, order);
                 self.revision = self.revision.max(self.rollouts.revision());
                 Answer::Rollout(verdict)
             }
             Command::RolloutStep(step) => {
-                self.rollouts.step(index, &step);
+                self.rollouts.apply_step(index, &step);
                 self.revision = self.revision.max(self.rollouts.revision());
                 Answer::Listed
             }
@@ -201,7 +201,7 @@
 
     /// Lets the group use more; what it could not tell of targets so far comes with their next word.
     fn raise(&mut self, level: Level) {
-        if self.level < Level::STARTS && level >= Level::STARTS {
+        if self.level < Level::INCARNATIONS && level >= Level::INCARNATIONS {
             self.directory.expect_starts();
         }
         self.level = self.level.max(level);
--- a/src/store/saved.rs
+++ b/src/store/saved.rs
@@ -44,7 +44,7 @@
     directory: base::Directory,
 }
 
-/// A store of [`Level::STARTS`] and above, behind what is alike.
+/// A store of [`Level::INCARNATIONS`] and above, behind what is alike.
 #[derive(Serialize, Deserialize)]
 struct Starts<'a> {
     directory: Cow<'a, Directory>,
@@ -71,7 +71,7 @@
 impl From<Format5Fields> for Format5 {
     fn from(fields: Format5Fields) -> Self {
         let Format5Fields { revision, rest, directory, evacuations, rollouts } = fields;
-        let store = rest.into_store(revision, Level::STARTS, directory);
+        let store = rest.into_store(revision, Level::INCARNATIONS, directory);
         Format5(Store { evacuations, rollouts, ..store })
     }
 }
--- a/src/targets.rs
+++ b/src/targets.rs
@@ -127,7 +127,7 @@
     /// Takes what the list says of this incarnation. Once it leaves, no later list revives it.
     fn take(&mut self, listed: Listed) {
         if listed.leaving {
-            self.availability.says_leaving();
+            self.availability.record_shutdown();
         }
         self.listed = listed;
     }
@@ -220,7 +220,7 @@
         if let Some(target) = self.known.get_mut(name)
             && target.listed.incarnation <= incarnation
         {
-            target.availability.says_leaving();
+            target.availability.record_shutdown();
         }
     }
 
@@ -230,7 +230,7 @@
             && target.listed.incarnation == choice.incarnation
         {
             let chance = rand::random();
-            target.availability.rests(now, rest, RETURN_OVER, chance);
+            target.availability.back_off(now, rest, RETURN_OVER, chance);
         }
     }
 
@@ -242,7 +242,7 @@
         closed: impl Fn(&str) -> bool,
     ) -> Option<Duration> {
         let suitable = self.suitable(now, need, &closed);
-        suitable.filter_map(|target| target.availability.standing(now).rest_left(now)).min()
+        suitable.filter_map(|target| target.availability.eligibility(now).backoff_left(now)).min()
     }
 
     /// Whether the platform's list is too old to prove that a target lives.
@@ -258,10 +258,10 @@
         closed: impl Fn(&str) -> bool,
     ) -> Vec<Choice> {
         let usable = self.suitable(now, need, &closed);
-        let usable = usable.filter(|target| target.availability.standing(now).takes_work());
+        let usable = usable.filter(|target| target.availability.eligibility(now).accepts_work());
         let (hesitant, sound): (Vec<_>, Vec<_>) = usable.partition(|target| {
             let in_flight = u32::try_from(target.in_flight).unwrap_or(u32::MAX);
-            target.availability.standing(now).hesitates(in_flight)
+            target.availability.eligibility(now).over_return_limit(in_flight)
         });
         let usable = if sound.is_empty() { hesitant } else { sound };
         usable.into_iter().map(Target::choice).collect()
@@ -305,7 +305,7 @@
     pub fn succeeded(&mut self, now: Duration, name: &str) {
         if let Some(target) = self.known.get_mut(name) {
             target.answered_at = Some(now);
-            target.availability.answered(now);
+            target.availability.record_answer(now);
             target.circuit = Circuit::default();
         }
     }
--- a/tests/agreement/group.rs
+++ b/tests/agreement/group.rs
@@ -327,7 +327,7 @@
         let Some(leader) = leader else {
             return;
         };
-        let after = self.replica(leader).store().evacuations().last(&Orders::name(hall));
+        let after = self.replica(leader).store().evacuations().last_order(&Orders::name(hall));
         let call = self.orders.call(hall, next, after);
         if let Some(call) = call.filter(|_| !held_up) {
             self.send_call(number, leader, call);
--- a/tests/agreement/wal.rs
+++ b/tests/agreement/wal.rs
@@ -190,12 +190,12 @@
     }
     let mut replica = open(&disk).expect("a sound disk");
     lead(&mut replica);
-    replica.propose(Duration::from_secs(2), Command::Raise(Level::STARTS)).expect("a leader");
+    replica.propose(Duration::from_secs(2), Command::Raise(Level::INCARNATIONS)).expect("a leader");
     replica.flush().expect("a sound disk");
     assert_eq!(format(&disk), 6);
     let mut again = open(&disk).expect("a sound disk");
     lead(&mut again);
-    assert_eq!(again.store().level(), Level::STARTS);
+    assert_eq!(again.store().level(), Level::INCARNATIONS);
     assert_eq!(reopened_version(&disk), 2);
 }
 
--- a/tests/compat/commands.rs
+++ b/tests/compat/commands.rs
@@ -63,7 +63,7 @@
         any::<u64>().prop_map(|since| {
             Command::WarmAgain(vec![WarmAgain { data_hall: "h".into(), since }])
         }),
-        Just(Command::Raise(Level::STARTS)),
+        Just(Command::Raise(Level::INCARNATIONS)),
     ]
 }
 
--- a/tests/compat/frames.rs
+++ b/tests/compat/frames.rs
@@ -16,10 +16,10 @@
 use latchmount::group::prefix_holders::{PrefixHolder, PromptKey};
 use latchmount::level::Level;
 use latchmount::link::Message;
-use latchmount::poison::{EndReport, Identity, Report, Reporter, Suspect};
-use latchmount::rollout::division::{Mix, RolloutMix, RouteShare};
+use latchmount::poison::{CrashReport, Identity, Report, Reporter, Suspect};
+use latchmount::rollout::route_mix::{RolloutMix, RouteMix, RouteShare};
 use latchmount::rollout::tally::{RouteKey, Side, Subject, Tallies};
-use latchmount::rollout::{RolloutNews, RolloutTold, Stage};
+use latchmount::rollout::{RolloutState, RolloutsUpdate, Stage};
 use latchmount::store::Store;
 
 use crate::samples::{self, base_parcel, delta, parcel, start};
@@ -119,16 +119,16 @@
 /// A request under which a target ended.
 fn report() -> Report {
     let identity = Identity { team: Some("team-a"), host: "h.example", path: "/x", body: b"body" };
-    let end = EndReport { target: 7, by: Reporter::of("gateway-1"), ago_ms: 20 };
+    let end = CrashReport { target: 7, by: Reporter::of("gateway-1"), ago_ms: 20 };
     let suspect = Suspect::new(&identity, identity.fingerprint(), "route-a");
-    Report { suspect, ends: vec![end], settled_ago_ms: Some(3) }
+    Report { suspect, crashes: vec![end], cleared_ago_ms: Some(3) }
 }
 
 fn tallies() -> Tallies {
     let subject = Subject { rollout: 12, route: RouteKey::of("route-a"), side: Side::New };
     let mut tallies = Tallies::default();
-    tallies.note_answered(subject, Duration::from_millis(30));
-    tallies.note_failed(subject);
+    tallies.record_answer(subject, Duration::from_millis(30));
+    tallies.record_failure(subject);
     tallies
 }
 
@@ -145,7 +145,7 @@
         panic!("the last sample is a subscription");
     };
     let subscription = Subscription {
-        supported_level: Level::STARTS,
+        supported_level: Level::INCARNATIONS,
         evacuations: Some(11),
         rollouts: Some(12),
         status_only: true,
@@ -186,17 +186,17 @@
     let hall = |state| HallState { data_hall: "hall-a".into(), since: 11, state };
     let halls = vec![hall(Evacuation::InForce), hall(Evacuation::Withdrawn { for_ms: 5 })];
     let told =
-        RolloutTold { service: "s".into(), version: "v2".into(), at: 12, stage: Stage::Part(70) };
+        RolloutState { service: "s".into(), version: "v2".into(), at: 12, stage: Stage::Part(70) };
     let share = RouteShare { route: RouteKey::of("route-a"), share: 0.25 };
     let update = Update {
         fresh: true,
         version: 4,
         gateways: 2,
         evacuations: Some(EvacuationsUpdate { revision: 11, halls }),
-        rollouts: Some(RolloutNews { revision: 12, rollouts: vec![told] }),
+        rollouts: Some(RolloutsUpdate { revision: 12, rollouts: vec![told] }),
         evidence: Some(vec![Evidence { target, failed: 1.5, answered: 2.0, reporters: 2 }]),
         prefix_holders: vec![PrefixHolder { prompt: PromptKey::of(1 << 60), target }],
-        mixes: vec![RolloutMix { rollout: 12, mix: Mix(vec![share]) }],
+        mixes: vec![RolloutMix { rollout: 12, mix: RouteMix(vec![share]) }],
         poison: vec![report()],
         ..Update::default()
     };
--- a/tests/compat/levels.rs
+++ b/tests/compat/levels.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use latchmount::level::{Group, Level, Readiness};
+use latchmount::level::{GroupState, Level, Readiness};
 use latchmount::raft::{Member, Members, Standing, StoreId};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -18,8 +18,8 @@
     Members((0..count).map(member).collect())
 }
 
-fn group(members: &Members) -> Group<'_> {
-    Group { members, level: Level::BASE, formed_here: false }
+fn group(members: &Members) -> GroupState<'_> {
+    GroupState { members, level: Level::BASE, formed_here: false }
 }
 
 fn at(ms: u64) -> Duration {
@@ -29,7 +29,7 @@
 /// Has all members speak every tenth of a second; returns what is due at the end.
 fn speak(
     readiness: &mut Readiness,
-    group: Group<'_>,
+    group: GroupState<'_>,
     from_ms: u64,
     upto_ms: u64,
     knows: impl Fn(StoreId) -> Option<Level>,
@@ -38,7 +38,7 @@
     for ms in (from_ms..upto_ms).step_by(100) {
         for member in &group.members.0 {
             if let Some(knows) = knows(member.id) {
-                readiness.hear(at(ms), member.id, knows);
+                readiness.record(at(ms), member.id, knows);
             }
         }
         due = readiness.due(at(ms), group);
@@ -50,7 +50,7 @@
 fn a_member_of_an_earlier_build_keeps_the_level_down_even_if_it_only_stands_by() {
     let members = members(4);
     let mut readiness = Readiness::default();
-    let knows = |id| Some(if id == StoreId(3) { Level::BASE } else { Level::STARTS });
+    let knows = |id| Some(if id == StoreId(3) { Level::BASE } else { Level::INCARNATIONS });
     assert_eq!(speak(&mut readiness, group(&members), 0, 20_000, knows), None);
 }
 
@@ -58,7 +58,7 @@
 fn a_member_that_is_down_keeps_the_level_down() {
     let members = members(4);
     let mut readiness = Readiness::default();
-    let knows = |id| (id != StoreId(2)).then_some(Level::STARTS);
+    let knows = |id| (id != StoreId(2)).then_some(Level::INCARNATIONS);
     assert_eq!(speak(&mut readiness, group(&members), 0, 20_000, knows), None);
 }
 
@@ -66,26 +66,26 @@
 fn a_member_that_gets_its_earlier_build_back_begins_the_wait_anew() {
     let members = members(3);
     let mut readiness = Readiness::default();
-    let all = |_| Some(Level::STARTS);
+    let all = |_| Some(Level::INCARNATIONS);
     let group = group(&members);
     assert_eq!(speak(&mut readiness, group, 0, 4_000, all), None);
-    let back = |id| Some(if id == StoreId(1) { Level::BASE } else { Level::STARTS });
+    let back = |id| Some(if id == StoreId(1) { Level::BASE } else { Level::INCARNATIONS });
     assert_eq!(speak(&mut readiness, group, 4_000, 4_100, back), None);
     assert_eq!(speak(&mut readiness, group, 4_100, 9_000, all), None);
-    assert_eq!(speak(&mut readiness, group, 9_000, 9_500, all), Some(Level::STARTS));
+    assert_eq!(speak(&mut readiness, group, 9_000, 9_500, all), Some(Level::INCARNATIONS));
 }
 
 #[test]
 fn a_group_that_was_formed_by_this_build_need_not_wait() {
     let members = members(3);
     let mut readiness = Readiness::default();
-    let group = Group { formed_here: true, ..group(&members) };
-    assert!(readiness.open(&members, Level::BASE), "nobody has said anything");
-    let all = |_| Some(Level::STARTS);
-    assert_eq!(speak(&mut readiness, group, 0, 100, all), Some(Level::STARTS));
-    let raised = Group { level: Level::STARTS, ..group };
+    let group = GroupState { formed_here: true, ..group(&members) };
+    assert!(readiness.level_pending(&members, Level::BASE), "nobody has said anything");
+    let all = |_| Some(Level::INCARNATIONS);
+    assert_eq!(speak(&mut readiness, group, 0, 100, all), Some(Level::INCARNATIONS));
+    let raised = GroupState { level: Level::INCARNATIONS, ..group };
     assert_eq!(speak(&mut readiness, raised, 100, 200, all), None);
-    assert!(!readiness.open(&members, Level::STARTS));
+    assert!(!readiness.level_pending(&members, Level::INCARNATIONS));
 }
 
 // Whatever members say and whenever, the level is due only while each has said lately that it knows it.
@@ -101,14 +101,14 @@
         for _ in 0..300 {
             now += at(rng.random_range(1..400));
             let who = rng.random_range(0..members.0.len());
-            let knows = if rng.random_bool(0.9) { Level::STARTS } else { Level::BASE };
+            let knows = if rng.random_bool(0.9) { Level::INCARNATIONS } else { Level::BASE };
             if rng.random_bool(0.95) {
-                readiness.hear(now, members.0[who].id, knows);
+                readiness.record(now, members.0[who].id, knows);
                 words[who] = (knows, now);
             }
             if readiness.due(now, group(&members)).is_some() {
                 let known = |word: &(Level, Duration)| {
-                    word.0 == Level::STARTS && now < word.1 + Duration::from_millis(1_500)
+                    word.0 == Level::INCARNATIONS && now < word.1 + Duration::from_millis(1_500)
                 };
                 assert!(words.iter().all(known), "seed {seed}");
             }
--- a/tests/compat/samples.rs
+++ b/tests/compat/samples.rs
@@ -18,7 +18,7 @@
 use latchmount::raft::{
     Body, Entry, Envelope, GroupId, Member, Members, Payload, Position, Snapshot, Standing, StoreId,
 };
-use latchmount::rollout::{RolloutNews, RolloutOrder, RolloutStep, Stage};
+use latchmount::rollout::{RolloutOrder, RolloutStep, RolloutsUpdate, Stage};
 use latchmount::store::{Answer, Command, Drain, Sight, Store};
 
 /// A target that does not tell when it started.
@@ -86,7 +86,7 @@
         Command::Evacuate(EvacuationOrder { data_hall: data_hall.clone(), evacuate, after })
     };
     vec![
-        Command::Raise(Level::STARTS),
+        Command::Raise(Level::INCARNATIONS),
         Command::Announce(vec![sight("t4", 7), sight("t5", 8)]),
         Command::Settle(vec![started("t4", 7)]),
         Command::Silence(vec![started("t5", 8)]),
@@ -241,7 +241,7 @@
         version: 4,
         gateways: 2,
         evacuations: Some(EvacuationsUpdate::default()),
-        rollouts: Some(RolloutNews::default()),
+        rollouts: Some(RolloutsUpdate::default()),
         ..Update::default()
     };
     let update = Update {
--- a/tests/compat/stores.rs
+++ b/tests/compat/stores.rs
@@ -15,7 +15,7 @@
     let mut store = store();
     for raised in [false, true] {
         if raised {
-            store.apply(20, Command::Raise(Level::STARTS));
+            store.apply(20, Command::Raise(Level::INCARNATIONS));
             announce(&mut store, 21, start("t4", 9));
         }
         let saved = postcard::to_stdvec(&store).expect("a store");
@@ -33,7 +33,7 @@
 fn a_command_of_a_higher_level_never_gets_lost_in_a_snapshot() {
     let mut store = store();
     announce(&mut store, 20, start("t4", 9));
-    assert_eq!(store.level(), Level::STARTS);
+    assert_eq!(store.level(), Level::INCARNATIONS);
     let saved = postcard::to_stdvec(&store).expect("a store");
     assert_eq!(postcard::from_bytes::<Store>(&saved).expect("a store"), store);
 }
@@ -42,7 +42,7 @@
 fn a_target_that_tells_its_start_once_the_level_is_raised_stays_the_target_that_it_was() {
     let mut store = Store::default();
     announce(&mut store, 1, target("t1"));
-    store.apply(2, Command::Raise(Level::STARTS));
+    store.apply(2, Command::Raise(Level::INCARNATIONS));
     announce(&mut store, 3, start("t1", 7));
     let known = store.directory().get("t1").expect("it is there");
     assert_eq!(known.born, start("t1", 7).born);
@@ -54,7 +54,7 @@
 fn a_target_that_has_started_again_when_the_level_is_raised_is_another_one() {
     let mut store = Store::default();
     announce(&mut store, 1, target("t1"));
-    store.apply(2, Command::Raise(Level::STARTS));
+    store.apply(2, Command::Raise(Level::INCARNATIONS));
     announce(&mut store, 3, latchmount::directory::Announcement { sequence: 1, ..start("t1", 7) });
     assert!(store.directory().is_over("t1", target("t1").born));
 }
@@ -63,7 +63,7 @@
 fn a_start_that_was_told_is_told_again_after_the_store_was_saved() {
     let mut store = Store::default();
     announce(&mut store, 1, target("t1"));
-    store.apply(2, Command::Raise(Level::STARTS));
+    store.apply(2, Command::Raise(Level::INCARNATIONS));
     let saved = postcard::to_stdvec(&store).expect("a store");
     let mut again: Store = postcard::from_bytes(&saved).expect("a store");
     assert_eq!(again.directory().judge(&start("t1", 7)), Heartbeat::News);
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -7,7 +7,7 @@
 
 use latchmount::choice::{Candidate, Key, NameHash, cap, choose, score};
 use latchmount::claims::{Claim, Claims, Release, RequestKey, Verdict, WINDOW};
-use latchmount::orders::{FLIGHT, Orders};
+use latchmount::orders::{ORDER_TIMEOUT, Orders};
 use latchmount::placement::{Change, Demand, Engine, plan};
 use latchmount::queue::Queue;
 use latchmount::reason::{Outcome, Reason};
@@ -170,9 +170,9 @@
             if let Some(order) = sent {
                 prop_assert!(order.sequence > last);
                 last = order.sequence;
-                prop_assert!(fenced || now >= lease + FLIGHT);
+                prop_assert!(fenced || now >= lease + ORDER_TIMEOUT);
                 let busy = under_way.insert(engine.clone(), now);
-                prop_assert!(busy.is_none_or(|sent| now >= sent + FLIGHT));
+                prop_assert!(busy.is_none_or(|sent| now >= sent + ORDER_TIMEOUT));
             }
             if answer {
                 orders.answered(&engine);
--- a/tests/gateway/availability.rs
+++ b/tests/gateway/availability.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use latchmount::availability::{Availability, Standing};
+use latchmount::availability::{Availability, Eligibility};
 use latchmount::retry_after::RetryAfter;
 use proptest::prelude::*;
 
@@ -72,22 +72,22 @@
     match event {
         Event::Wait(_) => {}
         Event::Leaving => {
-            known.says_leaving();
+            known.record_shutdown();
         }
         Event::Rest(ms) => {
             let rest =
                 ms.map_or(RetryAfter::Unclear, |ms| RetryAfter::In(Duration::from_millis(ms)));
-            known.rests(now, rest, SPREAD, chance);
+            known.back_off(now, rest, SPREAD, chance);
         }
-        Event::Answered => known.answered(now),
-        Event::List(leaving) => known.list(*leaving),
-        Event::Evacuate(evacuated) => known.evacuate(*evacuated),
+        Event::Answered => known.record_answer(now),
+        Event::List(leaving) => known.set_listed_draining(*leaving),
+        Event::Evacuate(evacuated) => known.set_evacuated(*evacuated),
         Event::Relist(leaving) => {
-            let said = known.own_word();
+            let said = known.own_report();
             *known = Availability::default();
-            known.list(*leaving);
-            known.evacuate(evacuated);
-            said.into_iter().for_each(|said| known.recall(said));
+            known.set_listed_draining(*leaving);
+            known.set_evacuated(evacuated);
+            said.into_iter().for_each(|said| known.restore(said));
         }
     }
 }
@@ -107,11 +107,11 @@
             }
             note(&mut known, now, &event, chance, naive.evacuated);
             naive.note(now, &event);
-            let standing = known.standing(now);
+            let standing = known.eligibility(now);
             let leaving = naive.said_leaving || naive.listed_leaving;
-            prop_assert_eq!(standing == Standing::Leaving, leaving);
+            prop_assert_eq!(standing == Eligibility::ShuttingDown, leaving);
             let free = !leaving && !naive.evacuated && !naive.rests(now);
-            prop_assert_eq!(standing.takes_work(), free, "{:?} at {:?}", standing, now);
+            prop_assert_eq!(standing.accepts_work(), free, "{:?} at {:?}", standing, now);
         }
     }
 }
@@ -127,41 +127,41 @@
 #[test]
 fn a_target_comes_back_with_one_request_and_twice_as_many_with_each_answer() {
     let mut known = Availability::default();
-    known.rests(secs(10.0), rest(3.0), secs(2.0), 0.5);
-    assert_eq!(known.standing(secs(12.9)), Standing::Resting { until: secs(13.0) });
+    known.back_off(secs(10.0), rest(3.0), secs(2.0), 0.5);
+    assert_eq!(known.eligibility(secs(12.9)), Eligibility::BackingOff { until: secs(13.0) });
     // An answer of before the rest proves nothing.
-    known.answered(secs(12.9));
-    let early = known.standing(secs(13.5));
-    assert_eq!(early, Standing::Returning { allowed: 0 }, "only if no other will do");
-    assert!(early.takes_work() && early.hesitates(0));
+    known.record_answer(secs(12.9));
+    let early = known.eligibility(secs(13.5));
+    assert_eq!(early, Eligibility::Returning { allowed: 0 }, "only if no other will do");
+    assert!(early.accepts_work() && early.over_return_limit(0));
     for allowed in [1, 2, 4, 8] {
-        let standing = known.standing(secs(14.0));
-        assert_eq!(standing, Standing::Returning { allowed });
-        assert!(!standing.hesitates(allowed - 1) && standing.hesitates(allowed));
-        known.answered(secs(14.0));
+        let standing = known.eligibility(secs(14.0));
+        assert_eq!(standing, Eligibility::Returning { allowed });
+        assert!(!standing.over_return_limit(allowed - 1) && standing.over_return_limit(allowed));
+        known.record_answer(secs(14.0));
     }
-    assert_eq!(known.standing(secs(14.0)), Standing::Open);
+    assert_eq!(known.eligibility(secs(14.0)), Eligibility::Open);
 }
 
 /// The next start under an identity may have answered before any list told of it.
 #[test]
 fn a_rest_asked_for_just_before_another_start_is_listed_holds_for_that_and_a_leave_does_not() {
     let mut old = Availability::default();
-    old.says_leaving();
-    old.rests(secs(10.0), rest(30.0), Duration::ZERO, 0.5);
+    old.record_shutdown();
+    old.back_off(secs(10.0), rest(30.0), Duration::ZERO, 0.5);
     let mut next = Availability::default();
-    next.recall(old.word_of_next_start(secs(12.0)).expect("it may be its word"));
-    assert_eq!(next.standing(secs(12.0)), Standing::Resting { until: secs(40.0) });
-    assert_eq!(old.word_of_next_start(secs(20.0)), None, "it was the old one's");
+    next.restore(old.next_incarnation_report(secs(12.0)).expect("it may be its word"));
+    assert_eq!(next.eligibility(secs(12.0)), Eligibility::BackingOff { until: secs(40.0) });
+    assert_eq!(old.next_incarnation_report(secs(20.0)), None, "it was the old one's");
 }
 
 #[test]
 fn a_shorter_word_does_not_shorten_a_rest_and_no_time_is_no_rest() {
     let mut known = Availability::default();
-    known.rests(secs(1.0), rest(0.0), secs(1.0), 0.5);
-    assert_eq!(known.standing(secs(1.0)), Standing::Open);
-    known.rests(secs(1.0), rest(5.0), Duration::ZERO, 0.5);
-    known.rests(secs(1.5), rest(1.0), Duration::ZERO, 0.5);
-    known.rests(secs(2.0), rest(0.0), Duration::ZERO, 0.5);
-    assert_eq!(known.standing(secs(5.9)), Standing::Resting { until: secs(6.0) });
+    known.back_off(secs(1.0), rest(0.0), secs(1.0), 0.5);
+    assert_eq!(known.eligibility(secs(1.0)), Eligibility::Open);
+    known.back_off(secs(1.0), rest(5.0), Duration::ZERO, 0.5);
+    known.back_off(secs(1.5), rest(1.0), Duration::ZERO, 0.5);
+    known.back_off(secs(2.0), rest(0.0), Duration::ZERO, 0.5);
+    assert_eq!(known.eligibility(secs(5.9)), Eligibility::BackingOff { until: secs(6.0) });
 }
--- a/tests/gateway/rests.rs
+++ b/tests/gateway/rests.rs
@@ -4,7 +4,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use latchmount::availability::{Availability, Standing};
+use latchmount::availability::{Availability, Eligibility};
 use latchmount::gateway::balance::{Candidate, Preference, choose};
 use latchmount::gateway::evidence::return_spread;
 use latchmount::gateway::health::{AttemptOutcome, Health, Tally};
@@ -135,7 +135,7 @@
             self.ends.pop();
             self.in_flight[target] -= 1;
             self.own[gateway][target] -= 1;
-            self.known[gateway][target].answered(Duration::from_nanos(end));
+            self.known[gateway][target].record_answer(Duration::from_nanos(end));
         }
     }
 
@@ -163,10 +163,10 @@
 
     fn choose(&mut self, now: f64, gateway: usize, tried: &[usize]) -> Option<usize> {
         let at = Duration::from_secs_f64(now);
-        let standing = |target: &usize| self.known[gateway][*target].standing(at);
+        let standing = |target: &usize| self.known[gateway][*target].eligibility(at);
         let usable: Vec<usize> = (0..self.in_flight.len())
             .filter(|target| !tried.contains(target))
-            .filter(|target| standing(target).takes_work())
+            .filter(|target| standing(target).accepts_work())
             .collect();
         let candidate = |target: &usize| Candidate {
             key: *target as u64,
@@ -178,7 +178,7 @@
             last_resort: match self.way {
                 Way::Deaf | Way::AtOnce => false,
                 Way::OneFirst | Way::Spread => {
-                    standing(target).hesitates(self.own[gateway][*target])
+                    standing(target).over_return_limit(self.own[gateway][*target])
                 }
                 Way::LeftAlone => {
                     let health = &self.health[gateway][*target];
@@ -217,7 +217,7 @@
             _ => Duration::ZERO,
         };
         let chance = self.rng.random();
-        self.known[gateway][target].rests(Duration::from_secs_f64(now), REST, over, chance);
+        self.known[gateway][target].back_off(Duration::from_secs_f64(now), REST, over, chance);
         false
     }
 
@@ -233,8 +233,8 @@
     /// Time until the first rest of a gateway's targets ends, in seconds.
     fn earliest(&self, now: f64, gateway: usize) -> f64 {
         let at = Duration::from_secs_f64(now);
-        let rests = self.known[gateway].iter().filter_map(|known| match known.standing(at) {
-            Standing::Resting { until } => Some((until - at).as_secs_f64()),
+        let rests = self.known[gateway].iter().filter_map(|known| match known.eligibility(at) {
+            Eligibility::BackingOff { until } => Some((until - at).as_secs_f64()),
             _ => None,
         });
         rests.min_by(f64::total_cmp).unwrap_or(0.06)
--- a/tests/gateway/versions.rs
+++ b/tests/gateway/versions.rs
@@ -88,9 +88,9 @@
 #[test]
 fn an_equal_order_is_taken_again_and_another_is_refused_while_one_is_under_way() {
     let mut rollouts = Rollouts::default();
-    assert_eq!(rollouts.order(5, order("v2", false)), RolloutVerdict::Taken);
-    assert_eq!(rollouts.order(6, order("v2", true)), RolloutVerdict::Taken);
-    assert_eq!(rollouts.order(7, order("v3", true)), RolloutVerdict::UnderWay);
+    assert_eq!(rollouts.apply_order(5, order("v2", false)), RolloutVerdict::Taken);
+    assert_eq!(rollouts.apply_order(6, order("v2", true)), RolloutVerdict::Taken);
+    assert_eq!(rollouts.apply_order(7, order("v3", true)), RolloutVerdict::UnderWay);
     assert_eq!(rollouts.get("s").expect("one").at, 5);
     assert_eq!(rollouts.revision(), 5);
 }
@@ -98,26 +98,26 @@
 #[test]
 fn a_late_repetition_does_not_start_what_was_rolled_back_but_a_new_order_does() {
     let mut rollouts = Rollouts::default();
-    rollouts.order(5, order("v2", false));
-    rollouts.step(6, &step(5, Stage::RolledBack));
-    assert_eq!(rollouts.order(7, order("v2", true)), RolloutVerdict::Taken);
+    rollouts.apply_order(5, order("v2", false));
+    rollouts.apply_step(6, &step(5, Stage::RolledBack));
+    assert_eq!(rollouts.apply_order(7, order("v2", true)), RolloutVerdict::Taken);
     assert_eq!(rollouts.get("s").expect("one").stage, Stage::RolledBack);
-    assert_eq!(rollouts.order(8, order("v2", false)), RolloutVerdict::Taken);
+    assert_eq!(rollouts.apply_order(8, order("v2", false)), RolloutVerdict::Taken);
     assert_eq!(rollouts.get("s").expect("one").stage, Stage::Part(50));
     // A stage of the roll-out before is void.
-    rollouts.step(9, &step(5, Stage::Completed));
+    rollouts.apply_step(9, &step(5, Stage::Completed));
     assert_eq!(rollouts.get("s").expect("one").stage, Stage::Part(50));
 }
 
 #[test]
 fn stages_only_go_forward_and_none_follows_the_end() {
     let mut rollouts = Rollouts::default();
-    rollouts.order(5, order("v2", false));
-    rollouts.step(6, &step(5, Stage::Part(125)));
-    rollouts.step(7, &step(5, Stage::Part(50)));
+    rollouts.apply_order(5, order("v2", false));
+    rollouts.apply_step(6, &step(5, Stage::Part(125)));
+    rollouts.apply_step(7, &step(5, Stage::Part(50)));
     assert_eq!(rollouts.get("s").expect("one").stage, Stage::Part(125));
-    rollouts.step(8, &step(5, Stage::Completed));
-    rollouts.step(9, &step(5, Stage::RolledBack));
+    rollouts.apply_step(8, &step(5, Stage::Completed));
+    rollouts.apply_step(9, &step(5, Stage::RolledBack));
     assert_eq!(rollouts.get("s").expect("one").stage, Stage::Completed);
     assert_eq!(rollouts.revision(), 8);
 }
--- a/tests/poison/board.rs
+++ b/tests/poison/board.rs
@@ -4,7 +4,8 @@
 use std::time::Duration;
 
 use latchmount::poison::{
-    Board, EndReport, Fingerprint, Identity, Origin, Report, Reporter, Rule, Suspect, Verdict,
+    CrashReport, Fingerprint, Identity, Origin, PoisonTracker, Report, Reporter, Rule, Suspect,
+    Verdict,
 };
 use rand::rngs::StdRng;
 use rand::seq::SliceRandom;
@@ -27,29 +28,29 @@
     Reporter::of(&format!("g-{number}"))
 }
 
-fn member() -> Board {
-    Board::new(Rule::default(), None)
+fn member() -> PoisonTracker {
+    PoisonTracker::new(Rule::default(), None)
 }
 
 fn end(suspect: &Suspect, target: u64, by: u32, ago: Duration) -> Report {
     let ago_ms = ago.as_millis() as u64;
-    let ends = vec![EndReport { target, by: gateway(by), ago_ms }];
-    Report { suspect: suspect.clone(), ends, settled_ago_ms: None }
+    let ends = vec![CrashReport { target, by: gateway(by), ago_ms }];
+    Report { suspect: suspect.clone(), crashes: ends, cleared_ago_ms: None }
 }
 
 fn settled(suspect: &Suspect, ago: Duration) -> Report {
-    let settled_ago_ms = Some(ago.as_millis() as u64);
-    Report { suspect: suspect.clone(), ends: Vec::new(), settled_ago_ms }
+    let cleared_ago_ms = Some(ago.as_millis() as u64);
+    Report { suspect: suspect.clone(), crashes: Vec::new(), cleared_ago_ms }
 }
 
-fn verdict(board: &Board, now: Duration, suspect: &Suspect) -> Verdict {
+fn verdict(board: &PoisonTracker, now: Duration, suspect: &Suspect) -> Verdict {
     board.verdict(now, suspect.fingerprint, GATEWAYS)
 }
 
 /// Three ends on the word of several gateways.
-fn blocked_at(board: &mut Board, now: Duration, suspect: &Suspect) {
+fn blocked_at(board: &mut PoisonTracker, now: Duration, suspect: &Suspect) {
     for target in 0..3 {
-        board.take(now, Origin::Here, end(suspect, target, target as u32 % 2, Duration::ZERO));
+        board.apply(now, Origin::Local, end(suspect, target, target as u32 % 2, Duration::ZERO));
     }
     assert_eq!(verdict(board, now, suspect), Verdict::Blocked);
 }
@@ -59,12 +60,12 @@
     let (mut board, request) = (member(), suspect("t", "x"));
     let now = seconds(100);
     for by in 0..4 {
-        board.take(now, Origin::Here, end(&request, 7, by, Duration::ZERO));
+        board.apply(now, Origin::Local, end(&request, 7, by, Duration::ZERO));
         assert_eq!(verdict(&board, now, &request), Verdict::Watched);
     }
-    board.take(now, Origin::Here, end(&request, 8, 1, Duration::ZERO));
+    board.apply(now, Origin::Local, end(&request, 8, 1, Duration::ZERO));
     assert_eq!(verdict(&board, now, &request), Verdict::Watched);
-    board.take(now, Origin::Here, end(&request, 9, 1, Duration::ZERO));
+    board.apply(now, Origin::Local, end(&request, 9, 1, Duration::ZERO));
     assert_eq!(verdict(&board, now, &request), Verdict::Blocked);
     for other in [suspect("u", "x"), suspect("t", "y")] {
         assert_eq!(verdict(&board, now, &other), Verdict::Free, "another request");
@@ -75,12 +76,12 @@
 fn a_request_that_ends_well_is_cleared_and_older_ends_count_no_more() {
     let (mut board, request) = (member(), suspect("t", "x"));
     blocked_at(&mut board, seconds(100), &request);
-    board.take(seconds(102), Origin::Here, settled(&request, Duration::ZERO));
+    board.apply(seconds(102), Origin::Local, settled(&request, Duration::ZERO));
     assert_eq!(verdict(&board, seconds(102), &request), Verdict::Free);
     // A word of an end before that came late.
-    board.take(seconds(103), Origin::Here, end(&request, 4, 2, seconds(2)));
+    board.apply(seconds(103), Origin::Local, end(&request, 4, 2, seconds(2)));
     assert_eq!(verdict(&board, seconds(103), &request), Verdict::Free);
-    board.take(seconds(103), Origin::Here, end(&request, 5, 2, Duration::ZERO));
+    board.apply(seconds(103), Origin::Local, end(&request, 5, 2, Duration::ZERO));
     assert_eq!(verdict(&board, seconds(103), &request), Verdict::Watched);
 }
 
@@ -88,21 +89,21 @@
 #[test]
 fn the_word_of_one_gateway_alone_blocks_few_requests_elsewhere_and_any_at_itself() {
     let now = seconds(100);
-    let mut own = Board::new(Rule::default(), Some(gateway(0)));
-    let mut others = Board::new(Rule::default(), Some(gateway(1)));
+    let mut own = PoisonTracker::new(Rule::default(), Some(gateway(0)));
+    let mut others = PoisonTracker::new(Rule::default(), Some(gateway(1)));
     let requests: Vec<Suspect> = (0..50).map(|n| suspect("t", &format!("{n}"))).collect();
     for request in &requests {
         for target in 0..3 {
             let word = end(request, target, 0, Duration::ZERO);
-            own.take(now, Origin::Here, word.clone());
-            others.take(now, Origin::Elsewhere, word);
+            own.apply(now, Origin::Local, word.clone());
+            others.apply(now, Origin::Relayed, word);
         }
     }
     assert_eq!(own.blocked_len(), 50);
     assert_eq!(others.blocked_len(), 4);
     // A second gateway saw one of them end a target too.
     let last = requests.last().expect("one");
-    others.take(now, Origin::Elsewhere, end(last, 9, 2, Duration::ZERO));
+    others.apply(now, Origin::Relayed, end(last, 9, 2, Duration::ZERO));
     assert_eq!(verdict(&others, now, last), Verdict::Blocked);
 }
 
@@ -110,10 +111,11 @@
 fn a_block_ends_with_a_trial_of_one_gateway_at_a_time() {
     let request = suspect("t", "x");
     let at = seconds(100);
-    let over = at + Rule::default().blocked_for;
+    let over = at + Rule::default().block_duration;
     let gateways = 200;
-    let mut boards: Vec<Board> =
-        (0..gateways).map(|number| Board::new(Rule::default(), Some(gateway(number)))).collect();
+    let mut boards: Vec<PoisonTracker> = (0..gateways)
+        .map(|number| PoisonTracker::new(Rule::default(), Some(gateway(number))))
+        .collect();
     let mut first_trials = Vec::new();
     for board in &mut boards {
         blocked_at(board, at, &request);
@@ -121,7 +123,7 @@
             .map(|step| over + Duration::from_millis(step * 500))
             .find(|now| board.verdict(*now, request.fingerprint, gateways) == Verdict::Trial);
         let trial_at = trial_at.expect("a turn within the spread");
-        board.note_trial(trial_at, request.fingerprint);
+        board.record_trial(trial_at, request.fingerprint);
         let again = board.verdict(trial_at + seconds(5), request.fingerprint, gateways);
         assert_eq!(again, Verdict::Blocked, "no second trial beside the first");
         first_trials.push(trial_at);
@@ -135,13 +137,13 @@
 #[test]
 fn a_trial_that_ends_a_target_blocks_again_and_one_that_ends_well_frees() {
     let request = suspect("t", "x");
-    let over = seconds(100) + Rule::default().blocked_for + seconds(100);
+    let over = seconds(100) + Rule::default().block_duration + seconds(100);
     let mut board = member();
     blocked_at(&mut board, seconds(100), &request);
     assert_eq!(verdict(&board, over, &request), Verdict::Trial);
-    board.take(over, Origin::Here, end(&request, 77, 3, Duration::ZERO));
+    board.apply(over, Origin::Local, end(&request, 77, 3, Duration::ZERO));
     assert_eq!(verdict(&board, over, &request), Verdict::Blocked);
-    board.note_ended_well(over + seconds(1), request.fingerprint);
+    board.record_success(over + seconds(1), request.fingerprint);
     assert_eq!(verdict(&board, over + seconds(1), &request), Verdict::Free);
 }
 
@@ -150,28 +152,28 @@
     let mut board = member();
     let request = suspect("t", "x");
     blocked_at(&mut board, seconds(100), &request);
-    let later = seconds(100) + Rule::default().remembered_for + seconds(1);
-    board.take(later, Origin::Here, end(&suspect("t", "y"), 1, 1, Duration::ZERO));
+    let later = seconds(100) + Rule::default().retention + seconds(1);
+    board.apply(later, Origin::Local, end(&suspect("t", "y"), 1, 1, Duration::ZERO));
     assert_eq!((board.len(), verdict(&board, later, &request)), (1, Verdict::Free));
 }
 
 /// Memory is bounded by team and in all, and what has most ends stays.
 #[test]
 fn records_are_bounded_and_the_weakest_go_first() {
-    let rule = Rule { most: 400, most_of_team: 100, ..Rule::default() };
-    let mut board = Board::new(rule, None);
+    let rule = Rule { max_records: 400, max_records_per_team: 100, ..Rule::default() };
+    let mut board = PoisonTracker::new(rule, None);
     let bad = suspect("flood", "bad");
     blocked_at(&mut board, seconds(1), &bad);
     for number in 0..5_000_u64 {
         let team = if number % 2 == 0 { "flood".to_owned() } else { format!("t-{}", number % 50) };
         let request = suspect(&team, &format!("{number}"));
         let now = seconds(2) + Duration::from_millis(number);
-        board.take(now, Origin::Here, end(&request, number, 1, Duration::ZERO));
+        board.apply(now, Origin::Local, end(&request, number, 1, Duration::ZERO));
         assert!(board.len() <= 400);
     }
     assert_eq!(verdict(&board, seconds(10), &bad), Verdict::Blocked);
     assert!(board.take_dropped() > 4_000);
-    let (word, _) = board.news_from_here(seconds(10), 0);
+    let (word, _) = board.local_updates(seconds(10), 0);
     assert!(word.len() <= 64);
 }
 
@@ -185,11 +187,11 @@
 impl Naive {
     fn take(&mut self, at_ms: u64, report: &Report) {
         let fingerprint = report.suspect.fingerprint;
-        for end in &report.ends {
+        for end in &report.crashes {
             let ends = self.ends.entry(fingerprint).or_default();
             ends.entry(end.target).or_insert((at_ms, end.by));
         }
-        if report.settled_ago_ms.is_some() {
+        if report.cleared_ago_ms.is_some() {
             let settled = self.settled.entry(fingerprint).or_default();
             *settled = at_ms.max(*settled);
         }
@@ -233,9 +235,9 @@
             for (at_ms, word) in twice {
                 let ago = heard_at - at_ms;
                 let mut word = word.clone();
-                word.ends.iter_mut().for_each(|end| end.ago_ms = ago);
-                word.settled_ago_ms = word.settled_ago_ms.map(|_| ago);
-                board.take(Duration::from_millis(heard_at), Origin::Elsewhere, word);
+                word.crashes.iter_mut().for_each(|end| end.ago_ms = ago);
+                word.cleared_ago_ms = word.cleared_ago_ms.map(|_| ago);
+                board.apply(Duration::from_millis(heard_at), Origin::Relayed, word);
             }
             boards.push(board);
         }
@@ -261,19 +263,23 @@
 /// Whoever asks again and again comes to an end, also where what changed last was dropped for want of room.
 #[test]
 fn readers_come_to_the_newest_change_whatever_was_dropped() {
-    let rule = Rule { most: 8, ..Rule::default() };
-    let mut board = Board::new(rule, None);
+    let rule = Rule { max_records: 8, ..Rule::default() };
+    let mut board = PoisonTracker::new(rule, None);
     for number in 0..500_u64 {
         let request = suspect("t", &format!("{number}"));
         let now = seconds(1) + Duration::from_millis(number);
         for target in 0..number % 4 {
             let by = (target % 2) as u32;
-            board.take(now, Origin::Here, end(&request, 10 * number + target, by, Duration::ZERO));
+            board.apply(
+                now,
+                Origin::Local,
+                end(&request, 10 * number + target, by, Duration::ZERO),
+            );
         }
-        let newest = board.newest_for_gateways();
+        let newest = board.newest_gateway_change();
         let (mut known, mut rounds) = (0, 0);
         while known < newest {
-            known = board.news_for_gateways(now, known).1;
+            known = board.gateway_updates(now, known).1;
             rounds += 1;
             assert!(rounds < 3, "change {newest} is waited for");
         }
--- a/tests/poison/identity.rs
+++ b/tests/poison/identity.rs
@@ -1,6 +1,6 @@
 //! What makes two tries the same request.
 
-use latchmount::poison::{Fingerprint, Identity, NotAFingerprint};
+use latchmount::poison::{Fingerprint, Identity, InvalidFingerprint};
 use proptest::prelude::*;
 
 fn identity<'a>(
@@ -26,7 +26,7 @@
     for (at, one) in requests.iter().enumerate() {
         for other in &requests[at + 1..] {
             assert_ne!(one.fingerprint(), other.fingerprint(), "{one:?} {other:?}");
-            assert_ne!(one.outline(), other.outline(), "{one:?} {other:?}");
+            assert_ne!(one.quick_hash(), other.quick_hash(), "{one:?} {other:?}");
         }
     }
 }
@@ -35,7 +35,7 @@
 fn bodies_of_one_length_share_an_outline_and_no_fingerprint() {
     let one = identity(Some("a"), "h", "/p", "body-1");
     let other = identity(Some("a"), "h", "/p", "body-2");
-    assert_eq!(one.outline(), other.outline());
+    assert_eq!(one.quick_hash(), other.quick_hash());
     assert_ne!(one.fingerprint(), other.fingerprint());
 }
 
@@ -51,6 +51,6 @@
         let digits = text.len() == 32 && text.bytes().all(|digit| digit.is_ascii_hexdigit());
         let read = text.parse::<Fingerprint>();
         prop_assert_eq!(read.is_ok(), digits);
-        prop_assert!(digits || read == Err(NotAFingerprint));
+        prop_assert!(digits || read == Err(InvalidFingerprint));
     }
 }
--- a/tests/poison/model.rs
+++ b/tests/poison/model.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use latchmount::poison::{
-    Board, Fingerprint, Identity, Origin, Report, Reporter, Rule, Suspect, Verdict,
+    Fingerprint, Identity, Origin, PoisonTracker, Report, Reporter, Rule, Suspect, Verdict,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -136,8 +136,8 @@
     queue: BinaryHeap<Reverse<(u64, u64)>>,
     events: HashMap<u64, Event>,
     next: u64,
-    boards: Vec<Board>,
-    members: Vec<Board>,
+    boards: Vec<PoisonTracker>,
+    members: Vec<PoisonTracker>,
     told: Vec<u64>,
     told_members: Vec<u64>,
     told_gateways: Vec<u64>,
@@ -161,7 +161,8 @@
     pub fn play(scene: Scene, way: Way, seed: u64) -> Figures {
         let mut rng = StdRng::seed_from_u64(seed);
         let late = (0..scene.gateways).map(|_| rng.random_bool(scene.late)).collect();
-        let board = |at: usize| Board::new(way.rule, Some(Reporter::of(&format!("g-{at}"))));
+        let board =
+            |at: usize| PoisonTracker::new(way.rule, Some(Reporter::of(&format!("g-{at}"))));
         let mut model = Model {
             scene,
             way,
@@ -171,7 +172,7 @@
             events: HashMap::new(),
             next: 0,
             boards: (0..scene.gateways).map(board).collect(),
-            members: (0..MEMBERS).map(|_| Board::new(way.rule, None)).collect(),
+            members: (0..MEMBERS).map(|_| PoisonTracker::new(way.rule, None)).collect(),
             told: vec![0; scene.gateways],
             told_members: vec![0; MEMBERS],
             told_gateways: vec![0; scene.gateways],
@@ -306,7 +307,7 @@
         self.runs.remove(&id);
         self.at[run.target].remove(&id);
         let now = self.clock();
-        self.boards[run.gateway].note_ended_well(now, run.request.suspect.fingerprint);
+        self.boards[run.gateway].record_success(now, run.request.suspect.fingerprint);
         self.tell(run.gateway);
     }
 
@@ -336,7 +337,7 @@
     fn found(&mut self, gateway: usize, run: Run, key: u64) {
         let by = Reporter::of(&format!("g-{gateway}"));
         let now = self.clock();
-        self.boards[gateway].note_end(now, run.request.suspect.clone(), key, by);
+        self.boards[gateway].record_crash(now, run.request.suspect.clone(), key, by);
         self.note_known(gateway);
         self.tell(gateway);
         if run.request.resumable && run.sends < ATTEMPTS {
@@ -363,7 +364,7 @@
 
     /// A gateway tells its member what is new.
     fn tell(&mut self, gateway: usize) {
-        let (word, upto) = self.boards[gateway].news_from_here(self.clock(), self.told[gateway]);
+        let (word, upto) = self.boards[gateway].local_updates(self.clock(), self.told[gateway]);
         if word.is_empty() {
             return;
         }
@@ -379,17 +380,17 @@
         match to {
             Node::Gateway(gateway) => {
                 for report in reports {
-                    self.boards[gateway].take(now, Origin::Elsewhere, report);
+                    self.boards[gateway].apply(now, Origin::Relayed, report);
                 }
                 self.note_known(gateway);
             }
             Node::Member(member) => {
                 let origin = match from {
-                    Node::Gateway(_) => Origin::Here,
-                    Node::Member(_) => Origin::Elsewhere,
+                    Node::Gateway(_) => Origin::Local,
+                    Node::Member(_) => Origin::Relayed,
                 };
                 for report in reports {
-                    self.members[member].take(now, origin, report);
+                    self.members[member].apply(now, origin, report);
                 }
                 self.pass_on(member);
             }
@@ -400,7 +401,7 @@
     fn pass_on(&mut self, member: usize) {
         let now = self.clock();
         let known = self.told_members[member];
-        let (word, upto) = self.members[member].news_from_here(now, known);
+        let (word, upto) = self.members[member].local_updates(now, known);
         if !word.is_empty() {
             self.told_members[member] = upto;
             for other in (0..MEMBERS).filter(|other| *other != member) {
@@ -412,7 +413,7 @@
         }
         for gateway in (member..self.scene.gateways).step_by(MEMBERS) {
             let known = self.told_gateways[gateway];
-            let (word, upto) = self.members[member].news_for_gateways(now, known);
+            let (word, upto) = self.members[member].gateway_updates(now, known);
             if word.is_empty() {
                 continue;
             }
--- a/tests/rollout/judging.rs
+++ b/tests/rollout/judging.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use latchmount::rollout::Stage;
-use latchmount::rollout::division::{Mix, RouteShare};
 use latchmount::rollout::judge::{judge, proven_healthy, suspected};
-use latchmount::rollout::steps::{Progress, Why, next};
+use latchmount::rollout::route_mix::{RouteMix, RouteShare};
+use latchmount::rollout::steps::{Progress, StepReason, next_step};
 use latchmount::rollout::tally::{Compared, Outcomes, RouteKey, Side, Subject, Tallies};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -305,12 +305,13 @@
             route: key(at),
             share: (weight / all) as f32,
         };
-        let mix = Mix(weights.iter().enumerate().map(share).collect());
+        let mix = RouteMix(weights.iter().enumerate().map(share).collect());
         let part = rng.random_range(0.005..0.6);
-        let given = |(at, weight): (usize, &f64)| mix.part(key(at), part) * weight / all;
+        let given =
+            |(at, weight): (usize, &f64)| mix.fraction_of_route(key(at), part) * weight / all;
         let sum: f64 = weights.iter().enumerate().map(given).sum();
         assert!(sum <= part + 1e-6, "{sum} of {part}, {weights:?}");
-        assert_eq!(mix.part(RouteKey::of("unseen"), part), part);
+        assert_eq!(mix.fraction_of_route(RouteKey::of("unseen"), part), part);
     }
 }
 
@@ -395,15 +396,15 @@
     let mut all = Tallies::default();
     for route in 0..1_000 {
         let mut word = Tallies::default();
-        word.note_failed(subject(route, Side::New));
-        word.note_answered(subject(route, Side::Old), Duration::from_millis(20));
+        word.record_failure(subject(route, Side::New));
+        word.record_answer(subject(route, Side::Old), Duration::from_millis(20));
         all.add(&word);
     }
-    let by_route = all.of_rollout(7);
+    let by_route = all.by_route(7);
     assert!(by_route.len() <= 64);
     let first = &by_route[&RouteKey::of("0")];
     assert_eq!((first.new.failed, first.old.count()), (1, 1));
-    assert!(all.of_rollout(8).is_empty());
+    assert!(all.by_route(8).is_empty());
     all.keep_only(&[8]);
     assert!(all.is_empty());
 }
@@ -482,11 +483,11 @@
             answers_before: 0,
             old_in_flight: 0,
         };
-        next(&progress).map(|step| (step.stage, step.why))
+        next_step(&progress).map(|step| (step.stage, step.why))
     };
-    assert_eq!(next_at(0.6, false), Some((Stage::Part(175), Why::NoWorse)));
+    assert_eq!(next_at(0.6, false), Some((Stage::Part(175), StepReason::NoWorse)));
     assert_eq!(next_at(0.6, true), None);
-    assert_eq!(next_at(0.91, true), Some((Stage::RolledBack, Why::Unproven)));
+    assert_eq!(next_at(0.91, true), Some((Stage::RolledBack, StepReason::Unproven)));
 }
 
 #[test]
@@ -496,7 +497,7 @@
         assert_eq!(tallies.full(), route >= 32, "{route} routes");
         for side in [Side::Old, Side::New] {
             let route = RouteKey::of(&route.to_string());
-            tallies.note_failed(Subject { rollout: 7, route, side });
+            tallies.record_failure(Subject { rollout: 7, route, side });
         }
     }
     assert!(tallies.rollouts().all(|rollout| rollout == 7));
--- a/tests/rollout/stage.rs
+++ b/tests/rollout/stage.rs
@@ -5,7 +5,7 @@
 
 use latchmount::gateway::versions::trial_size;
 use latchmount::rollout::Stage;
-use latchmount::rollout::division::Mix;
+use latchmount::rollout::route_mix::RouteMix;
 use latchmount::rollout::steps::Progress;
 use latchmount::rollout::tally::{Compared, History, RouteKey};
 use rand::RngExt;
@@ -103,14 +103,14 @@
 #[derive(Clone, Debug)]
 struct Obeyed {
     stage: Stage,
-    mix: Mix,
+    mix: RouteMix,
 }
 
 impl Obeyed {
     /// Part of a route's requests that the new version gets.
     fn part(&self, way: Way, route: usize) -> f64 {
         match way.divides() {
-            true => self.mix.part(route_key(route), self.stage.share()),
+            true => self.mix.fraction_of_route(route_key(route), self.stage.share()),
             false => self.stage.share(),
         }
     }
@@ -139,7 +139,7 @@
         let mut on_their_way = OnTheirWay::new();
         let mut mixes = VecDeque::new();
         let mut stage = Stage::Part(TRIAL_PERMILLE);
-        let mut obeyed = Obeyed { stage, mix: Mix::default() };
+        let mut obeyed = Obeyed { stage, mix: RouteMix::default() };
         let (mut stage_since, mut answers_before) = (Duration::ZERO, 0);
         let (mut exposed, mut total) = (0.0, 0.0);
         let mut over_at = None;
--- a/tests/rollout/ways.rs
+++ b/tests/rollout/ways.rs
@@ -1,7 +1,7 @@
 //! Ways of judging a new version: the one that is kept, fixed thresholds, and by all outcomes at the end.
 
 use latchmount::rollout::Stage;
-use latchmount::rollout::steps::{Progress, next};
+use latchmount::rollout::steps::{Progress, next_step};
 use latchmount::rollout::tally::Compared;
 
 /// A way to judge.
@@ -29,14 +29,14 @@
         let bad =
             || progress.routes.iter().map(|slices| sum(slices)).any(|all| over_threshold(&all));
         match self {
-            Way::Deviations | Way::SamePart => next(progress).map(|step| step.stage),
+            Way::Deviations | Way::SamePart => next_step(progress).map(|step| step.stage),
             Way::Thresholds if progress.stage.under_way() && bad() => Some(Stage::RolledBack),
             Way::Thresholds => {
                 // Only when to take a stage, not the verdict.
                 let routes = progress.routes.iter();
                 let healthy: Vec<Vec<Compared>> =
                     routes.map(|slices| slices.iter().map(as_if_well).collect()).collect();
-                next(&Progress { routes: &healthy, ..*progress }).map(|step| step.stage)
+                next_step(&Progress { routes: &healthy, ..*progress }).map(|step| step.stage)
             }
             Way::AtTheEnd => at_the_end(progress, bad),
         }
