--- a/src/group/rollout.rs
+++ b/src/group/rollout.rs
@@ -129,7 +129,7 @@
         self.unjudged.retain(|at| under_way.contains(at));
         for at in under_way {
             let total = self.total(at);
-            self.histories.entry(at).or_default().note(now, &total);
+            self.histories.entry(at).or_default().record(now, &total);
         }
         let mix =
             |(at, history): (&Revision, &History)| RolloutMix { rollout: *at, mix: history.mix() };
@@ -181,7 +181,7 @@
 
     /// Number of answers of the new version of a roll-out, on all routes.
     fn answers(&self, at: Revision) -> u32 {
-        self.total(at).values().map(|route| route.new.times.count()).sum()
+        self.total(at).values().map(|route| route.new.latencies.count()).sum()
     }
 }
 
--- a/src/rollout/judge.rs
+++ b/src/rollout/judge.rs
@@ -1,76 +1,76 @@
-//! Whether a new version does worse than the old one, from outcomes on each route.
+//! Judges from the outcomes on each route whether a new version does worse than the old one.
 //!
-//! Both versions are compared route by route, since some faults show on one only, and over all routes, since few
-//! outcomes of each may add up; and slice of time by slice of time, since the new version gets more of the later
-//! requests, so that trouble of both would look like its own. A version is bad when its failures, or its answers that
-//! took far longer than is usual for the old one, are more than chance explains.
+//! The versions are compared on each route, since some faults show on one route only, and over all routes together,
+//! since few outcomes of each may add up. They are also compared within slices of time: the new version gets more of the
+//! later requests, so trouble of both versions would otherwise look like its own. A version is bad if it has more
+//! failures, or more answers that take much longer than is usual for the old one, than chance explains.
 
-use super::tally::{Compared, Times};
+use super::tally::{Compared, LatencyHistogram};
 
-/// Rate of failures or slow answers that is taken as usual at least: the old version may have had none by luck.
-const LEAST_USUAL: f64 = 0.02;
-/// What proves that a version is worse: single failures prove nothing, and the test is made several times a second on
-/// every route.
-const PROOF: Margin = Margin { beyond: 2.5, deviations: 4.5 };
-/// What hints at it.
-const HINT: Margin = Margin { beyond: 0.5, deviations: 3.5 };
-/// Part of its answers that the mildest fault to be found fails beyond the usual.
-const MILDEST_FAULT: f64 = 0.25;
-/// Largest rate of failures that is taken as usual where health is to be proven, so that such a fault still shows.
-const MOST_USUAL: f64 = 0.65;
-/// Chance that a version with such a fault passes for healthy on a route.
-const MISS: f64 = 0.001;
-/// Part of the old version's answers within which a time is usual.
-const USUAL_PART: f64 = 0.75;
-/// Buckets of times beyond that from which an answer is slow: twice as long.
-const SLOWER_BY: usize = 2;
-/// Outcomes of the old version without which a slice does not tell what is usual.
-const LEAST_OLD: u32 = 10;
-/// Outcomes that the rate over all slices counts for in that of one.
-const PRIOR: f64 = 5.0;
-/// Where the old version has no outcomes to compare with, this is added to the rate that it had last: only what is far
-/// worse counts there.
-const ALONE: f64 = 0.1;
-/// Slices that are judged by themselves as well, so that a fault that begins late shows soon.
-const RECENT: usize = 3;
+/// Minimum baseline rate of failures or slow answers, since the old version may have had none by chance.
+const MIN_BASELINE_RATE: f64 = 0.02;
+/// Margin above the baseline that proves a version worse. It is wide because single failures prove nothing, and because
+/// the test is repeated several times a second on every route.
+const PROOF_MARGIN: Margin = Margin { outcomes: 2.5, deviations: 4.5 };
+/// Margin above the baseline that makes a version suspected.
+const SUSPICION_MARGIN: Margin = Margin { outcomes: 0.5, deviations: 3.5 };
+/// Rate of failures above the baseline that the mildest fault to be detected causes.
+const MIN_FAULT_RATE: f64 = 0.25;
+/// Maximum baseline rate when health is to be proven, so that a fault of [`MIN_FAULT_RATE`] remains detectable.
+const MAX_BASELINE_RATE: f64 = 0.65;
+/// Probability that a version with the mildest fault is judged healthy on a route.
+const MISS_PROBABILITY: f64 = 0.001;
+/// Quantile of the old version's latencies up to which an answer is not slow.
+const USUAL_QUANTILE: f64 = 0.75;
+/// Number of latency buckets above that quantile from which an answer is slow: it takes twice as long.
+const SLOW_BUCKETS: usize = 2;
+/// Minimum number of outcomes of the old version for a slice to have a baseline of its own.
+const MIN_OLD_OUTCOMES: u32 = 10;
+/// Weight of the rate over all slices in the baseline of one slice, as a number of outcomes.
+const PRIOR_OUTCOMES: f64 = 5.0;
+/// Added to the last known baseline rate in slices where the old version has too few outcomes, so that only a far worse
+/// rate counts there.
+const NO_BASELINE_ALLOWANCE: f64 = 0.1;
+/// Number of latest slices that are also judged on their own, so that a fault that begins late is detected soon.
+const RECENT_SLICES: usize = 3;
 
-/// How far beyond the usual something must lie.
+/// How far a number of outcomes must exceed the expected one.
 #[derive(Clone, Copy, Debug)]
 struct Margin {
-    /// Outcomes.
-    beyond: f64,
-    /// Standard deviations, besides.
+    /// Number of outcomes.
+    outcomes: f64,
+    /// Standard deviations, added to `outcomes`.
     deviations: f64,
 }
 
-/// What shows that a version is bad.
+/// Evidence that a version is worse.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fault {
-    /// What it does worse.
+    /// In what it is worse.
     pub kind: FaultKind,
-    /// Outcomes of that kind.
+    /// Number of its outcomes of that kind.
     pub seen: u32,
-    /// Outcomes in all.
+    /// Number of all its outcomes.
     pub of: u32,
-    /// Outcomes of that kind that are usual among so many.
+    /// Expected number of outcomes of that kind at the baseline rate.
     pub usual: f64,
 }
 
-/// What a bad version does worse.
+/// In what a version is worse.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultKind {
-    /// It fails.
+    /// It fails more often.
     Fails,
-    /// It answers late.
+    /// It answers slowly more often.
     Slow,
 }
 
-/// Judges one route by its slices; `None` where nothing shows that the new version is worse.
+/// Judges one route by its slices; `None` if nothing proves that the new version is worse.
 pub fn judge(slices: &[Compared]) -> Option<Fault> {
-    fails(slices).or_else(|| worse(FaultKind::Slow, &slow(slices)))
+    judge_failures(slices).or_else(|| proven_worse(FaultKind::Slow, &slow(slices)))
 }
 
-/// Judges every route, and all together.
+/// Judges each route, and then all routes together.
 pub fn judge_all(routes: &[Vec<Compared>]) -> Option<Fault> {
     if let Some(fault) = routes.iter().find_map(|slices| judge(slices)) {
         return Some(fault);
@@ -80,190 +80,205 @@
         all.resize(all.len().max(slices.len()), Compared::default());
         all.iter_mut().zip(slices).for_each(|(sum, slice)| sum.add(slice));
     }
-    // Times of different routes are not alike, and the versions get different mixes of them.
-    fails(&all)
+    // Latencies are not compared here: they differ between routes, and the versions get different mixes of routes.
+    judge_failures(&all)
 }
 
-/// Whether one route alone hints at a fault that is not proved yet: more is to be seen before the version gets more.
+/// Whether the outcomes on one route make a fault likely without proving it. The new version then gets no more requests
+/// until there is more evidence.
 pub fn suspected(slices: &[Compared]) -> bool {
-    let hints = |shares: &[Shares]| {
-        beyond_chance(FaultKind::Fails, HINT, shares, &usual_rates(shares, ALONE)).is_some()
+    let suspect = |pairs: &[RatioPair]| {
+        beyond_chance(
+            FaultKind::Fails,
+            SUSPICION_MARGIN,
+            pairs,
+            &baseline_rates(pairs, NO_BASELINE_ALLOWANCE),
+        )
+        .is_some()
     };
-    hints(&failures(slices)) || hints(&slow(slices))
+    suspect(&failures(slices)) || suspect(&slow(slices))
 }
 
-/// Whether the outcomes of one route prove that the new version is healthy there: under the usual rates they are so much
-/// likelier than under the mildest fault to be found (Wald's sequential probability ratio test).
+/// Whether the outcomes on one route prove that the new version is healthy there: they are sufficiently more likely at the
+/// baseline rates than with the mildest fault to be detected (Wald's sequential probability ratio test).
 pub fn proven_healthy(slices: &[Compared]) -> bool {
-    let enough = -MISS.ln();
-    health_evidence(&failures(slices)) >= enough && health_evidence(&slow(slices)) >= enough
+    let threshold = -MISS_PROBABILITY.ln();
+    health_evidence(&failures(slices)) >= threshold && health_evidence(&slow(slices)) >= threshold
 }
 
-/// Logarithm of how much likelier the new version's outcomes are if it is healthy than with the mildest fault.
-fn health_evidence(slices: &[Shares]) -> f64 {
-    // Where the old version has no outcomes to compare with, a higher rate would excuse failures.
-    let rates = usual_rates(slices, 0.0);
+/// Log-likelihood ratio of the new version's outcomes: healthy against the mildest fault.
+fn health_evidence(slices: &[RatioPair]) -> f64 {
+    // No allowance here: where the old version has too few outcomes, a higher baseline would excuse failures.
+    let rates = baseline_rates(slices, 0.0);
     let evidence = slices.iter().zip(rates).map(|(slice, rate)| {
-        let usual = rate.clamp(LEAST_USUAL, MOST_USUAL);
-        let faulty = usual + MILDEST_FAULT;
-        let of_kind = f64::from(slice.new.seen);
-        let others = f64::from(slice.new.of.saturating_sub(slice.new.seen));
-        of_kind * (usual / faulty).ln() + others * ((1.0 - usual) / (1.0 - faulty)).ln()
+        let baseline = rate.clamp(MIN_BASELINE_RATE, MAX_BASELINE_RATE);
+        let faulty = baseline + MIN_FAULT_RATE;
+        let of_kind = f64::from(slice.new.of_kind);
+        let others = f64::from(slice.new.total.saturating_sub(slice.new.of_kind));
+        of_kind * (baseline / faulty).ln() + others * ((1.0 - baseline) / (1.0 - faulty)).ln()
     });
     evidence.sum()
 }
 
-/// How many outcomes of a kind there are among how many.
+/// Number of outcomes of one kind among all.
 #[derive(Clone, Copy, Debug, Default)]
-struct Share {
-    seen: u32,
-    of: u32,
+struct Ratio {
+    of_kind: u32,
+    total: u32,
 }
 
-impl Share {
+impl Ratio {
     fn rate(self) -> f64 {
-        f64::from(self.seen) / f64::from(self.of.max(1))
+        f64::from(self.of_kind) / f64::from(self.total.max(1))
     }
 }
 
-/// Shares of both versions in one slice.
+/// Ratios of both versions in one slice.
 #[derive(Clone, Copy, Debug, Default)]
-struct Shares {
-    old: Share,
-    new: Share,
+struct RatioPair {
+    old: Ratio,
+    new: Ratio,
 }
 
-impl Share {
-    fn add(&mut self, other: Share) {
-        self.seen = self.seen.saturating_add(other.seen);
-        self.of = self.of.saturating_add(other.of);
+impl Ratio {
+    fn add(&mut self, other: Ratio) {
+        self.of_kind = self.of_kind.saturating_add(other.of_kind);
+        self.total = self.total.saturating_add(other.total);
     }
 }
 
-impl Shares {
-    fn add(&mut self, other: Shares) {
+impl RatioPair {
+    fn add(&mut self, other: RatioPair) {
         self.old.add(other.old);
         self.new.add(other.new);
     }
 }
 
-fn fails(slices: &[Compared]) -> Option<Fault> {
-    worse(FaultKind::Fails, &failures(slices))
+fn judge_failures(slices: &[Compared]) -> Option<Fault> {
+    proven_worse(FaultKind::Fails, &failures(slices))
 }
 
-fn failures(slices: &[Compared]) -> Vec<Shares> {
-    let share = |failed, of| Share { seen: failed, of };
-    let shares = slices.iter().map(|slice| Shares {
-        old: share(slice.old.failed, slice.old.count()),
-        new: share(slice.new.failed, slice.new.count()),
+/// The failures among all outcomes in each slice.
+fn failures(slices: &[Compared]) -> Vec<RatioPair> {
+    let ratio = |failed, total| Ratio { of_kind: failed, total };
+    let pairs = slices.iter().map(|slice| RatioPair {
+        old: ratio(slice.old.failed, slice.old.count()),
+        new: ratio(slice.new.failed, slice.new.count()),
     });
-    coalesced(shares)
+    merge_sparse(pairs)
 }
 
-/// Joins slices that follow each other until each tells what is usual: of a rare route single ones never would.
-fn coalesced(slices: impl Iterator<Item = Shares>) -> Vec<Shares> {
-    let mut joined: Vec<Shares> = Vec::new();
+/// Merges consecutive slices until each has enough outcomes of the old version for a baseline. On a rare route single
+/// slices never would.
+fn merge_sparse(slices: impl Iterator<Item = RatioPair>) -> Vec<RatioPair> {
+    let mut merged: Vec<RatioPair> = Vec::new();
     for slice in slices {
-        match joined.last_mut() {
-            Some(last) if last.old.of < LEAST_OLD => last.add(slice),
-            _ => joined.push(slice),
+        match merged.last_mut() {
+            Some(last) if last.old.total < MIN_OLD_OUTCOMES => last.add(slice),
+            _ => merged.push(slice),
         }
     }
-    if let [.., before, last] = joined.as_mut_slice()
-        && last.old.of < LEAST_OLD
+    if let [.., before, last] = merged.as_mut_slice()
+        && last.old.total < MIN_OLD_OUTCOMES
     {
         before.add(*last);
-        joined.pop();
+        merged.pop();
     }
-    joined
+    merged
 }
 
-fn slow(slices: &[Compared]) -> Vec<Shares> {
-    let mut all = Times::default();
-    slices.iter().for_each(|slice| all.add(&slice.old.times));
-    let shares = slices.iter().filter_map(|slice| {
-        let old = &slice.old.times;
-        let usual = if old.count() >= LEAST_OLD { old } else { &all };
-        let from = usual.quantile(USUAL_PART)? + 1 + SLOWER_BY;
-        let share = |times: &Times| Share { seen: times.from_bucket(from), of: times.count() };
-        Some(Shares { old: share(old), new: share(&slice.new.times) })
+/// The slow answers among all answers in each slice.
+fn slow(slices: &[Compared]) -> Vec<RatioPair> {
+    let mut all = LatencyHistogram::default();
+    slices.iter().for_each(|slice| all.add(&slice.old.latencies));
+    let pairs = slices.iter().filter_map(|slice| {
+        let old = &slice.old.latencies;
+        let baseline = if old.count() >= MIN_OLD_OUTCOMES { old } else { &all };
+        let from = baseline.quantile(USUAL_QUANTILE)? + 1 + SLOW_BUCKETS;
+        let ratio = |latencies: &LatencyHistogram| Ratio {
+            of_kind: latencies.from_bucket(from),
+            total: latencies.count(),
+        };
+        Some(RatioPair { old: ratio(old), new: ratio(&slice.new.latencies) })
     });
-    coalesced(shares)
+    merge_sparse(pairs)
 }
 
-fn worse(kind: FaultKind, slices: &[Shares]) -> Option<Fault> {
-    let rates = usual_rates(slices, ALONE);
-    let recent = slices.len().saturating_sub(RECENT);
-    beyond_chance(kind, PROOF, slices, &rates)
-        .or_else(|| beyond_chance(kind, PROOF, &slices[recent..], &rates[recent..]))
+/// Whether the new version is proven worse in one kind of outcome, over all slices or over the latest ones.
+fn proven_worse(kind: FaultKind, slices: &[RatioPair]) -> Option<Fault> {
+    let rates = baseline_rates(slices, NO_BASELINE_ALLOWANCE);
+    let recent = slices.len().saturating_sub(RECENT_SLICES);
+    beyond_chance(kind, PROOF_MARGIN, slices, &rates)
+        .or_else(|| beyond_chance(kind, PROOF_MARGIN, &slices[recent..], &rates[recent..]))
 }
 
-/// The rate that is usual in each slice; `alone` is added where the old version does not tell.
-fn usual_rates(slices: &[Shares], alone: f64) -> Vec<f64> {
-    let overall = overall(slices);
+/// The baseline rate in each slice. `allowance` is added where the old version has too few outcomes.
+fn baseline_rates(slices: &[RatioPair], allowance: f64) -> Vec<f64> {
+    let overall = overall_rate(slices);
     let mut last = overall;
     let rates = slices.iter().map(|slice| {
-        if slice.old.of < LEAST_OLD {
-            return last.max(overall) + alone;
+        if slice.old.total < MIN_OLD_OUTCOMES {
+            return last.max(overall) + allowance;
         }
         let old = slice.old;
-        last = (f64::from(old.seen) + PRIOR * overall) / (f64::from(old.of) + PRIOR);
+        last = (f64::from(old.of_kind) + PRIOR_OUTCOMES * overall)
+            / (f64::from(old.total) + PRIOR_OUTCOMES);
         last
     });
     rates.collect()
 }
 
 /// Rate of the old version over all slices.
-fn overall(slices: &[Shares]) -> f64 {
-    let sum = |sum: Share, slice: &Shares| Share {
-        seen: sum.seen.saturating_add(slice.old.seen),
-        of: sum.of.saturating_add(slice.old.of),
+fn overall_rate(slices: &[RatioPair]) -> f64 {
+    let sum = |sum: Ratio, slice: &RatioPair| Ratio {
+        of_kind: sum.of_kind.saturating_add(slice.old.of_kind),
+        total: sum.total.saturating_add(slice.old.total),
     };
-    slices.iter().fold(Share::default(), sum).rate()
+    slices.iter().fold(Ratio::default(), sum).rate()
 }
 
-/// Outcomes of a kind that are to be expected of the new version.
+/// Expected outcomes of one kind of the new version if it is as good as the old one.
 #[derive(Clone, Copy, Debug, Default)]
 struct Expected {
-    /// All its outcomes.
-    of: f64,
-    /// Those of the kind at the usual rates.
-    usual: f64,
+    /// Number of all its outcomes.
+    total: f64,
+    /// Expected number of the kind at the baseline rates.
+    mean: f64,
     variance: f64,
 }
 
 impl Expected {
-    /// Of these slices, with the rate that is usual in each.
-    fn of(slices: &[Shares], rates: &[f64]) -> Self {
+    /// The expectation for these slices, with the baseline rate of each.
+    fn of(slices: &[RatioPair], rates: &[f64]) -> Self {
         let mut expected = Expected::default();
         for (slice, rate) in slices.iter().zip(rates) {
-            let rate = rate.clamp(LEAST_USUAL, 1.0);
-            let of = f64::from(slice.new.of);
-            expected.of += of;
-            expected.usual += rate * of;
-            // The rate of the old version is itself known from some outcomes only.
-            let unsure = of * of / (f64::from(slice.old.of) + PRIOR);
-            expected.variance += rate * (1.0 - rate) * (of + unsure);
+            let rate = rate.clamp(MIN_BASELINE_RATE, 1.0);
+            let total = f64::from(slice.new.total);
+            expected.total += total;
+            expected.mean += rate * total;
+            // The baseline rate is itself estimated from a limited number of outcomes.
+            let uncertainty = total * total / (f64::from(slice.old.total) + PRIOR_OUTCOMES);
+            expected.variance += rate * (1.0 - rate) * (total + uncertainty);
         }
         expected
     }
 
-    /// Most that are within a margin.
-    fn most(self, margin: Margin) -> f64 {
-        self.usual + margin.beyond + margin.deviations * self.variance.sqrt()
+    /// Upper limit of the expected number with a margin.
+    fn upper_limit(self, margin: Margin) -> f64 {
+        self.mean + margin.outcomes + margin.deviations * self.variance.sqrt()
     }
 }
 
-/// Whether the new version has more outcomes of a kind than chance makes of the rates that are usual in each slice.
+/// Returns a fault if the new version has more outcomes of a kind than the baseline rates and the margin allow.
 fn beyond_chance(
     kind: FaultKind,
     margin: Margin,
-    slices: &[Shares],
+    slices: &[RatioPair],
     rates: &[f64],
 ) -> Option<Fault> {
     let expected = Expected::of(slices, rates);
-    let seen = slices.iter().fold(0, |sum: u32, slice| sum.saturating_add(slice.new.seen));
-    let of = slices.iter().fold(0, |sum: u32, slice| sum.saturating_add(slice.new.of));
-    let beyond = f64::from(seen) >= expected.most(margin);
-    beyond.then_some(Fault { kind, seen, of, usual: expected.usual })
+    let seen = slices.iter().fold(0, |sum: u32, slice| sum.saturating_add(slice.new.of_kind));
+    let of = slices.iter().fold(0, |sum: u32, slice| sum.saturating_add(slice.new.total));
+    let beyond = f64::from(seen) >= expected.upper_limit(margin);
+    beyond.then_some(Fault { kind, seen, of, usual: expected.mean })
 }
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -1,10 +1,11 @@
-//! Roll-outs: the traffic of a service moves to targets of another version, unless that version proves to be bad.
+//! Roll-outs: the traffic of a service is moved to targets of another version, unless that version proves to be worse.
 //!
-//! An operator's order stands in the log, and so does each stage of it. The leader takes the next stage by what all
-//! gateways saw of both versions ([`judge`]); gateways send the new version what its stage allows ([`Stage::share`]).
-//! That is a part of each gateway's own requests, so that the whole fleet keeps it whatever the number of gateways, and
-//! whether or not members are out of reach. A gateway that has not heard of a stage is at an earlier one, which allows
-//! less. Before an order nothing is told apart by versions.
+//! An operator's order is an entry of the replicated log, and so is each stage of it. The leader decides on the next
+//! stage from the outcomes that all gateways observed of both versions ([`judge`], [`steps`]). Gateways send the new
+//! version the fraction of requests that its stage allows ([`Stage::share`]). Each gateway applies that fraction to its
+//! own requests, so the whole fleet keeps it whatever the number of gateways, and also while no member is reachable. A
+//! gateway that has not yet received a stage applies an earlier one, which allows less. Without an order, versions are
+//! not distinguished.
 
 pub mod judge;
 pub mod route_mix;
@@ -18,43 +19,43 @@
 
 use crate::store::Revision;
 
-/// An operator's order.
+/// An operator's order to roll out a version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutOrder {
     /// The service.
     pub service: String,
-    /// Version that its traffic is to move to.
+    /// Version to which its traffic is moved.
     pub version: String,
-    /// Time until that is to be done, in milliseconds.
+    /// Time within which the roll-out must be completed, in milliseconds.
     pub lasts_ms: u64,
-    /// Part of the requests that the new version gets at first, in thousandths.
+    /// Fraction of the requests for the new version in the first stage, in thousandths.
     pub trial_permille: u16,
-    /// Whether it came so soon after the last equal one that it may be that one again, whose acknowledgement was lost.
+    /// Whether it came so soon after the last equal order that it may be a repetition whose acknowledgement was lost.
     pub soon: bool,
 }
 
-/// How far a roll-out is.
+/// Progress of a roll-out; later stages are greater.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// The new version gets this part of the requests, in thousandths, on few targets, each as loaded as those of the
-    /// old one.
+    /// The new version gets this fraction of the requests, in thousandths. They go to so few of its targets that each is
+    /// as loaded as those of the old version.
     Part(u16),
-    /// The new version gets all; what the old one has in flight ends.
+    /// The new version gets all requests, while those in flight at the old one finish.
     Shifted,
-    /// The old version is no longer needed, and may be stopped.
+    /// The old version gets no more requests and may be stopped.
     Completed,
-    /// The new version gets nothing.
+    /// The new version proved worse, or could not be judged in time, and gets no requests.
     RolledBack,
 }
 
 impl Stage {
-    /// Whether another stage follows.
+    /// Whether the roll-out is neither completed nor rolled back.
     pub fn under_way(self) -> bool {
         !matches!(self, Stage::Completed | Stage::RolledBack)
     }
 
-    /// Part of the requests that the new version gets, from 0 to 1.
+    /// Fraction of the requests for the new version, from 0 to 1.
     pub fn share(self) -> f64 {
         match self {
             Stage::Part(permille) => f64::from(permille) / 1_000.0,
@@ -63,7 +64,7 @@
         }
     }
 
-    /// Whether a target may be sent a request, by whether it runs the new version.
+    /// Whether a target may be sent requests; `new` tells whether it runs the new version.
     pub fn may_send(self, new: bool) -> bool {
         match self {
             Stage::Part(_) | Stage::Shifted => true,
@@ -72,7 +73,7 @@
         }
     }
 
-    /// One word for logs and answers.
+    /// Name of the stage in logs and API responses.
     pub fn label(self) -> &'static str {
         match self {
             Stage::Part(_) => "part",
@@ -88,16 +89,16 @@
 pub struct Rollout {
     /// The order.
     pub order: RolloutOrder,
-    /// Revision of the order, which tells roll-outs apart.
+    /// Revision of the order, which identifies the roll-out.
     pub at: Revision,
-    /// How far it is.
+    /// Its present stage.
     pub stage: Stage,
-    /// Time that had passed since the order when a leader last noted it, in milliseconds: the log has no clock, and a
-    /// member that starts knows of no time before that.
+    /// Time since the order when a leader last wrote it to the log, in milliseconds. The log has no clock, so a member
+    /// that restarts can't know how much time passed before.
     pub elapsed_ms: u64,
 }
 
-/// The next stage of a roll-out, or the same one and the time.
+/// Log entry that moves a roll-out to its next stage, or only updates the elapsed time.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutStep {
     /// The service.
@@ -110,13 +111,13 @@
     pub elapsed_ms: u64,
 }
 
-/// What became of an order.
+/// Result of applying an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RolloutVerdict {
-    /// The order, or an equal one before it, is in the log.
+    /// The order was accepted now, or an equal one was before.
     Taken,
-    /// Another roll-out of the service is under way.
+    /// It was refused, since another roll-out of the service is under way.
     UnderWay,
 }
 
@@ -143,7 +144,7 @@
         self.by_service.get(service)
     }
 
-    /// Applies an order that stands in the log at `index`.
+    /// Applies the order of the log entry at `index`.
     pub fn apply_order(&mut self, index: Revision, order: RolloutOrder) -> RolloutVerdict {
         if let Some(last) = self.by_service.get(&order.service) {
             if last.repeated_by(&order) {
@@ -160,7 +161,8 @@
         RolloutVerdict::Taken
     }
 
-    /// Applies a stage that stands in the log at `index`; one of a roll-out that is over, or an earlier stage, is void.
+    /// Applies the step of the log entry at `index`. A step of another or a finished roll-out is ignored, and so is an
+    /// earlier stage.
     pub fn apply_step(&mut self, index: Revision, step: &RolloutStep) {
         let Some(rollout) = self.by_service.get_mut(&step.service) else {
             return;
@@ -177,23 +179,24 @@
 }
 
 impl Rollout {
-    /// Whether an order is this one again. While it is under way, or once it is completed, an equal one has nothing
-    /// left to do; after a roll-back it is a new one unless it comes so soon that it must be a repetition.
+    /// Whether an order repeats this one. An order of the same version has no effect while the roll-out is under way and
+    /// once it is completed. After a roll-back it starts a new roll-out, unless it came so soon that it counts as a
+    /// repetition.
     fn repeated_by(&self, order: &RolloutOrder) -> bool {
-        let equal = self.order.version == order.version;
+        let same_version = self.order.version == order.version;
         match self.stage {
-            Stage::RolledBack => equal && order.soon,
-            _ => equal,
+            Stage::RolledBack => same_version && order.soon,
+            _ => same_version,
         }
     }
 
-    /// Time until it is to be completed, from the order on.
+    /// Time from the order within which it must be completed.
     pub fn lasts(&self) -> Duration {
         Duration::from_millis(self.order.lasts_ms)
     }
 }
 
-/// Roll-outs, as gateways are told of them.
+/// The state of all roll-outs, as members send it to gateways.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutsUpdate {
     /// Revision that last changed anything; 0 before the first order.
@@ -202,7 +205,7 @@
     pub rollouts: Vec<RolloutState>,
 }
 
-/// A roll-out, as gateways are told of it.
+/// The state of one roll-out, as members send it to gateways.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RolloutState {
     /// The service.
@@ -211,19 +214,19 @@
     pub version: String,
     /// Revision of the order.
     pub at: Revision,
-    /// How far it is.
+    /// Its present stage.
     pub stage: Stage,
 }
 
 impl Rollouts {
-    /// All of them, for gateways.
+    /// The update for gateways.
     pub fn update(&self) -> RolloutsUpdate {
-        let told = self.by_service.values().map(|rollout| RolloutState {
+        let rollouts = self.by_service.values().map(|rollout| RolloutState {
             service: rollout.order.service.clone(),
             version: rollout.order.version.clone(),
             at: rollout.at,
             stage: rollout.stage,
         });
-        RolloutsUpdate { revision: self.revision, rollouts: told.collect() }
+        RolloutsUpdate { revision: self.revision, rollouts: rollouts.collect() }
     }
 }
--- a/src/rollout/route_mix.rs
+++ b/src/rollout/route_mix.rs
@@ -1,8 +1,8 @@
-//! How what the new version may get is divided among the routes of a service.
+//! Divides the requests of the new version among the routes of a service.
 //!
-//! The bound is on its part of all requests of the service. The same part of each route would show least of the rarest
-//! routes, so half of it goes by each route's requests, and half is the same number of requests from each route. The
-//! sum over all routes stays the part of all.
+//! A stage limits the new version's fraction of all requests of the service. The same fraction of each route would give
+//! the fewest outcomes on the rarest routes. So one half is divided in proportion to each route's requests, and the
+//! other half as the same number of requests from each route. The sum over all routes stays within the stage's fraction.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,26 +10,26 @@
 use super::tally::RouteKey;
 use crate::store::Revision;
 
-/// Part that is the same number of requests from each route; the rest is the same part of each.
-const EVEN: f64 = 0.5;
-/// Most of a route's requests that the new version gets before it gets that part of all: the old one needs some to be
-/// compared with.
-const MOST_OF_ROUTE: f64 = 0.5;
+/// Fraction that is divided as the same number of requests from each route; the rest is the same fraction of each route.
+const EVEN_FRACTION: f64 = 0.5;
+/// Maximum fraction of a route's requests for the new version until a stage allows it that fraction of all requests: the
+/// old version needs some requests on each route for the comparison.
+const MAX_ROUTE_FRACTION: f64 = 0.5;
 
-/// What part of all requests of a service one route has.
+/// One route's share of all requests of a service.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RouteShare {
     /// The route.
     pub route: RouteKey,
-    /// Its part, above 0 and up to 1; rather too much than too little.
+    /// Its share, above 0 and up to 1; estimated too high rather than too low.
     pub share: f32,
 }
 
-/// What part of all requests of a service each route has, as far as was seen.
+/// The share of all requests of a service that each observed route has.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RouteMix(pub Vec<RouteShare>);
 
-/// The mix of the service that a roll-out is of.
+/// The route mix of the service of a roll-out.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RolloutMix {
     /// Revision of the roll-out's order.
@@ -39,7 +39,8 @@
 }
 
 impl RouteMix {
-    /// The stage as it is on a route: a part of all requests becomes the route's own part.
+    /// The stage as it applies to a route: the new version's fraction of all requests becomes its fraction of the
+    /// route's requests.
     pub fn stage_on_route(&self, route: RouteKey, stage: Stage) -> Stage {
         match stage {
             Stage::Part(_) => {
@@ -49,14 +50,15 @@
         }
     }
 
-    /// Part of a route's requests that the new version gets so that it gets `part` of all at most. A route that was not
-    /// seen before gets that part itself.
-    pub fn fraction_of_route(&self, route: RouteKey, part: f64) -> f64 {
-        let seen = self.0.iter().find(|seen| seen.route == route);
-        let Some(RouteShare { share, .. }) = seen.filter(|_| part < MOST_OF_ROUTE) else {
-            return part;
+    /// Fraction of a route's requests for the new version, such that it gets at most `fraction` of all requests. On a
+    /// route that was not observed before it is `fraction` itself.
+    pub fn fraction_of_route(&self, route: RouteKey, fraction: f64) -> f64 {
+        let observed = self.0.iter().find(|observed| observed.route == route);
+        let Some(RouteShare { share, .. }) = observed.filter(|_| fraction < MAX_ROUTE_FRACTION)
+        else {
+            return fraction;
         };
-        let even = part / (self.0.len() as f64 * f64::from(*share));
-        ((1.0 - EVEN) * part + EVEN * even).min(MOST_OF_ROUTE)
+        let even = fraction / (self.0.len() as f64 * f64::from(*share));
+        ((1.0 - EVEN_FRACTION) * fraction + EVEN_FRACTION * even).min(MAX_ROUTE_FRACTION)
     }
 }
--- a/src/rollout/steps.rs
+++ b/src/rollout/steps.rs
@@ -1,8 +1,9 @@
-//! When a roll-out takes its next stage.
+//! Decides when a roll-out moves to its next stage.
 //!
-//! The new version gets little until over half of the time is over, since some faults show late; then more by steps,
-//! each only once enough answers of the step before are in. A roll-out that can't be completed in time for want of
-//! evidence is rolled back: the old version still serves, while a completed roll-out can't be undone.
+//! The new version gets few requests until more than half of the time has passed, since some faults show late. Then it
+//! gets more in steps, each only once the step before has given enough answers. A roll-out that can't be completed in
+//! time for lack of evidence is rolled back, since the old version still serves, while a completed roll-out can't be
+//! undone.
 
 use std::time::Duration;
 
@@ -10,74 +11,77 @@
 use super::judge::{Fault, judge_all, proven_healthy, suspected};
 use super::tally::Compared;
 
-/// Part of a roll-out's time for which the new version is on trial: what it gets counts from the order on when it turns
-/// bad later.
-const TRIAL_PART: f64 = 0.55;
-/// Part of its time between two later steps.
-const STEP_PART: f64 = 0.07;
-/// Multiples of the first part that the new version gets step by step, before it gets all.
+/// Fraction of a roll-out's time for which the new version stays in the first stage. If it turns bad later, all requests
+/// that it got since the order count as harm, so it gets few until then.
+const TRIAL_FRACTION: f64 = 0.55;
+/// Minimum time between two later steps, as a fraction of the roll-out's time.
+const STEP_FRACTION: f64 = 0.07;
+/// Fractions of the requests in the steps between the first stage and all requests, as multiples of the first.
 const RAMP: [f64; 2] = [2.5, 7.0];
-/// Part of its time from which a roll-out that is not shifted yet can't be completed with care.
-const LATEST_SHIFT_PART: f64 = 0.9;
-/// Part of its time at which it is completed, whatever the old version still has in flight.
-const COMPLETED_PART: f64 = 0.96;
+/// Fraction of its time from which a roll-out that has not reached [`Stage::Shifted`] is rolled back: too little time
+/// remains to complete it safely.
+const LATEST_SHIFT_FRACTION: f64 = 0.9;
+/// Fraction of its time at which a shifted roll-out is completed, even if the old version has requests in flight.
+const COMPLETION_FRACTION: f64 = 0.96;
 /// All requests, in thousandths.
-const WHOLE: u16 = 1_000;
-/// Answers of the new version in a stage without which the next is not taken.
-const ANSWERS_OF_STEP: u32 = 30;
-/// Outcomes of the new version on each route without which it gets no more: some faults show on one route only.
-const OUTCOMES_OF_ROUTE: u32 = 8;
-/// Part of all outcomes from which a route counts for that; a version that is bad on a rarer one harms few.
-const LEAST_ROUTE: f64 = 0.005;
+const ALL_PERMILLE: u16 = 1_000;
+/// Minimum number of answers of the new version in a stage before the next one.
+const MIN_STEP_ANSWERS: u32 = 30;
+/// Minimum number of outcomes of the new version on each route before the next stage, since some faults show on one route
+/// only.
+const MIN_ROUTE_OUTCOMES: u32 = 8;
+/// Minimum fraction of all outcomes for a route to be required to prove healthy; a version that is bad on a rarer route
+/// does little harm.
+const MIN_ROUTE_FRACTION: f64 = 0.005;
 
-/// What is known of a roll-out.
+/// State of a roll-out from which its next stage is decided.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress<'a> {
-    /// How far it is.
+    /// Its present stage.
     pub stage: Stage,
     /// Time since the order.
     pub elapsed: Duration,
     /// Time since the stage began.
     pub in_stage: Duration,
-    /// Time until it is to be completed, from the order on.
+    /// Time from the order within which it must be completed.
     pub lasts: Duration,
-    /// Part of the requests that the new version got at first, in thousandths.
+    /// Fraction of the requests for the new version in the first stage, in thousandths.
     pub trial_permille: u16,
-    /// Outcomes of each route since the order, by slices of time.
+    /// Outcomes on each route since the order, in slices of time.
     pub routes: &'a [Vec<Compared>],
-    /// Whether there are more routes than outcomes are counted of.
+    /// Whether some routes may be missing because there are more than can be counted.
     pub unjudged: bool,
-    /// Answers of the new version when the stage began.
+    /// Number of answers of the new version when the stage began.
     pub answers_before: u32,
-    /// Requests in flight at the old version, as far as gateways told.
+    /// Requests in flight at the old version, as reported by gateways.
     pub old_in_flight: u32,
 }
 
-/// The next stage, and why.
+/// The next stage and its reason.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Step {
-    /// The stage.
+    /// The next stage.
     pub stage: Stage,
-    /// StepReason.
+    /// Why it follows.
     pub why: StepReason,
 }
 
-/// StepReason a stage is taken.
+/// Why a roll-out moves to its next stage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum StepReason {
-    /// The new version is worse.
+    /// The new version is worse than the old one.
     Worse(Fault),
-    /// It is no worse, and enough answers show so.
+    /// Enough answers show that the new version is no worse.
     NoWorse,
-    /// The time is nearly over, and some routes have not shown enough.
+    /// The time is nearly over, and the new version is not proven healthy on all routes.
     Unproven,
-    /// The old version has nothing in flight any more.
+    /// The old version has no request in flight any more.
     OldIdle,
     /// The time is nearly over.
     TimeUp,
 }
 
-/// The next stage, if it is time for that.
+/// Returns the next stage if the roll-out should move to it now.
 pub fn next_step(progress: &Progress<'_>) -> Option<Step> {
     if !progress.stage.under_way() {
         return None;
@@ -85,72 +89,74 @@
     if let Some(fault) = judge_all(progress.routes) {
         return Some(Step { stage: Stage::RolledBack, why: StepReason::Worse(fault) });
     }
-    let part = progress.part();
+    let fraction = progress.time_fraction();
     if progress.stage == Stage::Shifted {
-        return shifted(progress, part);
+        return after_shift(progress, fraction);
     }
-    if part >= LATEST_SHIFT_PART {
+    if fraction >= LATEST_SHIFT_FRACTION {
         return Some(Step { stage: Stage::RolledBack, why: StepReason::Unproven });
     }
     let Stage::Part(permille) = progress.stage else {
         return None;
     };
-    let stage = following(permille, progress.trial_permille);
-    let long = match permille > progress.trial_permille {
-        true => progress.in_stage >= progress.lasts.mul_f64(STEP_PART),
-        false => part >= TRIAL_PART,
+    let stage = stage_after(permille, progress.trial_permille);
+    let long_enough = match permille > progress.trial_permille {
+        true => progress.in_stage >= progress.lasts.mul_f64(STEP_FRACTION),
+        false => fraction >= TRIAL_FRACTION,
     };
-    let enough = progress.answers() >= progress.answers_before + ANSWERS_OF_STEP;
+    let enough_answers = progress.answers() >= progress.answers_before + MIN_STEP_ANSWERS;
     let proven = || !progress.unjudged && progress.unproven().next().is_none();
-    (long && enough && proven()).then_some(Step { stage, why: StepReason::NoWorse })
+    (long_enough && enough_answers && proven()).then_some(Step { stage, why: StepReason::NoWorse })
 }
 
-fn shifted(progress: &Progress<'_>, part: f64) -> Option<Step> {
-    let long = progress.in_stage >= progress.lasts.mul_f64(STEP_PART);
-    if part >= COMPLETED_PART {
+/// The stage after [`Stage::Shifted`], once the old version is idle or the time is nearly over.
+fn after_shift(progress: &Progress<'_>, time_fraction: f64) -> Option<Step> {
+    let long_enough = progress.in_stage >= progress.lasts.mul_f64(STEP_FRACTION);
+    if time_fraction >= COMPLETION_FRACTION {
         return Some(Step { stage: Stage::Completed, why: StepReason::TimeUp });
     }
-    let idle = long && progress.old_in_flight == 0;
+    let idle = long_enough && progress.old_in_flight == 0;
     idle.then_some(Step { stage: Stage::Completed, why: StepReason::OldIdle })
 }
 
-/// The stage after one in which both versions get requests.
-fn following(permille: u16, trial_permille: u16) -> Stage {
-    let parts = RAMP.map(|times| (f64::from(trial_permille) * times) as u16);
-    let more = parts.into_iter().find(|part| *part > permille && *part < WHOLE);
-    more.map_or(Stage::Shifted, Stage::Part)
+/// The stage after one in which the new version gets `permille` thousandths of the requests.
+fn stage_after(permille: u16, trial_permille: u16) -> Stage {
+    let ramp = RAMP.map(|multiple| (f64::from(trial_permille) * multiple) as u16);
+    let next = ramp.into_iter().find(|step| *step > permille && *step < ALL_PERMILLE);
+    next.map_or(Stage::Shifted, Stage::Part)
 }
 
 impl Progress<'_> {
-    /// Part of the time that is over.
-    fn part(&self) -> f64 {
+    /// Fraction of the roll-out's time that has passed.
+    fn time_fraction(&self) -> f64 {
         self.elapsed.as_secs_f64() / self.lasts.as_secs_f64().max(f64::MIN_POSITIVE)
     }
 
-    /// Routes, by their place, on which the new version has not shown enough to get more, or hints at a fault.
+    /// Indices of the routes on which the new version has not proven healthy or is suspected of a fault.
     pub fn unproven(&self) -> impl Iterator<Item = usize> {
         let all: u32 = self.routes.iter().map(|slices| outcomes(slices)).sum();
-        let least = LEAST_ROUTE * f64::from(all);
+        let min_outcomes = MIN_ROUTE_FRACTION * f64::from(all);
         let routes = self.routes.iter().enumerate();
-        let counts = routes.filter(move |(_, slices)| f64::from(outcomes(slices)) >= least);
-        counts.filter(|(_, slices)| !self.proven(slices)).map(|(at, _)| at)
+        let required =
+            routes.filter(move |(_, slices)| f64::from(outcomes(slices)) >= min_outcomes);
+        required.filter(|(_, slices)| !self.proven(slices)).map(|(at, _)| at)
     }
 
-    /// Whether a route has shown enough for the next stage. At first a few outcomes do, since little more is risked by
-    /// the next part, which tells more.
+    /// Whether the outcomes on a route allow the next stage. In the first stage a few outcomes are enough, since the second
+    /// one risks little more and gives more evidence.
     fn proven(&self, slices: &[Compared]) -> bool {
         let new: u32 = slices.iter().map(|slice| slice.new.count()).sum();
-        let at_first = self.stage == Stage::Part(self.trial_permille);
-        new >= OUTCOMES_OF_ROUTE && (at_first || proven_healthy(slices)) && !suspected(slices)
+        let first_stage = self.stage == Stage::Part(self.trial_permille);
+        new >= MIN_ROUTE_OUTCOMES && (first_stage || proven_healthy(slices)) && !suspected(slices)
     }
 
-    /// Answers of the new version.
+    /// Number of answers of the new version since the order.
     pub fn answers(&self) -> u32 {
-        self.routes.iter().flatten().map(|slice| slice.new.times.count()).sum()
+        self.routes.iter().flatten().map(|slice| slice.new.latencies.count()).sum()
     }
 }
 
-/// Outcomes of both versions.
+/// Number of outcomes of both versions.
 fn outcomes(slices: &[Compared]) -> u32 {
     slices.iter().map(|slice| slice.old.count().saturating_add(slice.new.count())).sum()
 }
--- a/src/rollout/tally.rs
+++ b/src/rollout/tally.rs
@@ -1,4 +1,4 @@
-//! What gateways saw of both versions of a service while one takes the place of the other.
+//! Outcomes of requests to both versions of a service during a roll-out, as counted by gateways and summed by members.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,38 +8,38 @@
 use super::route_mix::{RouteMix, RouteShare};
 use crate::store::Revision;
 
-/// Buckets of times; each holds times up to half an octave longer than the one before, the last from 46 s on.
+/// Number of latency buckets. The bounds grow by half an octave per bucket; the last bucket starts at 46 s.
 const BUCKETS: usize = 32;
-/// Buckets in which times double.
-const BUCKETS_AN_OCTAVE: f64 = 2.0;
+/// Number of buckets in which the latency doubles.
+const BUCKETS_PER_OCTAVE: f64 = 2.0;
 
-/// Which of the two versions.
+/// One of the two versions of a roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Side {
-    /// What served so far.
+    /// The version that served before the roll-out.
     Old,
-    /// What is to take its place.
+    /// The version that is rolled out.
     New,
 }
 
-/// A route, by a hash of its name.
+/// A route, identified by a hash of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RouteKey(u32);
 
 impl RouteKey {
-    /// Of a route with this name.
+    /// The key of the route with this name.
     pub fn of(name: &str) -> Self {
         RouteKey((xxhash_rust::xxh3::xxh3_64(name.as_bytes()) >> 32) as u32)
     }
 }
 
-/// How long answers took, counted in buckets.
+/// Histogram of the times until answers began.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Times(Vec<u32>);
+pub struct LatencyHistogram(Vec<u32>);
 
-impl Times {
-    /// Counts a time.
-    pub fn note(&mut self, time: Duration) {
+impl LatencyHistogram {
+    /// Counts one latency.
+    pub fn record(&mut self, time: Duration) {
         let at = bucket(time);
         if self.0.len() <= at {
             self.0.resize(at + 1, 0);
@@ -47,33 +47,35 @@
         self.0[at] += 1;
     }
 
-    /// Adds others.
-    pub fn add(&mut self, other: &Times) {
+    /// Adds the counts of another histogram.
+    pub fn add(&mut self, other: &LatencyHistogram) {
         if self.0.len() < other.0.len() {
             self.0.resize(other.0.len(), 0);
         }
         self.0.iter_mut().zip(&other.0).for_each(|(sum, more)| *sum = sum.saturating_add(*more));
     }
 
-    /// Those that were not there before.
-    fn since(&self, before: &Times) -> Times {
+    /// The counts that were added since `before`.
+    fn since(&self, before: &LatencyHistogram) -> LatencyHistogram {
         let before = before.0.iter().chain(std::iter::repeat(&0));
-        Times(self.0.iter().zip(before).map(|(now, then)| now.saturating_sub(*then)).collect())
+        LatencyHistogram(
+            self.0.iter().zip(before).map(|(now, then)| now.saturating_sub(*then)).collect(),
+        )
     }
 
-    /// Times counted.
+    /// Number of latencies counted.
     pub fn count(&self) -> u32 {
         self.0.iter().fold(0, |sum, count| sum.saturating_add(*count))
     }
 
-    /// Number of times from this bucket on.
+    /// Number of latencies in this bucket and all later ones.
     pub fn from_bucket(&self, bucket: usize) -> u32 {
         self.0.iter().skip(bucket).fold(0, |sum, count| sum.saturating_add(*count))
     }
 
-    /// The bucket within which this part of the times lies; `None` without any.
-    pub fn quantile(&self, part: f64) -> Option<usize> {
-        let wanted = f64::from(self.count()) * part;
+    /// Index of the bucket that contains this quantile (from 0 to 1); `None` if nothing was counted.
+    pub fn quantile(&self, quantile: f64) -> Option<usize> {
+        let wanted = f64::from(self.count()) * quantile;
         let mut sum = 0.0;
         self.0.iter().position(|count| {
             sum += f64::from(*count);
@@ -82,31 +84,31 @@
     }
 }
 
-/// The bucket of a time.
+/// Index of the bucket for a latency.
 fn bucket(time: Duration) -> usize {
     let octaves = (time.as_secs_f64() * 1_000.0 + 1.0).log2();
-    ((octaves * BUCKETS_AN_OCTAVE) as usize).min(BUCKETS - 1)
+    ((octaves * BUCKETS_PER_OCTAVE) as usize).min(BUCKETS - 1)
 }
 
 /// Outcomes of attempts at one version on one route.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Outcomes {
-    /// Attempts that failed by the target's doing.
+    /// Attempts that failed because of the target.
     pub failed: u32,
-    /// How long answers took to begin.
-    pub times: Times,
+    /// Times until answers began, of the attempts that were answered.
+    pub latencies: LatencyHistogram,
 }
 
 impl Outcomes {
-    /// All attempts.
+    /// Number of attempts.
     pub fn count(&self) -> u32 {
-        self.failed.saturating_add(self.times.count())
+        self.failed.saturating_add(self.latencies.count())
     }
 
-    /// Adds others.
+    /// Adds other outcomes.
     pub fn add(&mut self, other: &Outcomes) {
         self.failed = self.failed.saturating_add(other.failed);
-        self.times.add(&other.times);
+        self.latencies.add(&other.latencies);
     }
 }
 
@@ -114,12 +116,12 @@
     fn since(&self, before: &Outcomes) -> Outcomes {
         Outcomes {
             failed: self.failed.saturating_sub(before.failed),
-            times: self.times.since(&before.times),
+            latencies: self.latencies.since(&before.latencies),
         }
     }
 }
 
-/// What a tally is about.
+/// What outcomes are counted for: one version on one route during one roll-out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Subject {
     /// Revision of the roll-out's order.
@@ -130,63 +132,64 @@
     pub side: Side,
 }
 
-/// Outcomes of attempts, for each roll-out, route and version.
+/// Outcomes of attempts for each roll-out, route and version.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tallies(BTreeMap<Subject, Outcomes>);
 
-/// Most subjects of one word; what is seen of more routes is not counted.
-const MOST_SUBJECTS: usize = 64;
+/// Maximum number of subjects in one report. Outcomes on further routes are not counted.
+const MAX_SUBJECTS: usize = 64;
 
 impl Tallies {
-    /// Whether there is nothing.
+    /// Whether no outcome was counted.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Whether there may be outcomes for which there was no room.
+    /// Whether the maximum number of subjects is reached, so that some outcomes may not have been counted.
     pub fn full(&self) -> bool {
-        self.0.len() >= MOST_SUBJECTS
+        self.0.len() >= MAX_SUBJECTS
     }
 
-    /// The roll-outs that these are of.
+    /// The roll-out of each subject, with repetitions.
     pub fn rollouts(&self) -> impl Iterator<Item = Revision> {
         self.0.keys().map(|subject| subject.rollout)
     }
 
-    /// Counts an attempt that failed.
+    /// Counts a failed attempt.
     pub fn record_failure(&mut self, subject: Subject) {
-        if let Some(outcomes) = self.of_subject(subject) {
+        if let Some(outcomes) = self.entry(subject) {
             outcomes.failed = outcomes.failed.saturating_add(1);
         }
     }
 
-    /// Counts an answer that began after so long.
+    /// Counts an answer that began after the time `took`.
     pub fn record_answer(&mut self, subject: Subject, took: Duration) {
-        if let Some(outcomes) = self.of_subject(subject) {
-            outcomes.times.note(took);
+        if let Some(outcomes) = self.entry(subject) {
+            outcomes.latencies.record(took);
         }
     }
 
-    fn of_subject(&mut self, subject: Subject) -> Option<&mut Outcomes> {
-        let room = self.0.len() < MOST_SUBJECTS || self.0.contains_key(&subject);
-        room.then(|| self.0.entry(subject).or_default())
+    /// The outcomes of a subject; `None` if it is new and [`MAX_SUBJECTS`] is reached.
+    fn entry(&mut self, subject: Subject) -> Option<&mut Outcomes> {
+        let has_room = self.0.len() < MAX_SUBJECTS || self.0.contains_key(&subject);
+        has_room.then(|| self.0.entry(subject).or_default())
     }
 
-    /// Adds others.
+    /// Adds the outcomes of other tallies.
     pub fn add(&mut self, others: &Tallies) {
         for (subject, outcomes) in &others.0 {
-            if let Some(sum) = self.of_subject(*subject) {
+            if let Some(sum) = self.entry(*subject) {
                 sum.add(outcomes);
             }
         }
     }
 
-    /// Forgets all but these roll-outs.
+    /// Removes the outcomes of all other roll-outs.
     pub fn keep_only(&mut self, rollouts: &[Revision]) {
         self.0.retain(|subject, _| rollouts.contains(&subject.rollout));
     }
 
-    /// Outcomes of a roll-out by route, those of the old version first.
+    /// Outcomes of both versions during a roll-out, by route.
     pub fn by_route(&self, rollout: Revision) -> BTreeMap<RouteKey, Compared> {
         let mut by_route: BTreeMap<RouteKey, Compared> = BTreeMap::new();
         for (subject, outcomes) in self.0.iter().filter(|(subject, _)| subject.rollout == rollout) {
@@ -203,14 +206,14 @@
 /// Outcomes of both versions on one route.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Compared {
-    /// Of what served so far.
+    /// Outcomes of the old version.
     pub old: Outcomes,
-    /// Of what is to take its place.
+    /// Outcomes of the new version.
     pub new: Outcomes,
 }
 
 impl Compared {
-    /// Adds others.
+    /// Adds other outcomes.
     pub fn add(&mut self, other: &Compared) {
         self.old.add(&other.old);
         self.new.add(&other.new);
@@ -221,30 +224,31 @@
     }
 }
 
-/// Length of a slice at first.
-const SLICE: Duration = Duration::from_secs(1);
-/// Slices that tell of a route that has more requests than before.
-const LATEST: usize = 3;
-/// Standard deviations that the latest requests of a route must be above the others to count.
-const LATEST_DEVIATIONS: f64 = 2.0;
-/// Most slices of a route; where there are more, two become one.
-const MOST_SLICES: usize = 128;
-
-/// Outcomes on each route, cut in slices of time: versions are compared with each other at the same time only.
+/// Initial length of a slice; it doubles each time [`MAX_SLICES`] is reached.
+const INITIAL_SLICE: Duration = Duration::from_secs(1);
+/// Number of latest slices that show whether a route now has more requests than before.
+const RECENT_SLICES: usize = 3;
+/// Standard deviations that are subtracted from a route's recent number of requests, so that its recent share counts only
+/// if it is clearly above the one since the order.
+const RECENT_DEVIATIONS: f64 = 2.0;
+/// Number of slices of a route at which each two of them are merged into one.
+const MAX_SLICES: usize = 128;
+
+/// Outcomes on each route, divided into slices of time, so that versions are compared only within the same time.
 #[derive(Debug)]
 pub struct History {
-    length: Duration,
-    /// When the slice under way began.
+    slice_length: Duration,
+    /// When the current slice began.
     began: Duration,
-    /// All outcomes then.
+    /// Total outcomes at that time.
     before: BTreeMap<RouteKey, Compared>,
-    /// Slices, the last one under way.
+    /// Slices of each route; the last one is the current one.
     slices: BTreeMap<RouteKey, Vec<Compared>>,
-    /// Slices that are over.
-    over: usize,
+    /// Number of finished slices.
+    finished: usize,
 }
 
-/// Attempts in these slices.
+/// Number of attempts in these slices.
 fn attempts(slices: &[Compared]) -> f64 {
     let attempts = |slice: &Compared| f64::from(slice.old.count()) + f64::from(slice.new.count());
     slices.iter().map(attempts).sum()
@@ -257,33 +261,34 @@
 impl Default for History {
     fn default() -> Self {
         let (before, slices) = (BTreeMap::new(), BTreeMap::new());
-        History { length: SLICE, began: Duration::ZERO, before, slices, over: 0 }
+        History { slice_length: INITIAL_SLICE, began: Duration::ZERO, before, slices, finished: 0 }
     }
 }
 
 impl History {
-    /// Takes all outcomes so far.
-    pub fn note(&mut self, now: Duration, total: &BTreeMap<RouteKey, Compared>) {
+    /// Records the total outcomes since the order.
+    pub fn record(&mut self, now: Duration, total: &BTreeMap<RouteKey, Compared>) {
         for (route, outcomes) in total {
             let slices = self.slices.entry(*route).or_default();
-            slices.resize(self.over + 1, Compared::default());
+            slices.resize(self.finished + 1, Compared::default());
             let before = self.before.get(route).cloned().unwrap_or_default();
-            slices[self.over] = outcomes.since(&before);
+            slices[self.finished] = outcomes.since(&before);
         }
-        if now >= self.began + self.length {
+        if now >= self.began + self.slice_length {
             self.began = now;
             self.before.clone_from(total);
-            self.over += 1;
-            self.shorten();
+            self.finished += 1;
+            self.merge_pairs();
         }
     }
 
-    fn shorten(&mut self) {
-        if self.over < MOST_SLICES {
+    /// Merges each two slices into one once there are [`MAX_SLICES`].
+    fn merge_pairs(&mut self) {
+        if self.finished < MAX_SLICES {
             return;
         }
-        self.length *= 2;
-        self.over /= 2;
+        self.slice_length *= 2;
+        self.finished /= 2;
         for slices in self.slices.values_mut() {
             let merged = slices.chunks(2).map(|pair| {
                 let mut sum = pair[0].clone();
@@ -294,16 +299,17 @@
         }
     }
 
-    /// What part of all requests each route has: of all since the order, or of the latest where that is clearly more.
+    /// Each route's share of all requests: the share since the order, or the recent one if that is clearly higher.
     pub fn mix(&self) -> RouteMix {
-        let from = self.over.saturating_sub(LATEST);
-        let all: f64 = self.slices.values().map(|slices| attempts(slices)).sum();
-        let latest: f64 = self.slices.values().map(|slices| attempts_from(slices, from)).sum();
+        let from = self.finished.saturating_sub(RECENT_SLICES);
+        let total: f64 = self.slices.values().map(|slices| attempts(slices)).sum();
+        let recent_total: f64 =
+            self.slices.values().map(|slices| attempts_from(slices, from)).sum();
         let share = |(route, slices): (&RouteKey, &Vec<Compared>)| {
-            let late = attempts_from(slices, from);
-            let since_order = (attempts(slices) + 1.0) / (all + 1.0);
-            let lately = (late - LATEST_DEVIATIONS * late.sqrt()) / latest.max(1.0);
-            RouteShare { route: *route, share: since_order.max(lately) as f32 }
+            let recent = attempts_from(slices, from);
+            let since_order = (attempts(slices) + 1.0) / (total + 1.0);
+            let recent_share = (recent - RECENT_DEVIATIONS * recent.sqrt()) / recent_total.max(1.0);
+            RouteShare { route: *route, share: since_order.max(recent_share) as f32 }
         };
         RouteMix(self.slices.iter().map(share).collect())
     }
--- a/tests/rollout/judging.rs
+++ b/tests/rollout/judging.rs
@@ -271,8 +271,8 @@
 #[test]
 fn a_route_of_few_requests_a_second_shows_enough_in_time() {
     let mut slice = Compared::default();
-    (0..4).for_each(|_| slice.old.times.note(Duration::from_millis(50)));
-    (0..3).for_each(|_| slice.new.times.note(Duration::from_millis(50)));
+    (0..4).for_each(|_| slice.old.latencies.record(Duration::from_millis(50)));
+    (0..3).for_each(|_| slice.new.latencies.record(Duration::from_millis(50)));
     let slices = vec![slice; 12];
     assert!(proven_healthy(&slices));
     assert!(!suspected(&slices));
@@ -360,10 +360,10 @@
         compared.new.failed = failed;
         compared.old.failed = old_failed;
         for _ in failed..of {
-            compared.new.times.note(Duration::from_millis(50));
+            compared.new.latencies.record(Duration::from_millis(50));
         }
         for _ in old_failed..old_of {
-            compared.old.times.note(Duration::from_millis(50));
+            compared.old.latencies.record(Duration::from_millis(50));
         }
         let rate = (f64::from(old_failed) / f64::from(old_of)).max(0.02);
         let chance = tail(failed, of, rate);
@@ -379,9 +379,9 @@
     let mut compared = Compared::default();
     for number in 0..1_000 {
         let slow = if number % 3 == 0 { 400 } else { 50 };
-        compared.old.times.note(Duration::from_millis(slow));
+        compared.old.latencies.record(Duration::from_millis(slow));
         if number % 10 == 0 {
-            compared.new.times.note(Duration::from_millis(slow));
+            compared.new.latencies.record(Duration::from_millis(slow));
         }
     }
     compared.old.failed = 400;
@@ -414,7 +414,7 @@
     let mut compared = Compared::default();
     let fill = |outcomes: &mut Outcomes, (failed, of): (u32, u32)| {
         outcomes.failed = failed;
-        (failed..of).for_each(|_| outcomes.times.note(Duration::from_millis(50)));
+        (failed..of).for_each(|_| outcomes.latencies.record(Duration::from_millis(50)));
     };
     fill(&mut compared.old, old);
     fill(&mut compared.new, new);
@@ -458,7 +458,7 @@
         let passes = (0..LOOKS).any(|_| {
             match rng.random_bool(0.27) {
                 true => seen.new.failed += 1,
-                false => seen.new.times.note(Duration::from_millis(50)),
+                false => seen.new.latencies.record(Duration::from_millis(50)),
             }
             proven_healthy(std::slice::from_ref(&seen))
         });
--- a/tests/rollout/stage.rs
+++ b/tests/rollout/stage.rs
@@ -160,7 +160,7 @@
                     known.entry(route_key(at)).or_default().add(seen);
                 }
             }
-            history.note(now, &known);
+            history.record(now, &known);
             mixes.push_back((now + self.stage_takes(), history.mix()));
             let routes = history.routes();
             let progress = Progress {
@@ -246,7 +246,7 @@
                 }
                 match fails {
                     true => outcomes.failed += 1,
-                    false => outcomes.times.note(Duration::from_secs_f64(took)),
+                    false => outcomes.latencies.record(Duration::from_secs_f64(took)),
                 }
             }
         }
--- a/tests/rollout/ways.rs
+++ b/tests/rollout/ways.rs
@@ -71,7 +71,7 @@
     let rate = |failed: u32, of: u32| f64::from(failed) / f64::from(of.max(1));
     let new = rate(route.new.failed, route.new.count());
     let old = rate(route.old.failed, route.old.count());
-    let middles = (route.new.times.quantile(0.5), route.old.times.quantile(0.5));
+    let middles = (route.new.latencies.quantile(0.5), route.old.latencies.quantile(0.5));
     let slow = matches!(middles, (Some(new), Some(old)) if new >= old + OCTAVE);
     new > old + MORE_FAILURES || slow
 }
