--- a/src/claims.rs
+++ b/src/claims.rs
@@ -1,7 +1,7 @@
-//! Claims on request keys: which router may run a request that must run at most once.
+//! Claims on request keys: decide which router may run a request that must run at most once.
 //!
-//! A request key is a UUID of version 7, so that its age can be read from it. Claims are kept for
-//! [`WINDOW`] after the key was made; an older key is refused, since its claim may be forgotten.
+//! A request key is a UUID of version 7, which contains the time at which it was made. Claims are kept for [`CLAIM_WINDOW`]
+//! after that time. An older key is refused, since a claim on it may have been dropped.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -9,10 +9,10 @@
 use serde::{Deserialize, Serialize};
 
 /// How long a claim is kept after its key was made.
-pub const WINDOW: Duration = Duration::from_secs(600);
-/// How far a key's time may lie ahead of the leader's clock.
+pub const CLAIM_WINDOW: Duration = Duration::from_secs(600);
+/// How far a key's time may be ahead of the leader's clock.
 pub const MAX_AHEAD: Duration = Duration::from_secs(30);
-/// Most claims kept; about 360 bytes each in memory.
+/// Maximum number of claims and releases kept; each takes about 360 bytes of memory.
 pub const MAX_CLAIMS: usize = 80_000;
 
 /// Key of a request, chosen by its caller: a UUID of version 7.
@@ -20,12 +20,12 @@
 pub struct RequestKey(pub u128);
 
 impl RequestKey {
-    /// Reads the usual form, `01890a5d-ac96-774b-bcce-b302099a8057`.
+    /// Parses the hyphenated form, `01890a5d-ac96-774b-bcce-b302099a8057`.
     pub fn parse(text: &str) -> Option<Self> {
         const VERSION: u128 = 7;
         let digits: String = text.chars().filter(|char| *char != '-').collect();
-        let sound = text.len() == 36 && digits.len() == 32;
-        let bits = u128::from_str_radix(&digits, 16).ok().filter(|_| sound)?;
+        let well_formed = text.len() == 36 && digits.len() == 32;
+        let bits = u128::from_str_radix(&digits, 16).ok().filter(|_| well_formed)?;
         (bits >> 76 & 0xf == VERSION).then_some(RequestKey(bits))
     }
 
@@ -35,22 +35,22 @@
     }
 }
 
-/// A router asks to run a request.
+/// A router's claim to run a request.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
     /// The request's key.
     pub key: RequestKey,
-    /// Hash of what is to be run; the same key with another hash is an error.
+    /// Hash of the request; the same key with another hash is refused as [`Verdict::Mismatch`].
     pub digest: u64,
-    /// Base URL of the router, where its stored answer can be asked for.
+    /// Base URL of the router, where its stored answer can be requested.
     pub router_url: String,
-    /// Drawn by the router, so that its own resent claim is told from another's.
+    /// Random number of the router, which distinguishes its own resent claim from another router's claim.
     pub nonce: u64,
     /// The leader's wall clock, in milliseconds since 1970; set by the leader.
     pub now_ms: u64,
 }
 
-/// A router gives a claim back, because the request truly did not run.
+/// A router's release of its claim, made when the request certainly did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Release {
     /// The request's key.
@@ -59,24 +59,24 @@
     pub nonce: u64,
 }
 
-/// The answer to a claim.
+/// Decision on a claim.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
     /// The router may run the request, once.
     Granted,
-    /// Another has claimed it and may have run it.
+    /// Another router claimed the request and may have run it.
     Held {
         /// Base URL of the router that holds the claim.
         router_url: String,
     },
-    /// The key was used for another request.
+    /// The key was already used for another request.
     Mismatch,
-    /// The key is older than the window.
+    /// The key is older than [`CLAIM_WINDOW`].
     TooOld,
-    /// The key's time lies in the future.
+    /// The key's time is more than [`MAX_AHEAD`] ahead of the leader's clock.
     Ahead,
-    /// There is no room for another claim now.
+    /// [`MAX_CLAIMS`] is reached.
     Full,
 }
 
@@ -87,13 +87,13 @@
     nonce: u64,
 }
 
-/// All claims within the window.
+/// All claims and releases within [`CLAIM_WINDOW`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Claims {
-    /// Newest clock of any leader; never goes back.
+    /// Latest wall clock of any leader, in milliseconds since 1970; it never goes back.
     clock_ms: u64,
     held: BTreeMap<RequestKey, Holder>,
-    /// Keys given back within the window, with the nonces that may not run any more.
+    /// Released keys, with the nonces whose claims are refused from then on.
     released: BTreeSet<(RequestKey, u64)>,
 }
 
@@ -111,7 +111,7 @@
     /// Decides on a claim.
     pub fn claim(&mut self, claim: Claim) -> Verdict {
         self.clock_ms = self.clock_ms.max(claim.now_ms);
-        self.forget();
+        self.drop_expired();
         let made_at = claim.key.made_at_ms();
         if made_at < self.oldest_ms() {
             return Verdict::TooOld;
@@ -127,7 +127,7 @@
             };
         }
         if self.released.contains(&(claim.key, claim.nonce)) {
-            // A claim that arrives after it was given back.
+            // The claim was delayed and arrives after its own release.
             return Verdict::Held { router_url: claim.router_url };
         }
         if self.held.len() + self.released.len() >= MAX_CLAIMS {
@@ -138,7 +138,7 @@
         Verdict::Granted
     }
 
-    /// Takes a claim back, so that another may run the request.
+    /// Releases a claim, so that another router may run the request.
     pub fn release(&mut self, release: Release) {
         let Release { key, nonce } = release;
         if self.held.get(&key).is_some_and(|holder| holder.nonce == nonce) {
@@ -148,11 +148,11 @@
     }
 
     fn oldest_ms(&self) -> u64 {
-        self.clock_ms.saturating_sub(WINDOW.as_millis() as u64)
+        self.clock_ms.saturating_sub(CLAIM_WINDOW.as_millis() as u64)
     }
 
-    /// Drops what lies before the window; keys sort by their time.
-    fn forget(&mut self) {
+    /// Drops claims and releases from before the window. Keys sort by their time.
+    fn drop_expired(&mut self) {
         let oldest = RequestKey(u128::from(self.oldest_ms()) << 80);
         while self.held.first_key_value().is_some_and(|(key, _)| *key < oldest) {
             self.held.pop_first();
--- a/src/evacuations.rs
+++ b/src/evacuations.rs
@@ -1,10 +1,10 @@
-//! Data halls that are evacuated: their targets are to be sent nothing more.
+//! Evacuated data halls, whose targets are sent no new requests.
 //!
-//! An order and its withdrawal do not commute: one that takes effect late, after a newer one, would undo
-//! it. Callers send the same order again when its answer is lost, and give it no number. So the member that
-//! takes a call first reads, at the leader, which order was the hall's last, and the command names
-//! that one. A command takes effect only while the order that it names is still the last: whatever
-//! repeats it, holds it up or commits it late, a newer order has made it void.
+//! An order and its withdrawal do not commute: an older command that is applied after a newer one would undo it. Callers
+//! repeat an order whose answer was lost, and give it no number. So the member that receives a call first reads at the
+//! leader which order was the hall's last, and its command names that order. A command takes effect only if the order it
+//! names is still the last one. So a command that is repeated, delayed or committed late has no effect once a newer
+//! order was applied.
 
 use std::collections::BTreeMap;
 
@@ -15,21 +15,21 @@
 /// An order to evacuate a data hall, or its withdrawal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuationOrder {
-    /// The hall.
+    /// The data hall.
     pub data_hall: String,
     /// True for the order, false for its withdrawal.
     pub evacuate: bool,
-    /// Revision of the hall's last order when the call came in; 0 if it never had one.
+    /// Revision of the hall's last order when the call was received; 0 if it had none.
     pub after: Revision,
 }
 
-/// What became of an order.
+/// Result of applying an order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderVerdict {
-    /// The hall is as the order wants it, by this or an earlier order.
+    /// The hall is in the ordered state, by this or an earlier order.
     InForce,
-    /// Another order took effect since the call came in; this one never will.
+    /// Another order was applied since the call was received, so this one has no effect.
     Overtaken,
 }
 
@@ -38,21 +38,21 @@
 pub struct HallOrder {
     /// Whether the hall is evacuated.
     pub evacuated: bool,
-    /// Revision since which it is so; 0 if it never was otherwise.
+    /// Revision that brought it into this state; 0 if it never was in the other one.
     pub since: Revision,
     /// Revision of the order.
     pub at: Revision,
-    /// Whether it was withdrawn so long ago that its targets are surely warm. The log has no clock, and a
-    /// member that starts knows of no time before that, so the leader says so once.
+    /// Whether the withdrawal is so long ago that none of the hall's targets is still cold. The log has no clock, and a
+    /// restarted member can't know how much time passed before, so the leader records this once.
     pub warm_again: bool,
 }
 
-/// A data hall whose targets are surely warm since it was taken back into use.
+/// A data hall whose targets are no longer cold after its evacuation was withdrawn.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct WarmAgain {
-    /// The hall.
+    /// The data hall.
     pub data_hall: String,
-    /// Revision that took it back.
+    /// Revision of the withdrawal.
     pub since: Revision,
 }
 
@@ -64,12 +64,12 @@
 }
 
 impl Evacuations {
-    /// Revision that last changed anything for a hall; 0 before the first.
+    /// Revision that last changed the state of a hall; 0 before the first change.
     pub fn revision(&self) -> Revision {
         self.revision
     }
 
-    /// Halls with their last orders, by name.
+    /// All halls that had orders, by name, with their last ones.
     pub fn halls(&self) -> impl Iterator<Item = (&str, HallOrder)> {
         self.halls.iter().map(|(hall, order)| (hall.as_str(), *order))
     }
@@ -79,27 +79,27 @@
         self.halls.get(data_hall).is_some_and(|order| order.evacuated)
     }
 
-    /// Revision of a hall's last order; 0 if it never had one.
+    /// Revision of a hall's last order; 0 if it had none.
     pub fn last_order(&self, data_hall: &str) -> Revision {
         self.halls.get(data_hall).map_or(0, |order| order.at)
     }
 
-    /// Applies an order that stands in the log at `index`.
+    /// Applies the order of the log entry at `index`.
     pub fn apply(&mut self, index: Revision, order: EvacuationOrder) -> OrderVerdict {
-        let as_wanted = self.evacuated(&order.data_hall) == order.evacuate;
+        let in_force = self.evacuated(&order.data_hall) == order.evacuate;
         if self.last_order(&order.data_hall) != order.after {
-            return if as_wanted { OrderVerdict::InForce } else { OrderVerdict::Overtaken };
+            return if in_force { OrderVerdict::InForce } else { OrderVerdict::Overtaken };
         }
         let known = self.halls.get(&order.data_hall);
-        let since = if as_wanted { known.map_or(0, |known| known.since) } else { index };
+        let since = if in_force { known.map_or(0, |known| known.since) } else { index };
         self.revision = self.revision.max(since);
-        let warm_again = as_wanted && known.is_some_and(|known| known.warm_again);
+        let warm_again = in_force && known.is_some_and(|known| known.warm_again);
         let last = HallOrder { evacuated: order.evacuate, since, at: index, warm_again };
         self.halls.insert(order.data_hall, last);
         OrderVerdict::InForce
     }
 
-    /// Halls that were taken back and whose targets may still be cold.
+    /// Halls whose evacuation was withdrawn and whose targets may still be cold.
     pub fn returning(&self) -> impl Iterator<Item = WarmAgain> {
         let returning =
             |order: &HallOrder| !order.evacuated && order.since > 0 && !order.warm_again;
@@ -107,7 +107,7 @@
         halls.map(|(hall, order)| WarmAgain { data_hall: hall.clone(), since: order.since })
     }
 
-    /// Notes halls whose targets are surely warm, unless they had an order since.
+    /// Marks halls as warm again, unless their state changed since.
     pub fn mark_warm(&mut self, halls: &[WarmAgain]) {
         for warm in halls {
             if let Some(order) = self.halls.get_mut(&warm.data_hall)
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,20 +1,20 @@
-//! Placement: which engine has which model loaded, decided from the templates in force.
+//! Placement: decides from the templates in force which engine loads which model.
 //!
-//! An engine serves one model in one version, with all the adapters that templates ask for on it.
+//! An engine serves one model in one version, with the adapters that templates request for it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::template::{Spec, Template};
 
-/// Most adapters on one engine.
+/// Maximum number of adapters on one engine.
 const MAX_ADAPTERS: usize = 32;
 
-/// An engine that may be given work.
+/// An engine that models may be placed on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Engine {
     /// Its name.
     pub name: String,
-    /// What it has loaded.
+    /// Models with adapters that it has loaded.
     pub loaded: BTreeSet<Spec>,
 }
 
@@ -25,18 +25,18 @@
     }
 }
 
-/// A change of what one engine has loaded.
+/// A change of the models that one engine has loaded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     /// The engine.
     pub engine: String,
-    /// All that it is to have loaded.
+    /// Everything that it must have loaded after the change.
     pub to: BTreeSet<Spec>,
-    /// Whether it unloads what it serves, so that it must be idle first.
+    /// Whether it unloads the model that it serves, for which it must be idle.
     pub unloads: bool,
 }
 
-/// What teams ask for: each model and version with its adapters and its weight.
+/// The demand of all teams: for each model and version its adapters and its weight.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Demand(BTreeMap<Spec, Wanted>);
 
@@ -47,7 +47,7 @@
 }
 
 impl Demand {
-    /// The demand of all templates; each team weighs as much as its share.
+    /// The demand of all templates, in which the weight of a team is its share.
     pub fn of<'a>(templates: impl IntoIterator<Item = &'a Template>) -> Self {
         let mut demand = Demand::default();
         for template in templates {
@@ -66,8 +66,8 @@
         wanted.specs.insert(spec);
     }
 
-    /// Number of engines for each model and version, by largest quotient (Sainte-Laguë), so that
-    /// each gets one before any gets a second where there are enough.
+    /// Number of engines for each model and version, by the Sainte-Laguë method. If there are enough engines, each model
+    /// gets one before any gets a second.
     pub fn quotas(&self, engines: usize) -> BTreeMap<Spec, usize> {
         let mut quotas: BTreeMap<Spec, usize> =
             self.0.keys().map(|base| (base.clone(), 0)).collect();
@@ -84,8 +84,8 @@
         quotas
     }
 
-    /// All that an engine of `base` is to have loaded.
-    fn load(&self, base: &Spec) -> BTreeSet<Spec> {
+    /// Everything that an engine serving `base` must load.
+    fn to_load(&self, base: &Spec) -> BTreeSet<Spec> {
         let specs = self.0.get(base).map(|wanted| &wanted.specs);
         specs.into_iter().flatten().take(MAX_ADAPTERS).cloned().collect()
     }
@@ -98,34 +98,34 @@
     }
 }
 
-/// The changes that bring `engines` to the demand, with as few unloads as there can be.
+/// The changes that adapt `engines` to the demand, with as few unloads as possible.
 ///
-/// An engine that serves a model nobody has too many of stays, and so does one too many, unless
-/// some model lacks more than one engine or has none: loads cost caches. At most `max_unloads`
-/// changes unload a model.
+/// An unload loses the engine's caches. So an engine keeps its model while the model does not exceed its quota. A model
+/// keeps a surplus engine too, unless another model lacks more than one engine or has none. At most `max_unloads` changes
+/// unload a model.
 pub fn plan(demand: &Demand, engines: &[Engine], max_unloads: usize) -> Vec<Change> {
-    let mut lacking = demand.quotas(engines.len());
-    let mut free = Vec::new();
+    let mut missing = demand.quotas(engines.len());
+    let mut spare = Vec::new();
     let mut changes = Vec::new();
     for engine in engines {
-        let base = engine.base().filter(|base| lacking.get(base).is_some_and(|left| *left > 0));
+        let base = engine.base().filter(|base| missing.get(base).is_some_and(|left| *left > 0));
         match base {
             Some(base) => {
-                *lacking.entry(base.clone()).or_default() -= 1;
+                *missing.entry(base.clone()).or_default() -= 1;
                 changes.extend(missing_adapters(demand, engine, &base));
             }
-            None => free.push(engine),
+            None => spare.push(engine),
         }
     }
     let mut served: BTreeSet<Spec> = engines.iter().filter_map(Engine::base).collect();
     let mut unloads = 0;
-    for engine in order_free(free, demand) {
-        let Some(base) = neediest(&lacking, &served) else {
+    for engine in order_spare(spare, demand) {
+        let Some(base) = most_lacking(&missing, &served) else {
             break;
         };
         let serves = engine.base().filter(|base| demand.0.contains_key(base));
-        if serves.is_some() && lacking[&base] <= 1 && served.contains(&base) {
-            // One engine too many here and one too few there: not worth the cache.
+        if serves.is_some() && missing[&base] <= 1 && served.contains(&base) {
+            // A surplus of one engine here and a lack of one there do not justify the loss of the cache.
             continue;
         }
         if !engine.loaded.is_empty() {
@@ -134,37 +134,37 @@
             }
             unloads += 1;
         }
-        *lacking.entry(base.clone()).or_default() -= 1;
+        *missing.entry(base.clone()).or_default() -= 1;
         served.insert(base.clone());
         changes.push(Change {
             engine: engine.name.clone(),
-            to: demand.load(&base),
+            to: demand.to_load(&base),
             unloads: !engine.loaded.is_empty(),
         });
     }
     changes
 }
 
-/// Engines that serve nothing wanted come first, since they lose nothing.
-fn order_free<'a>(mut free: Vec<&'a Engine>, demand: &Demand) -> Vec<&'a Engine> {
-    free.sort_by_key(|engine| engine.base().is_some_and(|base| demand.0.contains_key(&base)));
-    free
+/// Sorts engines that serve no model in demand first, since an unload loses nothing there.
+fn order_spare<'a>(mut spare: Vec<&'a Engine>, demand: &Demand) -> Vec<&'a Engine> {
+    spare.sort_by_key(|engine| engine.base().is_some_and(|base| demand.0.contains_key(&base)));
+    spare
 }
 
-/// The model that lacks most engines; one that no engine serves comes first.
-fn neediest(lacking: &BTreeMap<Spec, usize>, served: &BTreeSet<Spec>) -> Option<Spec> {
-    let lacking = lacking.iter().filter(|(_, left)| **left > 0);
-    let neediest = lacking.max_by_key(|(base, left)| (!served.contains(base), **left));
-    neediest.map(|(base, _)| base.clone())
+/// The model that lacks the most engines; models that no engine serves come first.
+fn most_lacking(missing: &BTreeMap<Spec, usize>, served: &BTreeSet<Spec>) -> Option<Spec> {
+    let missing = missing.iter().filter(|(_, left)| **left > 0);
+    let most_lacking = missing.max_by_key(|(base, left)| (!served.contains(base), **left));
+    most_lacking.map(|(base, _)| base.clone())
 }
 
-/// Adapters can be added to an engine while it works.
+/// The change that adds adapters to an engine that keeps its model, if it lacks any. It need not be idle for this.
 fn missing_adapters(demand: &Demand, engine: &Engine, base: &Spec) -> Option<Change> {
-    let wanted = demand.load(base);
+    let wanted = demand.to_load(base);
     if wanted.is_subset(&engine.loaded) {
         return None;
     }
-    let kept = engine.loaded.difference(&wanted).cloned();
-    let to = wanted.iter().cloned().chain(kept).take(MAX_ADAPTERS).collect();
+    let others = engine.loaded.difference(&wanted).cloned();
+    let to = wanted.iter().cloned().chain(others).take(MAX_ADAPTERS).collect();
     Some(Change { engine: engine.name.clone(), to, unloads: false })
 }
--- a/src/router/answers.rs
+++ b/src/router/answers.rs
@@ -5,7 +5,7 @@
 
 use salvo::hyper::body::Bytes;
 
-use crate::claims::{RequestKey, WINDOW};
+use crate::claims::{CLAIM_WINDOW, RequestKey};
 
 /// Most bytes of answers kept.
 const MAX_BYTES: usize = 8 * 1024 * 1024;
@@ -48,7 +48,7 @@
 
     fn make_room(&mut self, now: Duration) {
         while let Some((since, key)) = self.order.front().copied() {
-            if self.bytes <= MAX_BYTES && now < since + WINDOW {
+            if self.bytes <= MAX_BYTES && now < since + CLAIM_WINDOW {
                 return;
             }
             self.order.pop_front();
--- a/src/sampler.rs
+++ b/src/sampler.rs
@@ -1,32 +1,32 @@
-//! Thins out log lines of one kind while there are very many of them.
+//! Samples log lines of one kind when there are very many of them.
 
 use std::time::Duration;
 
-/// Length of the span that lines are counted in.
-const SPAN: Duration = Duration::from_secs(1);
-/// Lines of a span that are all kept.
-const ALL_KEPT: u32 = 200;
-/// Of the lines beyond, one in so many is kept.
-const ONE_IN: u32 = 20;
+/// Length of the window in which lines are counted.
+const WINDOW: Duration = Duration::from_secs(1);
+/// Number of lines per window that are all kept.
+const MAX_UNSAMPLED: u32 = 200;
+/// Of the lines above [`MAX_UNSAMPLED`], one in so many is kept.
+const SAMPLING_RATIO: u32 = 20;
 
-/// Counts the lines of one kind.
+/// Counts the lines of one kind and decides which are logged.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Sampler {
-    span: u64,
+    window: u64,
     lines: u32,
 }
 
 impl Sampler {
-    /// Whether to keep a line, and how many lines it stands for.
+    /// Counts a line. Returns how many lines it represents if it is to be logged, `None` if not.
     pub fn keep(&mut self, now: Duration) -> Option<u32> {
-        let span = (now.as_nanos() / SPAN.as_nanos()) as u64;
-        if span != self.span {
-            *self = Sampler { span, lines: 0 };
+        let window = (now.as_nanos() / WINDOW.as_nanos()) as u64;
+        if window != self.window {
+            *self = Sampler { window, lines: 0 };
         }
         self.lines += 1;
-        if self.lines <= ALL_KEPT {
+        if self.lines <= MAX_UNSAMPLED {
             return Some(1);
         }
-        self.lines.is_multiple_of(ONE_IN).then_some(ONE_IN)
+        self.lines.is_multiple_of(SAMPLING_RATIO).then_some(SAMPLING_RATIO)
     }
 }
--- a/src/start.rs
+++ b/src/start.rs
@@ -1,28 +1,28 @@
-//! What every role needs at its start: addresses to listen on, and metrics.
+//! Start of a process of any role: listening sockets and start-up errors.
 
 use std::net::SocketAddr;
 
 use tokio::net::TcpListener;
 
-/// A role can't start.
+/// A process can't start.
 #[derive(Debug, thiserror::Error)]
 pub enum StartError {
-    /// A setting that the checks demand is missing.
-    #[error("{field}: missing")]
+    /// A setting that this role requires is missing.
+    #[error("{field}: required setting is missing")]
     Missing {
-        /// The setting.
+        /// Name of the setting.
         field: &'static str,
     },
-    /// An address can't be listened on.
-    #[error("listen {addr}: {source}")]
+    /// The process can't listen on an address.
+    #[error("can't listen on {addr}: {source}")]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The metrics library refused a name.
-    #[error("metrics: {0}")]
+    /// The metrics library refused to register a metric.
+    #[error("can't register a metric: {0}")]
     Metrics(#[from] prometheus::Error),
 }
 
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use latchmount::choice::{Candidate, Key, NameHash, cap, choose, score};
-use latchmount::claims::{Claim, Claims, Release, RequestKey, Verdict, WINDOW};
+use latchmount::claims::{CLAIM_WINDOW, Claim, Claims, Release, RequestKey, Verdict};
 use latchmount::orders::{ORDER_TIMEOUT, Orders};
 use latchmount::placement::{Change, Demand, Engine, plan};
 use latchmount::queue::Queue;
@@ -248,7 +248,7 @@
     fn claims_are_those_of_a_list_of_all_claims_ever(
         steps in vec((0u64..5, 0u8..3, 0u8..2, 0u64..4, any::<bool>()), 1..80),
     ) {
-        let window = WINDOW.as_millis() as u64;
+        let window = CLAIM_WINDOW.as_millis() as u64;
         let mut claims = Claims::default();
         let mut naive: Vec<(RequestKey, u64, u64)> = Vec::new();
         let mut granted: BTreeMap<RequestKey, BTreeSet<u64>> = BTreeMap::new();
