--- a/src/availability.rs
+++ b/src/availability.rs
@@ -174,7 +174,7 @@
     }
 
     /// The part of the report that may come from the next incarnation under the same identity: a back-off requested
-    /// within [`UNLISTED_WINDOW`], since a new incarnation may answer before the list of targets shows it.
+    /// within `UNLISTED_WINDOW`, since a new incarnation may answer before the list of targets shows it.
     pub fn next_incarnation_report(&self, now: Duration) -> Option<OwnReport> {
         let backoff =
             self.reported.backoff.filter(|backoff| now < backoff.requested_at + UNLISTED_WINDOW);
--- a/src/poison/log.rs
+++ b/src/poison/log.rs
@@ -9,7 +9,7 @@
     let all = tracker.take_block_changes();
     for change in &all {
         let event = if change.blocked { "poison_blocked" } else { "poison_free" };
-        info!(log, "block of a request under which targets crash changed"; "event" => event,
+        info!(log, "block of a poison request changed"; "event" => event,
             "fingerprint" => %change.suspect.fingerprint, "team" => &change.suspect.team,
             "route" => &change.suspect.route, "ends" => change.crashes);
     }
