--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -179,16 +179,16 @@
                 self.listed()
             }
             Command::WarmAgain(halls) => {
-                self.evacuations.note_warm(&halls);
+                self.evacuations.mark_warm(&halls);
                 self.listed()
             }
             Command::Rollout(order) => {
-                let verdict = self.rollouts.order(index, order);
+                let verdict = self.rollouts.apply_order(index, order);
                 self.revision = self.revision.max(self.rollouts.revision());
                 Answer::Rollout(verdict)
             }
             Command::RolloutStep(step) => {
-                self.rollouts.step(index, &step);
+                self.rollouts.apply_step(index, &step);
                 self.revision = self.revision.max(self.rollouts.revision());
                 Answer::Listed
             }
@@ -204,10 +204,10 @@
         }
     }
 
-    /// Raises the level. At [`Level::STARTS`], the directory then expects the known targets to report their
+    /// Raises the level. At [`Level::INCARNATIONS`], the directory then expects the known targets to report their
     /// start times with their next announcement, which the base level could not hold.
     fn raise(&mut self, level: Level) {
-        if self.level < Level::STARTS && level >= Level::STARTS {
+        if self.level < Level::INCARNATIONS && level >= Level::INCARNATIONS {
             self.directory.expect_start_times();
         }
         self.level = self.level.max(level);
