--- a/src/control/member.rs
+++ b/src/control/member.rs
@@ -41,7 +41,7 @@
     inputs: Sender<Input>,
     revision: watch::Receiver<Revision>,
     published: watch::Receiver<Published>,
-    standing: watch::Receiver<Standing>,
+    leadership: watch::Receiver<Leadership>,
 }
 
 /// What the store holds, for readers that must not wait for the disk.
@@ -74,7 +74,7 @@
 
 /// What the member believes of the group.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Standing {
+pub(crate) struct Leadership {
     /// Newest term seen.
     pub(crate) term: u64,
     /// Whether this member leads.
@@ -85,7 +85,7 @@
     pub(crate) fresh_until: Option<Instant>,
 }
 
-impl Standing {
+impl Leadership {
     /// Whether what is published counts as fresh.
     pub(crate) fn fresh(&self, now: Instant) -> bool {
         self.fresh_until.is_some_and(|until| now < until)
@@ -117,7 +117,7 @@
         let (sent, outbox) = mpsc::unbounded_channel();
         let (revision, watched) = watch::channel(replica.store().revision());
         let (published, watched_published) = watch::channel(Published::default());
-        let (standing, watched_standing) = watch::channel(Standing::default());
+        let (leadership, watched_leadership) = watch::channel(Leadership::default());
         let (failed, failure) = oneshot::channel();
         let mut driver = Driver {
             started,
@@ -127,7 +127,7 @@
             sent,
             revision,
             published,
-            standing,
+            leadership,
             waiting: BTreeMap::new(),
             log: log.clone(),
         };
@@ -141,7 +141,7 @@
             inputs,
             revision: watched,
             published: watched_published,
-            standing: watched_standing,
+            leadership: watched_leadership,
         };
         Ok(Started { member, outbox, failed: failure })
     }
@@ -157,8 +157,8 @@
     }
 
     /// What the member believes of the group now.
-    pub(crate) fn standing(&self) -> Standing {
-        *self.standing.borrow()
+    pub(crate) fn leadership(&self) -> Leadership {
+        *self.leadership.borrow()
     }
 
     /// Hands over messages of other members.
@@ -215,7 +215,7 @@
     sent: mpsc::UnboundedSender<Vec<Envelope>>,
     revision: watch::Sender<Revision>,
     published: watch::Sender<Published>,
-    standing: watch::Sender<Standing>,
+    leadership: watch::Sender<Leadership>,
     /// Proposals under way, by index.
     waiting: BTreeMap<Index, Waiting>,
     log: Logger,
@@ -300,7 +300,7 @@
         let node = self.replica.node();
         let leader = node.leader().and_then(|id| node.members().get(id));
         let fresh_until = node.fresh_until(self.started.elapsed());
-        self.standing.send_replace(Standing {
+        self.leadership.send_replace(Leadership {
             term: node.hard().term,
             leads: node.role() == Role::Leader,
             leader: leader.map(|member| member.addr),
--- a/src/group/background.rs
+++ b/src/group/background.rs
@@ -65,7 +65,7 @@
     loop {
         tokio::time::sleep(JOIN_CHECK_INTERVAL).await;
         let now = Instant::now();
-        if shared.member.standing().fresh(now) {
+        if shared.member.leadership().fresh(now) {
             last_contact = now;
         }
         let member = shared.published().members.get(shared.store).is_some();
@@ -190,9 +190,9 @@
     let mut evacuations = 0;
     while published.changed().await.is_ok() {
         let now = published.borrow_and_update().clone();
-        let standing = shared.member.standing();
-        let term = standing.term;
-        if standing.leads && term != last_led_term {
+        let leadership = shared.member.leadership();
+        let term = leadership.term;
+        if leadership.leads && term != last_led_term {
             last_led_term = term;
             shared.metrics.elections.inc();
         }
--- a/src/group/endpoints.rs
+++ b/src/group/endpoints.rs
@@ -389,9 +389,9 @@
 }
 
 fn unavailable(shared: &Shared, call: &'static str) -> ApiResponse {
-    let standing = shared.member.standing();
+    let leadership = shared.member.leadership();
     warn!(shared.log, "call answered with status 503"; "event" => "unavailable", "call" => call,
-        "term" => standing.term, "leader" => ?standing.leader, "leads" => standing.leads);
+        "term" => leadership.term, "leader" => ?leadership.leader, "leads" => leadership.leads);
     let mut response =
         fault_response(StatusCode::SERVICE_UNAVAILABLE, &[Fault::new("", "no leader")]);
     response.headers_mut().insert(RETRY_AFTER, http::HeaderValue::from_static(RETRY_AFTER_S));
--- a/src/group/heartbeats.rs
+++ b/src/group/heartbeats.rs
@@ -85,10 +85,10 @@
 
     /// Whether this member may answer a heartbeat without asking the leader.
     fn can_answer_locally(&self, announcement: &Announcement) -> bool {
-        let standing = self.member.standing();
+        let leadership = self.member.leadership();
         let confirmed = || lock(&self.heard).confirmed_recently(self.now());
         let unchanged = || self.classify(announcement) != Heartbeat::News;
-        !standing.leads && standing.fresh(Instant::now()) && confirmed() && unchanged()
+        !leadership.leads && leadership.fresh(Instant::now()) && confirmed() && unchanged()
     }
 
     /// Whether an announcement uses the id of a target of another service, and so can't come from that target. A target
--- a/src/group/metrics.rs
+++ b/src/group/metrics.rs
@@ -185,14 +185,14 @@
     }
 
     fn render(&self, shared: &Shared) -> Vec<u8> {
-        let (published, standing) = (shared.published(), shared.member.standing());
+        let (published, leadership) = (shared.published(), shared.member.leadership());
         let voters = published.members.0.iter().filter(|one| one.standing == Standing::Voter);
         let version = published.version();
         let evacuated = published.evacuations.halls().filter(|(_, order)| order.evacuated);
         self.evacuated.set(evacuated.count() as i64);
-        self.term.set(standing.term as i64);
-        self.leads.set(i64::from(standing.leads));
-        self.has_leader.set(i64::from(standing.fresh(Instant::now())));
+        self.term.set(leadership.term as i64);
+        self.leads.set(i64::from(leadership.leads));
+        self.has_leader.set(i64::from(leadership.fresh(Instant::now())));
         self.applied.set(published.applied as i64);
         self.version.set(version as i64);
         self.voters.set(voters.count() as i64);
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -356,8 +356,8 @@
 
     /// Whether this member leads and it is certain that no other does.
     fn leads(&self) -> bool {
-        let standing = self.member.standing();
-        standing.leads && standing.fresh(Instant::now())
+        let leadership = self.member.leadership();
+        leadership.leads && leadership.fresh(Instant::now())
     }
 
     /// Addresses of the members of the group and of the seeds.
@@ -380,10 +380,10 @@
             if remaining.is_zero() {
                 return Err(Unavailable);
             }
-            let standing = self.member.standing();
-            let reply = if standing.leads {
+            let leadership = self.member.leadership();
+            let reply = if leadership.leads {
                 tokio::time::timeout(remaining, self.execute(call.clone())).await.ok()
-            } else if let Some(leader) = standing.leader {
+            } else if let Some(leader) = leadership.leader {
                 self.peers.call(leader, call.clone(), remaining.min(ATTEMPT_TIMEOUT)).await.ok()
             } else {
                 None
@@ -398,9 +398,9 @@
 
     /// Executes a call as the leader.
     async fn execute(&self, call: Call) -> Reply {
-        let standing = self.member.standing();
-        if !standing.leads {
-            return Reply::NotLeader(standing.leader);
+        let leadership = self.member.leadership();
+        if !leadership.leads {
+            return Reply::NotLeader(leadership.leader);
         }
         match call {
             Call::Propose(command) => self.propose_here(command).await,
--- a/src/group/update_sender.rs
+++ b/src/group/update_sender.rs
@@ -233,7 +233,7 @@
     }
 
     fn fresh(&self) -> bool {
-        self.shared.member.standing().fresh(Instant::now())
+        self.shared.member.leadership().fresh(Instant::now())
     }
 
     /// Picks a peer that can deliver the blob now, and takes one of its uploads.
