--- a/src/control/member.rs
+++ b/src/control/member.rs
@@ -1,4 +1,4 @@
-//! The thread that owns a member's replica: takes inputs in batches, one disk sync for each batch.
+//! The thread that owns a member's Raft replica. It handles inputs in batches, with one disk sync for each batch.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -21,21 +21,25 @@
 use crate::rpc::ControlError;
 use crate::store::{Answer, Command, Revision};
 
-/// Shortest time between two writes of the commit index.
-const REMEMBER_INTERVAL: Duration = Duration::from_millis(100);
-/// Most inputs in one batch.
+/// Minimum time between two writes of the commit index to disk.
+const COMMIT_SAVE_INTERVAL: Duration = Duration::from_millis(100);
+/// Maximum of inputs that are handled after the first one before the next disk sync.
 const MAX_BATCH: usize = 512;
 
 type Query = Box<dyn FnOnce(&mut Replica<BoxedDisk>, Time) + Send>;
 type AnswerSender = oneshot::Sender<Result<Answer, ControlError>>;
 
+/// An input of the replica's thread.
 enum Input {
+    /// Raft messages from other members.
     Deliver(Vec<Envelope>),
+    /// A command to replicate, and where its answer goes.
     Propose(Command, AnswerSender),
+    /// A function to run on the replica.
     Query(Query),
 }
 
-/// Handle of the thread.
+/// Handle of the thread that owns the replica.
 #[derive(Clone)]
 pub(crate) struct Member {
     inputs: Sender<Input>,
@@ -44,20 +48,20 @@
     leadership: watch::Receiver<Leadership>,
 }
 
-/// What the store holds, for readers that must not wait for the disk.
+/// Copy of the applied state, for readers that must not wait for the thread, which may be blocked on the disk.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Published {
-    /// What the group may use.
+    /// Feature level that the group may use.
     pub(crate) level: Level,
-    /// Last entry applied.
+    /// Index of the last applied entry.
     pub(crate) applied: Index,
-    /// Revision in force.
+    /// Current revision of the store.
     pub(crate) revision: Revision,
-    /// Configuration document held.
+    /// Configuration document in force.
     pub(crate) document: Option<Document>,
-    /// Targets that announced themselves.
+    /// Directory of the targets that announced themselves.
     pub(crate) directory: Directory,
-    /// Orders about data halls.
+    /// Evacuation orders for data halls.
     pub(crate) evacuations: Arc<Evacuations>,
     /// Roll-outs of services.
     pub(crate) rollouts: Arc<Rollouts>,
@@ -66,43 +70,43 @@
 }
 
 impl Published {
-    /// Version of the configuration that is held; 0 for none.
+    /// Version of the configuration in force; 0 for none.
     pub(crate) fn version(&self) -> u64 {
         self.document.as_ref().map_or(0, |document| document.version)
     }
 }
 
-/// What the member believes of the group.
+/// The term and leader of the group, as far as this member knows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Leadership {
     /// Newest term seen.
     pub(crate) term: u64,
     /// Whether this member leads.
     pub(crate) leads: bool,
-    /// Where the leader is reached, where known.
+    /// Address of the leader, if known.
     pub(crate) leader: Option<SocketAddr>,
-    /// Until when what is published counts as fresh.
+    /// Until when the published state counts as fresh; `None` without contact with a leader.
     pub(crate) fresh_until: Option<Instant>,
 }
 
 impl Leadership {
-    /// Whether what is published counts as fresh.
+    /// Whether the published state counts as fresh at `now`.
     pub(crate) fn fresh(&self, now: Instant) -> bool {
         self.fresh_until.is_some_and(|until| now < until)
     }
 }
 
-/// A member just started.
+/// A member whose thread was just started.
 pub(crate) struct Started {
-    /// Handle of its thread.
+    /// Handle of the thread.
     pub(crate) member: Member,
-    /// Messages to send.
+    /// Messages for other members, which the caller must send.
     pub(crate) outbox: Outbox,
-    /// Gets the error that stops the thread.
+    /// Receives the disk error that stops the thread.
     pub(crate) failed: oneshot::Receiver<WalError>,
 }
 
-/// Messages to send, in batches.
+/// Messages for other members, in batches.
 pub(crate) type Outbox = mpsc::UnboundedReceiver<Vec<Envelope>>;
 
 impl Member {
@@ -114,26 +118,26 @@
         let started = Instant::now();
         let replica = open(Time::ZERO)?;
         let (inputs, received) = channel();
-        let (sent, outbox) = mpsc::unbounded_channel();
+        let (outbox_sender, outbox) = mpsc::unbounded_channel();
         let (revision, watched) = watch::channel(replica.store().revision());
         let (published, watched_published) = watch::channel(Published::default());
         let (leadership, watched_leadership) = watch::channel(Leadership::default());
         let (failed, failure) = oneshot::channel();
         let mut driver = Driver {
             started,
-            remembered_at: started,
+            commit_saved_at: started,
             role: replica.node().role(),
             replica,
-            sent,
+            outbox: outbox_sender,
             revision,
             published,
             leadership,
-            waiting: BTreeMap::new(),
+            pending: BTreeMap::new(),
             log: log.clone(),
         };
         std::thread::spawn(move || {
             if let Err(error) = driver.run(&received) {
-                error!(driver.log, "member stops"; "event" => "disk_failed", "error" => %error);
+                error!(driver.log, "disk failed; member stops"; "event" => "disk_failed", "error" => %error);
                 let _ = failed.send(error);
             }
         });
@@ -146,27 +150,29 @@
         Ok(Started { member, outbox, failed: failure })
     }
 
-    /// Changes with each revision applied.
+    /// Watches the revision of the store.
     pub(crate) fn revision(&self) -> watch::Receiver<Revision> {
         self.revision.clone()
     }
 
-    /// Changes with each entry applied.
+    /// Watches the published state, which changes with each applied entry and each change of the members.
     pub(crate) fn published(&self) -> watch::Receiver<Published> {
         self.published.clone()
     }
 
-    /// What the member believes of the group now.
+    /// The term and leader that the member knows of now.
     pub(crate) fn leadership(&self) -> Leadership {
         *self.leadership.borrow()
     }
 
-    /// Hands over messages of other members.
+    /// Passes messages from other members to the replica.
     pub(crate) fn deliver(&self, messages: Vec<Envelope>) {
         let _ = self.inputs.send(Input::Deliver(messages));
     }
 
-    /// Proposes a command and waits for its answer.
+    /// Proposes a command and waits until it is applied, for its answer.
+    ///
+    /// [`ControlError::Unknown`] means that the command may or may not take effect.
     pub(crate) async fn propose(&self, command: Command) -> Result<Answer, ControlError> {
         let (sender, answer) = oneshot::channel();
         let sent = self.inputs.send(Input::Propose(command, sender));
@@ -174,21 +180,21 @@
         answer.await.unwrap_or(Err(ControlError::Unknown))
     }
 
-    /// Runs `ask` on the replica.
+    /// Runs `function` on the replica, in its thread.
     pub(crate) async fn query<T: Send + 'static>(
         &self,
-        ask: impl FnOnce(&mut Replica<BoxedDisk>, Time) -> T + Send + 'static,
+        function: impl FnOnce(&mut Replica<BoxedDisk>, Time) -> T + Send + 'static,
     ) -> Result<T, ControlError> {
         let (sender, answer) = oneshot::channel();
         let query: Query = Box::new(move |replica, now| {
-            let _ = sender.send(ask(replica, now));
+            let _ = sender.send(function(replica, now));
         });
         let sent = self.inputs.send(Input::Query(query));
         sent.map_err(|_| ControlError::Stopping)?;
         answer.await.map_err(|_| ControlError::Stopping)
     }
 
-    /// Makes this blank member the first of a new group.
+    /// Initializes this blank member as the first of a new group. Fails if it belongs to a group already.
     pub(crate) async fn form(&self, group: GroupId, members: Members) -> Result<(), ControlError> {
         self.query(move |replica, _| {
             if !replica.blank() {
@@ -201,36 +207,40 @@
     }
 }
 
-struct Waiting {
+/// A proposal that is not applied yet.
+struct PendingProposal {
+    /// Term of the proposed entry: another entry may be committed at its index in a later term.
     term: u64,
     answer: AnswerSender,
 }
 
+/// State of the thread.
 struct Driver<D: Disk> {
+    /// Start of the replica's clock.
     started: Instant,
-    /// When the commit index was last put on disk.
-    remembered_at: Instant,
+    /// When the commit index was last written to disk.
+    commit_saved_at: Instant,
     replica: Replica<D>,
     role: Role,
-    sent: mpsc::UnboundedSender<Vec<Envelope>>,
+    outbox: mpsc::UnboundedSender<Vec<Envelope>>,
     revision: watch::Sender<Revision>,
     published: watch::Sender<Published>,
     leadership: watch::Sender<Leadership>,
-    /// Proposals under way, by index.
-    waiting: BTreeMap<Index, Waiting>,
+    /// Proposals that are not applied yet, by log index.
+    pending: BTreeMap<Index, PendingProposal>,
     log: Logger,
 }
 
 impl Driver<BoxedDisk> {
-    /// Runs until every handle is gone or the disk fails.
+    /// Runs until every handle is dropped or the disk fails.
     fn run(&mut self, inputs: &Receiver<Input>) -> Result<(), WalError> {
         self.flush()?;
         loop {
             let wait = self.replica.node().next_tick().saturating_sub(self.started.elapsed());
             match inputs.recv_timeout(wait) {
                 Ok(input) => {
-                    self.take(input);
-                    inputs.try_iter().take(MAX_BATCH).for_each(|input| self.take(input));
+                    self.handle(input);
+                    inputs.try_iter().take(MAX_BATCH).for_each(|input| self.handle(input));
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return Ok(()),
@@ -240,14 +250,14 @@
                 self.replica.tick(now);
             }
             self.flush()?;
-            if self.remembered_at.elapsed() >= REMEMBER_INTERVAL {
-                self.remembered_at = Instant::now();
+            if self.commit_saved_at.elapsed() >= COMMIT_SAVE_INTERVAL {
+                self.commit_saved_at = Instant::now();
                 self.replica.remember_commit()?;
             }
         }
     }
 
-    fn take(&mut self, input: Input) {
+    fn handle(&mut self, input: Input) {
         let now = self.started.elapsed();
         match input {
             Input::Deliver(messages) => {
@@ -263,7 +273,7 @@
     fn propose(&mut self, now: Time, command: Command, answer: AnswerSender) {
         match self.replica.propose(now, command) {
             Ok(Position { term, index }) => {
-                self.waiting.insert(index, Waiting { term, answer });
+                self.pending.insert(index, PendingProposal { term, answer });
             }
             Err(not_leader) => {
                 let members = self.replica.node().members();
@@ -274,28 +284,30 @@
         }
     }
 
+    /// Syncs the log to disk, then sends the messages and answers that had to wait for it.
     fn flush(&mut self) -> Result<(), WalError> {
         let (messages, answered) = self.replica.flush()?;
         if !messages.is_empty() {
-            let _ = self.sent.send(messages);
+            let _ = self.outbox.send(messages);
         }
         for answered in answered {
-            if let Some(waiting) = self.waiting.remove(&answered.at.index) {
-                let lost = waiting.term != answered.at.term;
-                let answer = if lost { Err(ControlError::Unknown) } else { Ok(answered.answer) };
-                let _ = waiting.answer.send(answer);
+            if let Some(pending) = self.pending.remove(&answered.at.index) {
+                let overwritten = pending.term != answered.at.term;
+                let answer =
+                    if overwritten { Err(ControlError::Unknown) } else { Ok(answered.answer) };
+                let _ = pending.answer.send(answer);
             }
         }
-        self.note_role();
+        self.update_role();
         self.publish();
         let revision = self.replica.store().revision();
         self.revision.send_if_modified(|known| std::mem::replace(known, revision) != revision);
         Ok(())
     }
 
-    /// Shows what the member believes, and what was applied.
+    /// Publishes the leadership, then the applied state.
     ///
-    /// In this order, so that who sees an entry applied sees at least as new a leader.
+    /// The order ensures that a reader who sees an entry applied also sees the leadership at that time or later.
     fn publish(&mut self) {
         let node = self.replica.node();
         let leader = node.leader().and_then(|id| node.members().get(id));
@@ -309,37 +321,37 @@
         let applied = self.replica.applied().index;
         let store = self.replica.store();
         let members = self.replica.node().members();
-        self.published.send_if_modified(|shown| {
-            if shown.applied == applied && shown.members == *members {
+        self.published.send_if_modified(|current| {
+            if current.applied == applied && current.members == *members {
                 return false;
             }
-            shown.members.clone_from(members);
-            if shown.directory.revision() != store.directory().revision() {
-                shown.directory.clone_from(store.directory());
+            current.members.clone_from(members);
+            if current.directory.revision() != store.directory().revision() {
+                current.directory.clone_from(store.directory());
             }
-            if *shown.evacuations != *store.evacuations() {
-                shown.evacuations = Arc::new(store.evacuations().clone());
+            if *current.evacuations != *store.evacuations() {
+                current.evacuations = Arc::new(store.evacuations().clone());
             }
-            if *shown.rollouts != *store.rollouts() {
-                shown.rollouts = Arc::new(store.rollouts().clone());
+            if *current.rollouts != *store.rollouts() {
+                current.rollouts = Arc::new(store.rollouts().clone());
             }
-            shown.applied = applied;
-            shown.level = store.level();
-            shown.revision = store.revision();
-            shown.document = store.document().cloned();
+            current.applied = applied;
+            current.level = store.level();
+            current.revision = store.revision();
+            current.document = store.document().cloned();
             true
         });
     }
 
-    /// Logs a change of role; proposals of a leader that lost its place have an unknown outcome.
-    fn note_role(&mut self) {
+    /// Logs a change of role. Answers the pending proposals of a leader that was deposed: their outcome is unknown.
+    fn update_role(&mut self) {
         let role = self.replica.node().role();
         if role == self.role {
             return;
         }
         if self.role == Role::Leader {
-            for (_, waiting) in std::mem::take(&mut self.waiting) {
-                let _ = waiting.answer.send(Err(ControlError::Unknown));
+            for (_, pending) in std::mem::take(&mut self.pending) {
+                let _ = pending.answer.send(Err(ControlError::Unknown));
             }
         }
         self.role = role;
--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -1,10 +1,11 @@
-//! A control member: one of the few processes that hold a partner's durable state.
+//! A member of a control group: one of the few processes that replicate the durable state of a partner
+//! (an organization that shares capacity with others) and answer RPC calls of routers and operators.
 
-mod calls;
 pub(crate) mod member;
 mod peers;
-mod placing;
+mod placement_runner;
 mod registry;
+mod rpc_handler;
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -18,32 +19,32 @@
 use crate::rpc::{ControlServer, MAX_CALL_BYTES};
 use crate::settings::{ControlSettings, Settings};
 
-use self::calls::Calls;
 use self::member::Member;
+use self::rpc_handler::RpcHandler;
 
-/// Most connections of members, routers and operators; the target is 340 routers.
+/// Maximum of open connections from members, routers and operators, sized for 340 routers.
 const MAX_CONNECTIONS: u32 = 4_096;
 
-/// A control member can't start, or had to stop.
+/// The reason why a control member can't start or had to stop.
 #[derive(Debug, thiserror::Error)]
 pub enum MemberError {
-    /// The data folder can't be used.
+    /// The data folder can't be opened.
     #[error("data folder {path}: {source}")]
     Folder {
         /// The folder.
         path: PathBuf,
-        /// Why.
+        /// The error of the file system.
         source: std::io::Error,
     },
     /// The log can't be read or written.
     #[error(transparent)]
     Wal(#[from] WalError),
-    /// The address can't be listened on.
+    /// The address can't be bound.
     #[error("control.listen {addr}: {source}")]
     Listen {
         /// The address.
         addr: SocketAddr,
-        /// Why.
+        /// The error of the operating system.
         source: std::io::Error,
     },
 }
@@ -55,10 +56,10 @@
 }
 
 impl Control {
-    /// Recovers the member and starts to listen.
+    /// Recovers the member's state from disk and starts to listen.
     ///
     /// # Errors
-    /// [`MemberError`] when the data folder or the address can't be used.
+    /// [`MemberError`] when the data folder or the log can't be read, or the address can't be bound.
     pub async fn start(
         settings: &Settings,
         control: &ControlSettings,
@@ -87,15 +88,16 @@
             .build();
         let listening = Server::builder().set_config(config).build(addr).await;
         let server = listening.map_err(|source| MemberError::Listen { addr, source })?;
-        let calls = Arc::new(Calls::new(settings, control, started.member, log.clone()));
-        peers::start(&calls, started.outbox, &log);
-        tokio::spawn(placing::run(calls.clone()));
-        let server = server.start(ControlServer::into_rpc(calls));
+        let handler = Arc::new(RpcHandler::new(settings, control, started.member, log.clone()));
+        peers::start(&handler, started.outbox, &log);
+        tokio::spawn(placement_runner::run(handler.clone()));
+        let server = server.start(ControlServer::into_rpc(handler));
         info!(log, "control member listening"; "event" => "control_started");
         Ok(Control { server, failed: started.failed })
     }
 
-    /// Waits until the member had to stop because its disk failed.
+    /// Waits until the member stops because its disk failed, and returns the error. Pends for ever if it
+    /// stops without an error.
     pub async fn failed(&mut self) -> WalError {
         match (&mut self.failed).await {
             Ok(error) => error,
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Sends a member's messages to the others, and asks to be brought in while it belongs to no group.
+//! Sends a member's Raft messages to the other members, and asks them to admit it while it is no voter.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,43 +8,43 @@
 use slog::{Logger, warn};
 use tokio::sync::mpsc;
 
-use super::calls::{AddressBook, Calls};
 use super::member::{Member, Outbox};
+use super::rpc_handler::{AddressBook, RpcHandler};
 use crate::raft::{Envelope, Members, StoreId};
 use crate::rpc::{ControlClient, Newcomer, connect};
 
-/// Batches that wait for a peer; what does not fit is dropped, as the protocol allows.
+/// Maximum of batches queued for a peer. Further ones are dropped; Raft tolerates lost messages.
 const QUEUE_LEN: usize = 64;
-/// Longest time for one delivery.
+/// Timeout of one call to a peer.
 const DELIVERY_TIMEOUT: Duration = Duration::from_secs(2);
-/// Between two requests to be brought in.
+/// Interval between two requests to be admitted.
 const JOIN_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Starts the tasks.
-pub(super) fn start(calls: &Calls, outbox: Outbox, log: &Logger) {
+/// Starts the tasks that send messages and ask for admission.
+pub(super) fn start(handler: &RpcHandler, outbox: Outbox, log: &Logger) {
     let sender = Sender {
-        member: calls.member().clone(),
-        own: calls.addr(),
-        key: calls.key().to_owned(),
-        book: calls.address_book(),
+        member: handler.member().clone(),
+        own_addr: handler.addr(),
+        key: handler.key().to_owned(),
+        addresses: handler.address_book(),
         log: log.clone(),
     };
-    tokio::spawn(join(sender.clone(), calls.others()));
+    tokio::spawn(join(sender.clone(), handler.other_members()));
     tokio::spawn(sender.dispatch(outbox));
 }
 
-/// What the tasks share.
+/// State shared by the tasks.
 #[derive(Clone)]
 struct Sender {
     member: Member,
-    own: SocketAddr,
+    own_addr: SocketAddr,
     key: String,
-    book: AddressBook,
+    addresses: AddressBook,
     log: Logger,
 }
 
 impl Sender {
-    /// Gives each message to the queue of its receiver's address.
+    /// Adds each message to the queue of its receiver's address; a message without a known address is dropped.
     async fn dispatch(self, mut outbox: Outbox) {
         let mut queues: BTreeMap<SocketAddr, mpsc::Sender<Vec<Envelope>>> = BTreeMap::new();
         while let Some(messages) = outbox.recv().await {
@@ -70,19 +70,21 @@
         }
     }
 
-    /// Where `id` takes calls, by the members or else by its own word.
+    /// Address of `id`: from the group's list of members, else the one that it sent with its own messages.
     fn address(&self, members: &Members, id: StoreId) -> Option<SocketAddr> {
         let known = members.get(id).map(|member| member.addr);
-        let told = || self.book.lock().unwrap_or_else(PoisonError::into_inner).get(&id).copied();
-        known.or_else(told)
+        let reported =
+            || self.addresses.lock().unwrap_or_else(PoisonError::into_inner).get(&id).copied();
+        known.or_else(reported)
     }
 
-    /// Delivers to one peer, all that waits in one call, in order.
+    /// Sends queued messages to one peer in order, all that are queued in one call. A failed call is not repeated.
     async fn deliver(self, addr: SocketAddr, mut batches: mpsc::Receiver<Vec<Envelope>>) {
         let client = match connect(addr, DELIVERY_TIMEOUT) {
             Ok(client) => client,
             Err(error) => {
-                warn!(self.log, "peer unusable"; "event" => "peer", "peer" => %addr, "error" => %error);
+                warn!(self.log, "can't create a client for the peer; sending it no messages";
+                    "event" => "peer", "peer" => %addr, "error" => %error);
                 return;
             }
         };
@@ -91,21 +93,22 @@
             while let Ok(more) = batches.try_recv() {
                 messages.extend(more);
             }
-            let delivered = client.deliver(self.key.clone(), self.own, messages).await;
+            let delivered = client.deliver(self.key.clone(), self.own_addr, messages).await;
             if delivered.is_ok() != reachable {
                 reachable = delivered.is_ok();
-                warn!(self.log, "peer changed"; "event" => "peer", "peer" => %addr, "reachable" => reachable);
+                warn!(self.log, "peer became reachable or unreachable";
+                    "event" => "peer", "peer" => %addr, "reachable" => reachable);
             }
         }
     }
 }
 
-/// Asks every other member to bring this one in, until it is a voter.
+/// Asks every other member to admit this one, whenever it is no voter. Only the leader acts on it.
 async fn join(sender: Sender, others: Vec<SocketAddr>) {
     let clients: Vec<_> =
         others.iter().filter_map(|other| connect(*other, DELIVERY_TIMEOUT).ok()).collect();
     loop {
-        let standing = sender
+        let membership = sender
             .member
             .query(|replica, _| {
                 let node = replica.node();
@@ -113,12 +116,14 @@
                 (node.id(), voter)
             })
             .await;
-        let Ok((store, voter)) = standing else {
+        let Ok((store, voter)) = membership else {
             return;
         };
         if !voter {
             for client in &clients {
-                let _ = client.join(sender.key.clone(), Newcomer { store, addr: sender.own }).await;
+                let _ = client
+                    .join(sender.key.clone(), Newcomer { store, addr: sender.own_addr })
+                    .await;
             }
         }
         tokio::time::sleep(JOIN_INTERVAL).await;
--- a/src/control/registry.rs
+++ b/src/control/registry.rs
@@ -1,4 +1,4 @@
-//! What a leader knows of the routers: who was heard when, and with which revision.
+//! The leader's registry of routers: when each sent its last sync call, and with which revision.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,21 +8,25 @@
 use crate::rpc::{LiveRouters, Report, RouterStatus, SyncRequest, WaitReply};
 use crate::store::Revision;
 
+/// A router as of its last sync call.
 #[derive(Clone, Debug)]
-struct Seen {
+struct RouterState {
+    /// When the call came.
     at: Time,
+    /// Revision that the router has in force.
     revision: Revision,
+    /// Address at which other routers reach it.
     addr: Option<SocketAddr>,
     report: Report,
 }
 
-/// Routers heard within one freshness lease.
+/// Routers that sent a sync call within the last freshness lease.
 ///
-/// A router not heard for longer has stopped admitting by itself.
+/// A router whose last call is older has no valid lease and has stopped admitting requests by itself.
 #[derive(Debug)]
 pub(super) struct Registry {
     lease: Duration,
-    routers: BTreeMap<String, Seen>,
+    routers: BTreeMap<String, RouterState>,
 }
 
 impl Registry {
@@ -30,23 +34,23 @@
         Registry { lease, routers: BTreeMap::new() }
     }
 
-    /// Notes a router's call.
-    pub(super) fn hear(&mut self, now: Time, revision: Revision, request: SyncRequest) {
+    /// Records a router's sync call, and removes routers whose lease has run out.
+    pub(super) fn record(&mut self, now: Time, revision: Revision, request: SyncRequest) {
         let lease = self.lease;
-        self.routers.retain(|_, seen| now <= seen.at + lease);
+        self.routers.retain(|_, state| now <= state.at + lease);
         let SyncRequest { router, addr, report, .. } = request;
-        self.routers.insert(router, Seen { at: now, revision, addr, report });
+        self.routers.insert(router, RouterState { at: now, revision, addr, report });
     }
 
-    /// Whether `revision` is in force at every router that may be admitting.
+    /// Whether `revision` is in force at every router that may be admitting requests.
     ///
-    /// A leader knows that it has heard every such router only after a whole lease in office,
-    /// which began at `leading_since`.
+    /// A router may hold a lease from an earlier leader that this one, elected at `leading_since`, has not heard
+    /// from yet. After a whole lease every router that still admits requests has called this leader.
     pub(super) fn in_force(&self, now: Time, leading_since: Time, revision: Revision) -> WaitReply {
-        let live = self.routers.iter().filter(|(_, seen)| now <= seen.at + self.lease);
+        let live = self.routers.iter().filter(|(_, state)| now <= state.at + self.lease);
         let (ready, behind): (Vec<_>, Vec<_>) =
-            live.partition(|(_, seen)| seen.revision >= revision);
-        let names = |routers: Vec<(&String, &Seen)>| -> Vec<String> {
+            live.partition(|(_, state)| state.revision >= revision);
+        let names = |routers: Vec<(&String, &RouterState)>| -> Vec<String> {
             routers.into_iter().map(|(name, _)| name.clone()).collect()
         };
         WaitReply {
@@ -56,21 +60,21 @@
         }
     }
 
-    /// Where the live routers are reached; `None` until a leader is a whole lease in office.
+    /// Addresses of the live routers; `None` until this leader has led for a whole lease and surely knows them all.
     pub(super) fn live(&self, now: Time, leading_since: Time) -> Option<LiveRouters> {
-        let live = self.routers.iter().filter(|(_, seen)| now <= seen.at + self.lease);
-        let addrs = live.filter_map(|(host, seen)| Some((host.clone(), seen.addr?)));
+        let live = self.routers.iter().filter(|(_, state)| now <= state.at + self.lease);
+        let addrs = live.filter_map(|(host, state)| Some((host.clone(), state.addr?)));
         (now >= leading_since + self.lease).then(|| LiveRouters(addrs.collect()))
     }
 
-    /// Every live router.
+    /// Status of every live router.
     pub(super) fn status(&self, now: Time) -> Vec<RouterStatus> {
-        let live = self.routers.iter().filter(|(_, seen)| now <= seen.at + self.lease);
-        live.map(|(host, seen)| RouterStatus {
+        let live = self.routers.iter().filter(|(_, state)| now <= state.at + self.lease);
+        live.map(|(host, state)| RouterStatus {
             host: host.clone(),
-            revision: seen.revision,
-            heard_ms_ago: now.saturating_sub(seen.at).as_millis() as u64,
-            report: seen.report.clone(),
+            revision: state.revision,
+            heard_ms_ago: now.saturating_sub(state.at).as_millis() as u64,
+            report: state.report.clone(),
         })
         .collect()
     }
--- a/src/control/calls.rs
+++ b/src/control/rpc_handler.rs
@@ -1,4 +1,4 @@
-//! The calls that a control member answers.
+//! Handlers of the RPC calls that a control member answers.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -28,20 +28,21 @@
 use crate::store::{Answer, Change, Command, Drain, Revision, Stored};
 use crate::template::check_name;
 
-/// Longest time to reach another member while a group is formed.
-const FORM_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest wait that a call may ask for.
+/// Timeout for asking another member for its identity while a group is formed.
+const IDENTIFY_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum time that a call may wait for a revision.
 const MAX_WAIT: Duration = Duration::from_secs(60);
-/// Longest time to read the platform's list.
+/// Timeout for reading the platform's list of targets.
 const LIST_TIMEOUT: Duration = Duration::from_secs(2);
-/// Between two looks at the routers while a call waits for a revision.
-const WAIT_STEP: Duration = Duration::from_millis(50);
+/// Interval between two checks of the routers' revisions while a call waits for a revision.
+const WAIT_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Where the members that sent messages take calls; a blank member knows no others.
+/// Addresses of the members that sent messages, as they reported them. A blank member has no list of
+/// members yet and needs these to reply.
 pub(super) type AddressBook = Arc<Mutex<BTreeMap<StoreId, SocketAddr>>>;
 
-/// State behind the calls.
-pub(super) struct Calls {
+/// State of the RPC handlers.
+pub(super) struct RpcHandler {
     partner: String,
     key: String,
     addr: SocketAddr,
@@ -53,14 +54,14 @@
     log: Logger,
 }
 
-impl Calls {
+impl RpcHandler {
     pub(super) fn new(
         settings: &Settings,
         control: &ControlSettings,
         member: Member,
         log: Logger,
     ) -> Self {
-        Calls {
+        RpcHandler {
             partner: settings.partner.clone(),
             key: settings.key.clone(),
             addr: control.reached_at().unwrap_or_else(unspecified),
@@ -101,25 +102,25 @@
         self.settings.timing()
     }
 
-    /// Loads that the weight store allows in a minute.
+    /// Model loads per minute that the weight store allows.
     pub(super) fn loads_per_minute(&self) -> u32 {
         self.settings.loads_per_minute
     }
 
-    /// Whether `revision` is in force at every router that may be admitting.
+    /// Whether `revision` is in force at every router that may be admitting requests.
     pub(super) fn in_force(&self, now: Time, leading_since: Time, revision: Revision) -> bool {
         self.registry().in_force(now, leading_since, revision).in_force
     }
 
-    /// Proposes a command of the leader's own.
-    pub(super) async fn propose_own(&self, command: Command) -> Result<Answer, ControlError> {
+    /// Proposes a command that comes from the leader itself, not from an operator.
+    pub(super) async fn propose_as_leader(&self, command: Command) -> Result<Answer, ControlError> {
         self.propose("leader", command).await
     }
 
-    /// Addresses of the other members in the settings.
-    pub(super) fn others(&self) -> Vec<SocketAddr> {
-        let others = self.settings.peers.iter().filter(|peer| **peer != self.addr);
-        others.copied().collect()
+    /// Addresses of the other members, from the settings.
+    pub(super) fn other_members(&self) -> Vec<SocketAddr> {
+        let other_members = self.settings.peers.iter().filter(|peer| **peer != self.addr);
+        other_members.copied().collect()
     }
 
     fn check_key(&self, key: &str) -> Result<(), ControlError> {
@@ -127,33 +128,33 @@
         same.then_some(()).ok_or(ControlError::Unauthorized)
     }
 
-    /// Name of the operator who bears `token`.
+    /// Name of the operator who has `token`.
     fn operator(&self, token: &str) -> Result<String, ControlError> {
         let digest = hex(&Sha256::digest(token.as_bytes()));
-        let bearer = self.settings.operators.iter().find(|operator| {
+        let holder = self.settings.operators.iter().find(|operator| {
             let expected = operator.token_sha256.to_ascii_lowercase();
             bool::from(expected.as_bytes().ct_eq(digest.as_bytes()))
         });
-        let bearer = bearer.ok_or(ControlError::Unauthorized)?;
-        Ok(bearer.name.clone())
+        let holder = holder.ok_or(ControlError::Unauthorized)?;
+        Ok(holder.name.clone())
     }
 
-    /// Runs `ask` on the replica of a leader whose lease holds.
-    pub(super) async fn lead<T: Send + 'static>(
+    /// Runs `query` on the replica if this member leads and its lease is valid; fails otherwise.
+    pub(super) async fn query_as_leader<T: Send + 'static>(
         &self,
-        ask: impl FnOnce(&Replica<BoxedDisk>, Time) -> T + Send + 'static,
+        query: impl FnOnce(&Replica<BoxedDisk>, Time) -> T + Send + 'static,
     ) -> Result<T, ControlError> {
         self.member
             .query(move |replica, now| {
                 if replica.node().lease_valid(now) {
-                    return Ok(ask(replica, now));
+                    return Ok(query(replica, now));
                 }
                 Err(ControlError::NotLeader { leader: other_leader(replica) })
             })
             .await?
     }
 
-    /// The book, to share with the sender of messages.
+    /// The address book, shared with the task that sends messages.
     pub(super) fn address_book(&self) -> AddressBook {
         self.addresses.clone()
     }
@@ -166,11 +167,11 @@
         self.registry.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Identities of all members in the settings, each of them blank.
+    /// Identities of all members in the settings. Fails if one can't be reached or belongs to a group already.
     async fn blank_members(&self) -> Result<Members, ControlError> {
         let mut members = Vec::new();
         for peer in &self.settings.peers {
-            let client = connect(*peer, FORM_TIMEOUT)?;
+            let client = connect(*peer, IDENTIFY_TIMEOUT)?;
             let identity = client.identify(self.key.clone()).await;
             let identity = identity.map_err(|error| {
                 ControlError::Form(format!("{peer} must be up: {}", ControlError::from(error)))
@@ -187,6 +188,7 @@
         Ok(Members(members))
     }
 
+    /// Proposes a command for `operator` and logs the answer.
     async fn propose(&self, operator: &str, command: Command) -> Result<Answer, ControlError> {
         let answer = self.member.propose(command).await?;
         info!(
@@ -197,31 +199,36 @@
     }
 }
 
-/// Stands in where the settings, which are checked before, name no address.
+/// Placeholder for a missing address; settings that passed the checks have one.
 fn unspecified() -> SocketAddr {
     SocketAddr::from(([0, 0, 0, 0], 0))
 }
 
-/// Address of the leader, unless it is this member, whose lease does not hold.
+/// Address of the leader, if another member is known to lead. If this member leads, its lease is not valid,
+/// so it must not be named.
 fn other_leader(replica: &Replica<BoxedDisk>) -> Option<SocketAddr> {
     let node = replica.node();
     let leader = node.leader().filter(|id| *id != node.id())?;
     node.members().get(leader).map(|member| member.addr)
 }
 
-/// The wall clock, in milliseconds since 1970.
-#[expect(clippy::disallowed_methods, reason = "request keys bear the time of day of their callers")]
+/// Wall-clock time in milliseconds since the Unix epoch.
+#[expect(
+    clippy::disallowed_methods,
+    reason = "request keys contain the wall-clock time of their clients"
+)]
 fn unix_ms() -> u64 {
     let since = SystemTime::now().duration_since(UNIX_EPOCH);
     since.map_or(0, |since| since.as_millis() as u64)
 }
 
+/// Lower-case hexadecimal text.
 fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
 #[async_trait]
-impl ControlServer for Arc<Calls> {
+impl ControlServer for Arc<RpcHandler> {
     async fn identify(&self, key: String) -> Result<Identity, ErrorObjectOwned> {
         self.check_key(&key)?;
         let identity = self.member.query(|replica, _| Identity {
@@ -266,12 +273,14 @@
         self.check_key(&key)?;
         let known = request.known;
         let (now, group, revision) = self
-            .lead(|replica, now| (now, replica.node().hard().group, replica.store().revision()))
+            .query_as_leader(|replica, now| {
+                (now, replica.node().hard().group, replica.store().revision())
+            })
             .await?;
         // A router that has another group's configuration counts as having none.
         let applied = if request.group == group { known } else { 0 };
         let (wait_ms, routers_known) = (request.wait_ms, request.routers_known);
-        self.registry().hear(now, applied, request);
+        self.registry().record(now, applied, request);
         if revision == applied {
             let wait = Duration::from_millis(wait_ms).min(MAX_WAIT);
             let mut changes = self.member.revision();
@@ -280,7 +289,7 @@
         }
         let lease_ms = self.settings.freshness_lease_ms;
         let (now, since, mut reply) = self
-            .lead(move |replica, now| {
+            .query_as_leader(move |replica, now| {
                 let node = replica.node();
                 let (term, delta) = (node.hard().term, replica.store().since(applied));
                 let reply = SyncReply { group, term, delta, routers: None, lease_ms };
@@ -326,7 +335,7 @@
 
     async fn templates(&self, token: String) -> Result<Vec<Stored>, ErrorObjectOwned> {
         self.operator(&token)?;
-        let templates = self.lead(|replica, _| {
+        let templates = self.query_as_leader(|replica, _| {
             let templates = replica.store().templates().values();
             templates.cloned().collect()
         });
@@ -344,21 +353,24 @@
         let started = tokio::time::Instant::now();
         loop {
             let (now, since) = self
-                .lead(|replica, now| (now, replica.node().leading_since().unwrap_or(now)))
+                .query_as_leader(|replica, now| {
+                    (now, replica.node().leading_since().unwrap_or(now))
+                })
                 .await?;
             let reply = self.registry().in_force(now, since, revision);
             if reply.in_force || started.elapsed() >= timeout {
                 return Ok(reply);
             }
-            tokio::time::sleep(WAIT_STEP).await;
+            tokio::time::sleep(WAIT_POLL_INTERVAL).await;
         }
     }
 
     async fn status(&self, token: String) -> Result<Status, ErrorObjectOwned> {
         self.operator(&token)?;
         let partner = self.partner.clone();
-        let (now, mut status) =
-            self.lead(move |replica, now| (now, status_of(partner, replica, now))).await?;
+        let (now, mut status) = self
+            .query_as_leader(move |replica, now| (now, status_of(partner, replica, now)))
+            .await?;
         status.routers = self.registry().status(now);
         let list = self.platform.list(LIST_TIMEOUT).await;
         status.targets = list.ok().map(|list| list.listing.targets);
@@ -366,6 +378,7 @@
     }
 }
 
+/// Status of the group, without the routers and targets.
 fn status_of(partner: String, replica: &Replica<BoxedDisk>, now: Time) -> Status {
     let node = replica.node();
     let members = node.members().0.iter().map(|member| {
