--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -1,6 +1,6 @@
-//! The operators' client: one command, one answer, and what to do next when it fails.
+//! Commands of the command line for operators. Errors say what to do next.
 
-mod doors;
+mod member_api;
 
 use std::path::{Path, PathBuf};
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use jsonrpsee::core::ClientError;
 use jsonrpsee::http_client::HttpClient;
 
-pub use self::doors::{evacuation, poison, rollout};
+pub use self::member_api::{evacuation, poison, rollout};
 use crate::account::Account;
 use crate::cli::{ChangeArgs, Remote, TemplateCommand};
 use crate::clock::Instant;
@@ -22,34 +22,35 @@
 use crate::targets::{Listed, Serves};
 use crate::template::Template;
 
-/// Longest time for one call, so that a member that hangs is left for the next.
+/// Timeout of one call; after it, the next member is tried.
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
-/// Longest wait for a revision within one call.
-const WAIT_MS: u64 = 2_000;
-/// Field that a template has and settings have not.
-const TEMPLATE_MARK: &str = "teams";
-/// Field that only settings of members of a self-forming group have.
-const MEMBER_MARK: &str = "data_dir";
-/// Field that settings of gateways have.
-const GATEWAY_MARK: &str = "peer_port";
-/// Between two tries.
-const TRY_PAUSE: Duration = Duration::from_millis(200);
+/// Maximum time that one call waits for a revision, in milliseconds.
+const MAX_WAIT_MS: u64 = 2_000;
+/// Field that only templates have, to tell them from settings.
+const TEMPLATE_FIELD: &str = "teams";
+/// Field that only settings of `member` processes have at the top level.
+const MEMBER_FIELD: &str = "data_dir";
+/// Field that settings of gateways have and those of `serve` processes don't. Settings of members have it too,
+/// so [`MEMBER_FIELD`] must be looked up first.
+const GATEWAY_FIELD: &str = "peer_port";
+/// Delay before the next attempt at a call.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A command did not do what it was asked.
+/// The reason why a command failed.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorError {
     /// A file can't be read.
-    #[error("{path}: {source}")]
-    Unreadable {
+    #[error("can't read {path}: {source}")]
+    UnreadableFile {
         /// The file.
         path: String,
-        /// Why.
+        /// The error of the file system.
         source: std::io::Error,
     },
-    /// A file or its content has faults.
+    /// A file, or what was sent to a member, has faults.
     #[error("{}", .0.iter().map(ToString::to_string).collect::<Vec<_>>().join("\n"))]
-    Faulty(Vec<Fault>),
-    /// Based on a version that is not in force.
+    Invalid(Vec<Fault>),
+    /// The revision is based on a version that is not the one in force.
     #[error("conflict: {}; look at `template show`, then revise with --base {in_force}", in_force_text(*.in_force))]
     Conflict {
         /// Version in force; 0 for none.
@@ -58,28 +59,29 @@
     /// The change id was used for another change.
     #[error("this change id was used for another change; choose another")]
     IdReused,
-    /// There is no such template.
+    /// No template of this name is in force.
     #[error("no template {0} in force; `template list` names them all")]
     NoTemplate(String),
-    /// A revision is not in force everywhere yet.
-    #[error("not in force yet at: {}; try again", .0.join(" "))]
+    /// A revision is not yet in force at these routers.
+    #[error("revision not in force yet at routers: {}; try again", .0.join(" "))]
     NotInForce(Vec<String>),
     /// No member gave a clear answer; the order may or may not be in force.
     #[error(
         "no member gave a clear answer within {seconds} s: the order may or may not be in force; try again"
     )]
     NoAnswer {
-        /// For how long members were tried.
+        /// How long calls were attempted.
         seconds: u64,
     },
-    /// A member could not be called.
+    /// The HTTP client can't be created, or a member's answer broke off.
     #[error("{0}")]
     Http(#[from] reqwest::Error),
-    /// Control could not be asked or refused.
+    /// The control group refused the call or could not be reached.
     #[error("{0}")]
     Control(#[from] ControlError),
 }
 
+/// Says which version of a template is in force; 0 stands for none.
 fn in_force_text(version: u64) -> String {
     match version {
         0 => "the template does not exist yet, submit it".to_owned(),
@@ -91,7 +93,7 @@
     /// Exit code of the process.
     pub fn exit_code(&self) -> u8 {
         match self {
-            OperatorError::Faulty(_) | OperatorError::Control(ControlError::Invalid(_)) => 2,
+            OperatorError::Invalid(_) | OperatorError::Control(ControlError::Invalid(_)) => 2,
             OperatorError::Conflict { .. } => 3,
             OperatorError::Control(ControlError::Unauthorized) => 4,
             _ => 1,
@@ -99,10 +101,10 @@
     }
 }
 
-/// Tells the story of a request from log files, or from standard input without any.
+/// Explains what happened to a request, from log files, or from standard input if `files` is empty.
 ///
 /// # Errors
-/// [`OperatorError::Unreadable`].
+/// [`OperatorError::UnreadableFile`].
 pub fn explain(id: &str, files: &[PathBuf], json: bool) -> Result<String, OperatorError> {
     let mut texts = Vec::new();
     for file in files {
@@ -110,7 +112,7 @@
     }
     if files.is_empty() {
         let unreadable =
-            |source| OperatorError::Unreadable { path: "standard input".into(), source };
+            |source| OperatorError::UnreadableFile { path: "standard input".into(), source };
         texts.push(std::io::read_to_string(std::io::stdin()).map_err(unreadable)?);
     }
     let story = Story::of(id, texts.iter().flat_map(|text| text.lines()));
@@ -120,21 +122,21 @@
     Ok(story.to_string())
 }
 
-/// Counts a day's requests by how they ended, from log files, or from standard input without any.
+/// Counts a day's requests by how they ended, from log files, or from standard input if `files` is empty.
 ///
 /// # Errors
-/// [`OperatorError::Unreadable`].
+/// [`OperatorError::UnreadableFile`].
 pub fn account(files: &[PathBuf], json: bool) -> Result<String, OperatorError> {
     let mut account = Account::default();
     for file in files {
         let unreadable =
-            |source| OperatorError::Unreadable { path: file.display().to_string(), source };
+            |source| OperatorError::UnreadableFile { path: file.display().to_string(), source };
         let log = std::fs::File::open(file).map_err(unreadable)?;
         account.read(std::io::BufReader::new(log)).map_err(unreadable)?;
     }
     if files.is_empty() {
         let unreadable =
-            |source| OperatorError::Unreadable { path: "standard input".into(), source };
+            |source| OperatorError::UnreadableFile { path: "standard input".into(), source };
         account.read(std::io::stdin().lock()).map_err(unreadable)?;
     }
     if json {
@@ -143,19 +145,19 @@
     Ok(account.to_string())
 }
 
-/// Checks a settings or template file; `Ok` says what it is.
+/// Checks a settings or template file. The text returned says what kind of file it is.
 ///
 /// # Errors
-/// All faults, or that the file can't be read.
+/// [`OperatorError::Invalid`] with all faults, or [`OperatorError::UnreadableFile`].
 pub fn check(path: &Path) -> Result<String, OperatorError> {
     let text = read(path)?;
-    let kind = if jsonc::has_field(&text, TEMPLATE_MARK) {
+    let kind = if jsonc::has_field(&text, TEMPLATE_FIELD) {
         parse::<Template>(&text)?;
         "a sound template"
-    } else if jsonc::has_field(&text, MEMBER_MARK) {
+    } else if jsonc::has_field(&text, MEMBER_FIELD) {
         parse::<MemberSettings>(&text)?;
         "sound settings of a member"
-    } else if jsonc::has_field(&text, GATEWAY_MARK) {
+    } else if jsonc::has_field(&text, GATEWAY_FIELD) {
         parse::<GatewaySettings>(&text)?;
         "sound settings of a gateway"
     } else {
@@ -165,10 +167,10 @@
     Ok(format!("{}: {kind}", path.display()))
 }
 
-/// Forms a group of blank members.
+/// Forms a control group of blank members.
 ///
 /// # Errors
-/// When a member is not reachable, not blank, or refuses.
+/// When a member is unreachable, belongs to a group already, or refuses.
 pub async fn form(remote: &Remote) -> Result<String, OperatorError> {
     let client = Client::open(remote)?;
     let formed = client.group.current().form(client.token.clone()).await;
@@ -179,7 +181,7 @@
 /// Runs a command on templates.
 ///
 /// # Errors
-/// [`OperatorError`] as control or a file gives it.
+/// [`OperatorError`] when the control group refuses or a file can't be read.
 pub async fn template(command: TemplateCommand) -> Result<String, OperatorError> {
     match command {
         TemplateCommand::Submit(args) => Client::open(&args.remote)?.change(0, &args).await,
@@ -193,10 +195,10 @@
     }
 }
 
-/// Starts or ends a drain.
+/// Starts or ends a drain of a host or target.
 ///
 /// # Errors
-/// [`OperatorError`] as control gives it.
+/// [`OperatorError`] when the control group refuses or does not answer in time.
 pub async fn drain(remote: &Remote, name: String, on: bool) -> Result<String, OperatorError> {
     let drain = Drain { name, on };
     let answer = Client::open(remote)?
@@ -208,10 +210,10 @@
     }
 }
 
-/// State of the group, as a table or JSON.
+/// Status of the control group, as a table or JSON.
 ///
 /// # Errors
-/// [`OperatorError`] as control gives it.
+/// [`OperatorError`] when the control group refuses or does not answer in time.
 pub async fn status(remote: &Remote, json: bool) -> Result<String, OperatorError> {
     let status =
         Client::open(remote)?.call(async |client, token| client.status(token).await).await?;
@@ -222,15 +224,17 @@
 }
 
 fn parse<T: serde::de::DeserializeOwned + Validate>(text: &str) -> Result<T, OperatorError> {
-    jsonc::from_str(text).map_err(OperatorError::Faulty)
+    jsonc::from_str(text).map_err(OperatorError::Invalid)
 }
 
 fn read(path: &Path) -> Result<String, OperatorError> {
-    std::fs::read_to_string(path)
-        .map_err(|source| OperatorError::Unreadable { path: path.display().to_string(), source })
+    std::fs::read_to_string(path).map_err(|source| OperatorError::UnreadableFile {
+        path: path.display().to_string(),
+        source,
+    })
 }
 
-/// A partner's control group, as an operator reaches it.
+/// An operator's client of a control group.
 struct Client {
     group: Group,
     token: String,
@@ -238,7 +242,7 @@
 }
 
 impl Client {
-    /// Reads the token and prepares the calls.
+    /// Reads the token from its file and creates clients of the members.
     fn open(remote: &Remote) -> Result<Self, OperatorError> {
         let timeout = Duration::from_secs(remote.timeout_s);
         Ok(Client {
@@ -248,8 +252,8 @@
         })
     }
 
-    /// Calls one member after the other until one answers; every call may be repeated, because a
-    /// change bears an id.
+    /// Calls one member after another until one answers or the deadline has passed. Every call may be
+    /// repeated: a change has an id by which members recognize it.
     async fn call<T>(
         &mut self,
         call: impl AsyncFn(&HttpClient, String) -> Result<T, ClientError>,
@@ -259,18 +263,18 @@
                 Ok(answer) => return Ok(answer),
                 Err(error) => ControlError::from(error),
             };
-            let again = matches!(
+            let retryable = matches!(
                 error,
                 ControlError::NotLeader { .. }
                     | ControlError::Unknown
                     | ControlError::Stopping
                     | ControlError::Call(_)
             );
-            if !again || Instant::now() >= self.deadline {
+            if !retryable || Instant::now() >= self.deadline {
                 return Err(error.into());
             }
             self.group.turn(&error);
-            tokio::time::sleep(TRY_PAUSE).await;
+            tokio::time::sleep(RETRY_INTERVAL).await;
         }
     }
 
@@ -303,7 +307,7 @@
                 Ok(format!("accepted version {version} revision {revision} change {id}"))
             }
             Answer::Conflict { in_force } => Err(OperatorError::Conflict { in_force }),
-            Answer::Rejected { faults } => Err(OperatorError::Faulty(faults)),
+            Answer::Rejected { faults } => Err(OperatorError::Invalid(faults)),
             Answer::IdReused => Err(OperatorError::IdReused),
             Answer::Claim(_)
             | Answer::Released
@@ -344,7 +348,7 @@
     async fn wait(&mut self, revision: u64) -> Result<String, OperatorError> {
         loop {
             let reply = self
-                .call(async |client, token| client.wait(token, revision, WAIT_MS).await)
+                .call(async |client, token| client.wait(token, revision, MAX_WAIT_MS).await)
                 .await?;
             if reply.in_force {
                 let routers = reply.ready.len();
@@ -357,7 +361,7 @@
     }
 }
 
-/// The state as tables: group, members, routers, targets.
+/// The status as tables: group, members, routers, targets.
 fn table(status: &Status) -> String {
     let mut lines = vec![format!(
         "partner {} term {} leader {} revision {} commit {}",
