--- a/src/control/rpc_handler.rs
+++ b/src/control/rpc_handler.rs
@@ -204,8 +204,8 @@
     SocketAddr::from(([0, 0, 0, 0], 0))
 }
 
-/// Address of the leader, if another member is known to lead. If this member leads, its lease is not valid,
-/// so it must not be named.
+/// Address of the leader if another member leads. Callers have found this member's own lease not valid, so
+/// it is never named.
 fn other_leader(replica: &Replica<BoxedDisk>) -> Option<SocketAddr> {
     let node = replica.node();
     let leader = node.leader().filter(|id| *id != node.id())?;
