--- a/src/control/mod.rs
+++ b/src/control/mod.rs
@@ -29,7 +29,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum MemberError {
     /// The data folder can't be opened.
-    #[error("data folder {path}: {source}")]
+    #[error("control.data_dir: can't open {path}: {source}")]
     Folder {
         /// The folder.
         path: PathBuf,
@@ -40,7 +40,7 @@
     #[error(transparent)]
     Wal(#[from] WalError),
     /// The address can't be bound.
-    #[error("control.listen {addr}: {source}")]
+    #[error("control.listen: can't serve on {addr}: {source}")]
     Listen {
         /// The address.
         addr: SocketAddr,
