--- a/tests/gateway/cold.rs
+++ b/tests/gateway/cold.rs
@@ -1,4 +1,4 @@
-//! Cold targets: what many gateways that decide alone send one in its fullest second.
+//! Cold targets: how many requests gateways that decide independently send one in its busiest second.
 
 use std::time::Duration;
 
@@ -13,90 +13,90 @@
 use crate::seeds;
 
 const RULE: ColdRule = ColdRule { per_s: 13.0, over: 1.5, slack: 5.0 };
-/// How long a start takes, in seconds.
-const COLD_FOR: f64 = 3.0;
-/// Spells played of each case.
-const SPELLS: u64 = 400;
-/// Gateways that miss the news for seconds: one of so many.
-const MISSES: usize = 10;
-
-/// Ways to keep the bound.
+/// How long a target stays cold after its start, in seconds.
+const COLD_S: f64 = 3.0;
+/// Cold starts simulated for each case.
+const COLD_STARTS: u64 = 400;
+/// One gateway of so many gets its updates up to `COLD_S` late, the others up to 0.5 s.
+const LATE_EVERY: usize = 10;
+
+/// Ways to share the rate bound among gateways.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Way {
-    /// Each gateway keeps its part of the rate.
+    /// Each gateway uses its part of the rate.
     Part,
-    /// Four gateways, as a hash over names says, share the rate; the others send nothing.
+    /// Four gateways, chosen by a hash over their names, share the rate; the others send nothing.
     Few,
-    /// Members deal permits out to gateways at random, ten times a second; one that finds no request in its interval is
-    /// lost.
+    /// Members give permits to random gateways ten times a second; a permit that no request uses in its interval
+    /// expires.
     Permits,
 }
 
-/// What a cold target got.
+/// Requests that a cold target got.
 #[derive(Clone, Copy, Debug, Default)]
-struct Got {
-    fullest_second: usize,
-    /// Part of the requests that wanted it.
+struct Received {
+    busiest_second: usize,
+    /// Fraction of the requests that were sent to it.
     taken: f64,
 }
 
-/// Requests that want a target in its spell: when, and at which gateway.
-fn wants(rng: &mut StdRng, gateways: usize, a_second: f64) -> Vec<(f64, usize)> {
+/// Requests that could go to the target while it is cold: the time, in seconds, and the gateway of each.
+fn requests(rng: &mut StdRng, gateways: usize, per_second: f64) -> Vec<(f64, usize)> {
     let mut now = 0.0;
-    let mut wants = Vec::new();
+    let mut requests = Vec::new();
     loop {
-        now += -rng.random::<f64>().max(1e-12).ln() / a_second;
-        if now > COLD_FOR {
-            return wants;
+        now += -rng.random::<f64>().max(1e-12).ln() / per_second;
+        if now > COLD_S {
+            return requests;
         }
-        wants.push((now, rng.random_range(0..gateways)));
+        requests.push((now, rng.random_range(0..gateways)));
     }
 }
 
-/// When each gateway hears that the target is there, and cold.
-fn hears(rng: &mut StdRng, gateways: usize) -> Vec<f64> {
-    let heard = |at: usize| {
-        let latest = if at.is_multiple_of(MISSES) { COLD_FOR } else { 0.5 };
+/// When each gateway is notified of the new cold target.
+fn notified(rng: &mut StdRng, gateways: usize) -> Vec<f64> {
+    let notified_at = |at: usize| {
+        let latest = if at.is_multiple_of(LATE_EVERY) { COLD_S } else { 0.5 };
         rng.random_range(0.0..latest)
     };
-    (0..gateways).map(heard).collect()
+    (0..gateways).map(notified_at).collect()
 }
 
-fn sent(rng: &mut StdRng, way: Way, gateways: usize, wants: &[(f64, usize)]) -> Vec<f64> {
-    let hears = hears(rng, gateways);
+fn sent(rng: &mut StdRng, way: Way, gateways: usize, requests: &[(f64, usize)]) -> Vec<f64> {
+    let notified = notified(rng, gateways);
     match way {
-        Way::Part => by_part(rng, &hears, wants),
-        Way::Few => by_few(rng, &hears, wants),
-        Way::Permits => by_permits(rng, &hears, wants),
+        Way::Part => by_part(rng, &notified, requests),
+        Way::Few => by_few(rng, &notified, requests),
+        Way::Permits => by_permits(rng, &notified, requests),
     }
 }
 
-fn by_part(rng: &mut StdRng, hears: &[f64], wants: &[(f64, usize)]) -> Vec<f64> {
-    let (cold_start, gap) = (Duration::from_secs_f64(COLD_FOR), RULE.gap(hears.len() as u32));
-    let mut warmth = vec![ColdState::default(); hears.len()];
-    for (warmth, at) in warmth.iter_mut().zip(hears) {
-        warmth.note_cold_left(Duration::from_secs_f64(*at), cold_start);
+fn by_part(rng: &mut StdRng, notified: &[f64], requests: &[(f64, usize)]) -> Vec<f64> {
+    let (cold_start, gap) = (Duration::from_secs_f64(COLD_S), RULE.gap(notified.len() as u32));
+    let mut states = vec![ColdState::default(); notified.len()];
+    for (state, at) in states.iter_mut().zip(notified) {
+        state.note_cold_left(Duration::from_secs_f64(*at), cold_start);
     }
     let mut sent = Vec::new();
-    for (at, gateway) in wants.iter().filter(|(at, gateway)| *at >= hears[*gateway]) {
+    for (at, gateway) in requests.iter().filter(|(at, gateway)| *at >= notified[*gateway]) {
         let now = Duration::from_secs_f64(*at);
-        if warmth[*gateway].may_send(now, cold_start, gap, || rng.random()) {
-            warmth[*gateway].note_sent(now, gap);
+        if states[*gateway].may_send(now, cold_start, gap, || rng.random()) {
+            states[*gateway].note_sent(now, gap);
             sent.push(*at);
         }
     }
     sent
 }
 
-fn by_few(rng: &mut StdRng, hears: &[f64], wants: &[(f64, usize)]) -> Vec<f64> {
+fn by_few(rng: &mut StdRng, notified: &[f64], requests: &[(f64, usize)]) -> Vec<f64> {
     let few = 4.0;
     let gap = few / (RULE.max_per_second() * 0.4);
     let chosen: Vec<bool> =
-        hears.iter().map(|_| rng.random_bool((few / hears.len() as f64).min(1.0))).collect();
-    let mut next: Vec<f64> = hears.iter().map(|at| at + rng.random::<f64>() * gap).collect();
+        notified.iter().map(|_| rng.random_bool((few / notified.len() as f64).min(1.0))).collect();
+    let mut next: Vec<f64> = notified.iter().map(|at| at + rng.random::<f64>() * gap).collect();
     let mut sent = Vec::new();
-    for (at, gateway) in wants {
-        if chosen[*gateway] && *at >= hears[*gateway] && *at >= next[*gateway] {
+    for (at, gateway) in requests {
+        if chosen[*gateway] && *at >= notified[*gateway] && *at >= next[*gateway] {
             next[*gateway] = at + gap;
             sent.push(*at);
         }
@@ -104,17 +104,20 @@
     sent
 }
 
-fn by_permits(rng: &mut StdRng, hears: &[f64], wants: &[(f64, usize)]) -> Vec<f64> {
+fn by_permits(rng: &mut StdRng, notified: &[f64], requests: &[(f64, usize)]) -> Vec<f64> {
     let (interval, each) = (0.1, RULE.max_per_second() * 0.8 * 0.1);
     let mut sent = Vec::new();
-    for step in 0..(COLD_FOR / interval) as usize {
-        // Dealt by members that hear of what is used only later, and used when word has come.
+    for step in 0..(COLD_S / interval) as usize {
+        // Members learn which permits were used only later, so each interval has its full number. A permit can be used
+        // once it has reached its gateway.
         let whole = each.floor() as usize + usize::from(rng.random_bool(each.fract()));
         for _ in 0..whole {
-            let gateway = rng.random_range(0..hears.len());
+            let gateway = rng.random_range(0..notified.len());
             let from = step as f64 * interval + rng.random_range(0.0..0.3);
-            let used = wants.iter().find(|(at, wanting)| {
-                *wanting == gateway && *at >= from.max(hears[gateway]) && *at < from + interval
+            let used = requests.iter().find(|(at, at_gateway)| {
+                *at_gateway == gateway
+                    && *at >= from.max(notified[gateway])
+                    && *at < from + interval
             });
             sent.extend(used.map(|(at, _)| *at));
         }
@@ -123,72 +126,76 @@
     sent
 }
 
-fn fullest_second(sent: &[f64]) -> usize {
+fn busiest_second(sent: &[f64]) -> usize {
     let within = |first: usize| sent[first..].iter().filter(|at| **at < sent[first] + 1.0).count();
     (0..sent.len()).map(within).max().unwrap_or(0)
 }
 
-fn play(way: Way, gateways: usize, a_second: f64) -> Got {
+fn simulate(way: Way, gateways: usize, per_second: f64) -> Received {
     let seed = seeds::seed();
-    let mut got = Got::default();
-    for spell in 0..SPELLS {
-        let mut rng = StdRng::seed_from_u64(seed ^ spell);
-        let wants = wants(&mut rng, gateways, a_second);
-        let sent = sent(&mut rng, way, gateways, &wants);
-        got.fullest_second = got.fullest_second.max(fullest_second(&sent));
-        got.taken += sent.len() as f64 / wants.len().max(1) as f64 / SPELLS as f64;
+    let mut received = Received::default();
+    for start in 0..COLD_STARTS {
+        let mut rng = StdRng::seed_from_u64(seed ^ start);
+        let requests = requests(&mut rng, gateways, per_second);
+        let sent = sent(&mut rng, way, gateways, &requests);
+        received.busiest_second = received.busiest_second.max(busiest_second(&sent));
+        received.taken += sent.len() as f64 / requests.len().max(1) as f64 / COLD_STARTS as f64;
     }
-    got
+    received
 }
 
-/// The bound is 24.5 requests in any second. `-- --nocapture` prints what each way gives.
+/// The bound is 24.5 requests in any second. `-- --nocapture` prints the result of each case.
 #[rstest]
-fn no_second_of_a_cold_target_is_too_full_whatever_wants_it(
+fn a_cold_target_gets_no_more_than_the_bound_in_any_second(
     #[values(8, 24, 65, 295, 372)] gateways: usize,
-    #[values(7.0, 60.0, 400.0)] a_second: f64,
+    #[values(7.0, 60.0, 400.0)] per_second: f64,
 ) {
     let way = Way::Part;
-    let got = play(way, gateways, a_second);
-    println!("{gateways} gateways, {a_second} a second: {way:?} {got:?}");
-    assert!(got.fullest_second as f64 <= RULE.max_per_second(), "{got:?}");
+    let received = simulate(way, gateways, per_second);
+    println!("{gateways} gateways, {per_second} a second: {way:?} {received:?}");
+    assert!(received.busiest_second as f64 <= RULE.max_per_second(), "{received:?}");
 }
 
+/// Prints the results of all ways for comparison; checks nothing.
 #[test]
 fn the_ways_side_by_side() {
     for gateways in [8, 65, 372] {
-        for a_second in [7.0, 60.0, 400.0] {
+        for per_second in [7.0, 60.0, 400.0] {
             for way in [Way::Part, Way::Few, Way::Permits] {
-                let got = play(way, gateways, a_second);
-                println!("{gateways} gateways, {a_second} a second: {way:?} {got:?}");
+                let received = simulate(way, gateways, per_second);
+                println!("{gateways} gateways, {per_second} a second: {way:?} {received:?}");
             }
         }
     }
 }
 
 #[test]
-fn a_target_is_cold_by_its_own_word_and_for_a_start_after_its_hall_returned() {
+fn a_target_is_cold_as_it_reports_and_for_a_cold_start_after_its_hall_returned() {
     let secs = Duration::from_secs_f64;
     let (cold_start, gap) = (secs(3.0), secs(2.0));
-    let mut warmth = ColdState::default();
-    assert!(!warmth.cold(secs(1.0), cold_start));
-    warmth.note_cold_left(secs(1.0), secs(2.5));
-    assert!(warmth.cold(secs(3.4), cold_start) && !warmth.cold(secs(3.5), cold_start));
-    warmth.note_cold_left(secs(2.0), Duration::ZERO);
-    assert!(!warmth.cold(secs(2.0), cold_start), "its later word goes before the earlier one");
-    warmth.note_returned(secs(10.0));
-    warmth.note_cold_left(secs(10.5), Duration::ZERO);
-    assert!(warmth.cold(secs(12.9), cold_start), "a word from before proves nothing");
-    assert!(!warmth.cold(secs(13.0), cold_start));
-    // The first request of a spell comes at a drawn time, the next a gap later.
-    assert!(!warmth.may_send(secs(10.0), cold_start, gap, || 0.5));
-    assert!(warmth.may_send(secs(11.0), cold_start, gap, || 0.9));
-    warmth.note_sent(secs(11.0), gap);
-    assert!(!warmth.may_send(secs(12.9), cold_start, gap, || 0.0));
-    assert!(warmth.may_send(secs(13.0), cold_start, gap, || 0.0), "it is warm");
+    let mut state = ColdState::default();
+    assert!(!state.cold(secs(1.0), cold_start));
+    state.note_cold_left(secs(1.0), secs(2.5));
+    assert!(state.cold(secs(3.4), cold_start) && !state.cold(secs(3.5), cold_start));
+    state.note_cold_left(secs(2.0), Duration::ZERO);
+    assert!(!state.cold(secs(2.0), cold_start), "the later report replaces the earlier one");
+    state.note_returned(secs(10.0));
+    state.note_cold_left(secs(10.5), Duration::ZERO);
+    assert!(
+        state.cold(secs(12.9), cold_start),
+        "a report cannot end the cold start after a return"
+    );
+    assert!(!state.cold(secs(13.0), cold_start));
+    // The first request of a cold start may be sent after a random part of the gap, the next one a gap later.
+    assert!(!state.may_send(secs(10.0), cold_start, gap, || 0.5));
+    assert!(state.may_send(secs(11.0), cold_start, gap, || 0.9));
+    state.note_sent(secs(11.0), gap);
+    assert!(!state.may_send(secs(12.9), cold_start, gap, || 0.0));
+    assert!(state.may_send(secs(13.0), cold_start, gap, || 0.0), "it is warm");
 }
 
 #[test]
-fn nothing_is_asked_of_a_cold_target_before_the_others_are_known() {
+fn nothing_is_sent_to_a_cold_target_before_the_number_of_gateways_is_known() {
     let secs = Duration::from_secs_f64;
     let mut size = FleetSize::new(secs(10.0));
     assert_eq!(size.confirmed(secs(0.0)), 0);
@@ -206,7 +213,7 @@
 }
 
 #[test]
-fn the_end_of_a_start_and_another_start_are_news_and_the_time_between_is_not() {
+fn the_end_of_a_cold_start_and_a_new_one_are_changes_and_the_countdown_is_not() {
     let mut directory = Directory::default();
     directory.announce(1, cold(1, 3_000));
     assert_eq!(directory.classify(&cold(2, 1_800)), HeartbeatClass::Unchanged);
--- a/tests/gateway/health.rs
+++ b/tests/gateway/health.rs
@@ -1,4 +1,4 @@
-//! Which targets are left alone.
+//! Which targets are ejected, and for how long.
 
 use latchmount::gateway::health::{AttemptOutcome, Health, Tally};
 use latchmount::group::evidence::Evidence;
@@ -10,11 +10,16 @@
 
 use crate::seeds;
 
-/// Plays attempts at targets that fail with the given chances, each attempt at a target that is not
-/// left alone, and counts how often each was left alone.
-fn pauses_under(bad: AttemptOutcome, chances: &[f64], attempts: u32, rng: &mut StdRng) -> Vec<u32> {
+/// Simulates attempts at targets that fail with the given chances, each at a target that is not ejected. Returns how
+/// often each target was ejected.
+fn ejections_with(
+    bad: AttemptOutcome,
+    chances: &[f64],
+    attempts: u32,
+    rng: &mut StdRng,
+) -> Vec<u32> {
     let mut targets = vec![Health::default(); chances.len()];
-    let mut pauses = vec![0; chances.len()];
+    let mut ejections = vec![0; chances.len()];
     for attempt in 0..attempts {
         let now = Duration::from_millis(20) * attempt;
         let usable: Vec<usize> =
@@ -26,9 +31,9 @@
         let outcome = if failed { bad } else { AttemptOutcome::Answered };
         let others = usable.iter().filter(|other| **other != at);
         let others: Vec<Tally> = others.map(|other| targets[*other].tally(now)).collect();
-        pauses[at] += u32::from(targets[at].note(now, outcome, &others));
+        ejections[at] += u32::from(targets[at].note(now, outcome, &others));
     }
-    pauses
+    ejections
 }
 
 #[rstest]
@@ -36,51 +41,52 @@
     #[values(AttemptOutcome::Failed, AttemptOutcome::TurnedAway)] bad: AttemptOutcome,
 ) {
     let mut rng = StdRng::seed_from_u64(seeds::seed());
-    let alike = pauses_under(bad, &[0.45; 18], 1_000, &mut rng);
+    let alike = ejections_with(bad, &[0.45; 18], 1_000, &mut rng);
     assert!(alike.iter().sum::<u32>() <= 18, "all fail alike: {alike:?}");
     for failing in [1, 4, 9, 13] {
         let mut chances = [0.0; 18];
         chances[..failing].fill(0.9);
-        let pauses = pauses_under(bad, &chances, 1_000, &mut rng);
-        assert!(pauses[..failing].iter().all(|times| *times > 0), "{failing}: {pauses:?}");
-        assert!(pauses[failing..].iter().all(|times| *times == 0), "{failing}: {pauses:?}");
+        let ejections = ejections_with(bad, &chances, 1_000, &mut rng);
+        assert!(ejections[..failing].iter().all(|times| *times > 0), "{failing}: {ejections:?}");
+        assert!(ejections[failing..].iter().all(|times| *times == 0), "{failing}: {ejections:?}");
     }
 }
 
+/// A target ejected for failures, or also on the evidence of other gateways, may not run any more.
 #[test]
-fn a_target_that_is_left_for_turning_away_lives_and_one_left_for_failures_may_not() {
+fn only_an_ejection_for_rejected_requests_shows_that_the_target_runs() {
     let now = Duration::from_secs(1);
     let others = [Tally::of(now, 0.0, 8.0)];
-    let left_for = |outcome: AttemptOutcome| {
+    let ejected_for = |outcome: AttemptOutcome| {
         let mut health = Health::default();
         while !health.note(now, outcome, &others) {}
         health
     };
-    assert!(left_for(AttemptOutcome::TurnedAway).rejects_work(now));
-    assert!(!left_for(AttemptOutcome::Failed).rejects_work(now));
-    assert!(!left_for(AttemptOutcome::Unreachable).rejects_work(now));
-    let mut together = left_for(AttemptOutcome::TurnedAway);
+    assert!(ejected_for(AttemptOutcome::TurnedAway).rejects_work(now));
+    assert!(!ejected_for(AttemptOutcome::Failed).rejects_work(now));
+    assert!(!ejected_for(AttemptOutcome::Unreachable).rejects_work(now));
+    let mut on_evidence = ejected_for(AttemptOutcome::TurnedAway);
     let evidence = Evidence { target: LoadKey::of(7), failed: 9.0, answered: 0.0, reporters: 3 };
-    together.eject_on_evidence(now, &evidence, Duration::ZERO, 0.5);
-    assert!(!together.rejects_work(now));
+    on_evidence.eject_on_evidence(now, &evidence, Duration::ZERO, 0.5);
+    assert!(!on_evidence.rejects_work(now));
 }
 
 #[test]
-fn a_target_out_of_reach_is_left_alone_longer_each_time_and_comes_back() {
+fn an_unreachable_target_is_ejected_longer_each_time_and_comes_back() {
     let mut health = Health::default();
     let mut now = Duration::ZERO;
-    let mut pauses = Vec::new();
+    let mut lengths = Vec::new();
     for _ in 0..6 {
         assert!(health.note(now, AttemptOutcome::Unreachable, &[]));
         let began = now;
         while health.ejected(now) {
             now += Duration::from_millis(10);
         }
-        pauses.push(now - began);
+        lengths.push(now - began);
         assert!(health.on_probation(now));
     }
-    assert!(pauses.is_sorted(), "{pauses:?}");
-    assert!(pauses[5] <= Duration::from_secs(5));
+    assert!(lengths.is_sorted(), "{lengths:?}");
+    assert!(lengths[5] <= Duration::from_secs(5));
     for _ in 0..20 {
         health.note(now, AttemptOutcome::Answered, &[]);
     }
