--- a/tests/gateway/deltas.rs
+++ b/tests/gateway/deltas.rs
@@ -1,4 +1,4 @@
-//! Changes of the directory that gateways share, while thousands of targets start.
+//! Directory deltas that several gateways share, while thousands of targets start.
 
 use std::collections::{HashMap, HashSet};
 
@@ -15,10 +15,10 @@
     Announcement { id: format!("t{number}"), ..heartbeat("t", TargetState::Ready, 1) }
 }
 
-/// Plays a start: gateways of one member learn of targets that come in batches, each at its own pace. Returns the
-/// entries of all changes that were packed at one moment, at most, when each gateway has a change of its own and when
-/// they share.
-fn packed_at_once(gateways: usize, targets: usize, rng: &mut StdRng) -> (usize, usize) {
+/// Simulates a start: targets appear in batches, and the gateways of one member follow at different speeds. Returns the
+/// maximum number of entries in all deltas packed at one moment, first when each known revision gets a delta of its
+/// own, then when gateways share deltas.
+fn max_packed(gateways: usize, targets: usize, rng: &mut StdRng) -> (usize, usize) {
     let mut known = vec![0_u64; gateways];
     let mut most = (0, 0);
     let batch = 50;
@@ -29,7 +29,7 @@
         most.0 = most.0.max(own.iter().map(entries).sum());
         most.1 = most.1.max(shared.iter().map(entries).sum());
         for at in &mut known {
-            // Some are up to date within a batch, others a hundred batches late.
+            // Some gateways are up to date after one batch, others a hundred batches later.
             if rng.random_bool(0.03) {
                 *at = newest;
             }
@@ -46,10 +46,10 @@
     #[case] targets: usize,
 ) {
     let seed = seeds::seed();
-    let (own, shared) = packed_at_once(gateways, targets, &mut StdRng::seed_from_u64(seed));
+    let (own, shared) = max_packed(gateways, targets, &mut StdRng::seed_from_u64(seed));
     println!("{gateways} gateways, {targets} targets: {own} entries packed alone, {shared} shared");
-    // Two changes for each doubling of the distance, none longer than the list nor than three times the shortest distance
-    // of its doubling: together seven times as many entries as the list.
+    // There are two deltas for each doubling of the distance, none longer than the list or than three times the shortest
+    // distance of its doubling: together at most seven times as many entries as the list.
     assert!(shared <= 7 * targets, "seed {seed}: {shared}");
     assert!(own >= shared, "seed {seed}: {own}, {shared}");
 }
@@ -68,7 +68,7 @@
     }
 }
 
-/// A gateway that takes a change from an earlier revision than its own knows the same as one that takes its own.
+/// A gateway that applies a delta from an earlier revision than its own ends with the same list as with its own delta.
 #[test]
 fn a_shared_change_brings_a_gateway_to_the_same_list() {
     let seed = seeds::seed();
@@ -97,16 +97,16 @@
             let Some(delta) = directory.delta_since(base) else {
                 continue;
             };
-            let mut list_there = lists[&known].clone();
-            list_there.retain(|id, _| !delta.removed.contains(id));
+            let mut followed = lists[&known].clone();
+            followed.retain(|id, _| !delta.removed.contains(id));
             for listed in &delta.changed {
-                list_there.insert(listed.announcement.id.clone(), listed.announcement.state);
+                followed.insert(listed.announcement.id.clone(), listed.announcement.state);
             }
             for moved in &delta.moved {
-                let there = directory.targets().find(|target| target.key() == moved.target);
-                list_there.insert(there.expect("it moved").id.clone(), moved.state);
+                let listed_target = directory.targets().find(|target| target.key() == moved.target);
+                followed.insert(listed_target.expect("it moved").id.clone(), moved.state);
             }
-            assert_eq!(list_there, list(&directory), "seed {seed}: {known} by {base}");
+            assert_eq!(followed, list(&directory), "seed {seed}: {known} by {base}");
         }
     }
 }
--- a/tests/gateway/directory.rs
+++ b/tests/gateway/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of targets: heartbeats, homes, differences.
+//! The directory of targets: heartbeats, homes, deltas.
 
 use latchmount::directory::{
     Announcement, Directory, HeartbeatClass, Incarnation, StartTime, TargetState,
@@ -11,7 +11,7 @@
 
 use crate::seeds;
 
-/// A heartbeat; all come from the same address.
+/// A heartbeat of the target `id`; all have the same address.
 pub(crate) fn heartbeat(id: &str, state: TargetState, sequence: u64) -> Announcement {
     Announcement {
         id: id.into(),
@@ -27,13 +27,13 @@
     }
 }
 
-/// A target that does not say when it started.
+/// The incarnation of a target that does not report its start time.
 pub(crate) fn first_start(id: &str) -> Incarnation {
     Incarnation { id: id.to_owned(), born: StartTime::default() }
 }
 
 #[test]
-fn heartbeats_are_news_known_or_late() {
+fn heartbeats_are_changed_unchanged_or_stale() {
     let mut directory = Directory::default();
     let ready = heartbeat("a", TargetState::Ready, 5);
     assert_eq!(directory.classify(&ready), HeartbeatClass::Changed);
@@ -74,23 +74,27 @@
     let before = homes(&directory);
     assert_eq!(before.values().copied().collect::<Vec<_>>(), [0, 1, 2, 3, 4]);
     directory.announce(next(), heartbeat("new", TargetState::Ready, 1));
-    assert_eq!(homes(&directory), before, "a newcomer waits for a home");
+    assert_eq!(
+        homes(&directory),
+        before,
+        "a new target has no home until one is assigned or freed"
+    );
     directory.announce(next(), heartbeat("old2", TargetState::Draining, 2));
     let mut expected = before.clone();
-    let left = expected.remove("old2").expect("it had one");
-    expected.insert("new".into(), left);
+    let freed = expected.remove("old2").expect("old2 had a home");
+    expected.insert("new".into(), freed);
     assert_eq!(homes(&directory), expected);
     directory.remove(next(), "old2", StartTime::default());
     assert_eq!(homes(&directory), expected);
     directory.remove(next(), "old1", StartTime::default());
     expected.remove("old1");
-    assert_eq!(homes(&directory), expected, "without a newcomer there is a gap");
+    assert_eq!(homes(&directory), expected, "without a new target the home stays free");
     directory.announce(next(), heartbeat("later", TargetState::Ready, 1));
     expected.insert("later".into(), 1);
-    assert_eq!(homes(&directory), expected, "which the next newcomer takes at once");
+    assert_eq!(homes(&directory), expected, "the next new target gets the free home at once");
 }
 
-/// Routers that follow by differences see the same targets as one that asks for all.
+/// Gateways that apply deltas end with the same targets as one that gets the whole list.
 #[test]
 fn differences_of_the_directory_add_up() {
     let seed = seeds::seed();
@@ -109,8 +113,8 @@
         let at = rng.random_range(0..followers.len());
         let (known, targets) = &mut followers[at];
         if let Some(delta) = directory.delta_since(*known) {
-            let packed = packer.pack(delta).expect("it encodes");
-            let delta = packed.unpack().expect("it decodes");
+            let packed = packer.pack(delta).expect("the delta encodes");
+            let delta = packed.unpack().expect("the delta decodes");
             if delta.whole {
                 targets.clear();
             }
@@ -122,14 +126,17 @@
             }
             for moved in delta.moved {
                 let target = targets.values_mut().find(|target| target.key() == moved.target);
-                target.expect("a target that moved is known").state = moved.state;
+                target.expect("a changed target is known").state = moved.state;
             }
             *known = delta.revision;
         }
-        // Gateways are not told sequences.
-        let told = |target: &Announcement| Announcement { sequence: 0, ..target.clone() };
-        let all: BTreeMap<String, Announcement> =
-            directory.targets().map(|target| (target.id.clone(), told(target))).collect();
+        // Updates to gateways leave out the sequence numbers.
+        let without_sequence =
+            |target: &Announcement| Announcement { sequence: 0, ..target.clone() };
+        let all: BTreeMap<String, Announcement> = directory
+            .targets()
+            .map(|target| (target.id.clone(), without_sequence(target)))
+            .collect();
         assert_eq!(*targets, all, "seed {seed}, index {index}");
     }
 }
--- a/tests/gateway/documents.rs
+++ b/tests/gateway/documents.rs
@@ -1,17 +1,16 @@
-//! What a change of a configuration weighs on its way to members and gateways.
+//! Size of a configuration change as it is sent to members and gateways.
 //!
-//! Once a configuration had grown by 1,720 routes to 375 KB, each small change after it weighed 16 KB on
-//! its way to every member and gateway, where it had weighed 0.1 KB before, and queued like the
-//! growth itself. The base was given to the compressor as a dictionary, at a level whose table
-//! holds the places of some 16,000 pieces: those of the first part of a long base had been
-//! overwritten by later ones when they were looked up. Evidence: the sizes by length of the base, below.
+//! Guards against small changes to a large configuration being sent as large blobs. After a configuration had grown by
+//! 1,720 routes to 375 KB, each small change took 16 KB instead of 0.1 KB. The compressor got the base as its
+//! dictionary, at a level whose table holds some 16,000 positions, and those of the first part of a long base had been
+//! overwritten by later ones. The test checks several lengths of the base and positions of the change.
 
 use latchmount::document::Document;
 
-/// Bytes that a change of one value may weigh.
-const SMALL: usize = 500;
+/// Maximum size in bytes of a packed change of one value.
+const MAX_CHANGE_BYTES: usize = 500;
 
-/// A configuration with so many routes, laid out as operators send them.
+/// A configuration with this number of routes, formatted as operators send them.
 fn document(version: u64, routes: u64) -> Document {
     let route = |at: u64| {
         let name = xxhash_rust::xxh3::xxh3_64(&at.to_le_bytes());
@@ -30,29 +29,33 @@
     Document { version, bytes: text.into() }
 }
 
-/// The document with one timeout changed, at this part of its length.
-fn changed(base: &Document, part: f64) -> Document {
+/// The next version of the document, with the first timeout after this fraction of its length changed.
+fn changed(base: &Document, fraction: f64) -> Document {
     let text = std::str::from_utf8(&base.bytes).expect("text");
-    let from = (text.len() as f64 * part) as usize;
+    let from = (text.len() as f64 * fraction) as usize;
     let at = from + text[from..].find("\"timeout-ms\":2").expect("a timeout") + 13;
     let text = format!("{}7{}", &text[..at], &text[at + 1..]);
     Document { version: base.version + 1, bytes: text.into() }
 }
 
 #[test]
-fn a_small_change_weighs_little_however_large_the_configuration() {
+fn a_small_change_packs_small_however_large_the_configuration() {
     for routes in [240, 1_960, 6_000, 20_000] {
         let base = document(1, routes);
-        for part in [0.0, 0.5, 0.99] {
-            let next = changed(&base, part);
+        for fraction in [0.0, 0.5, 0.99] {
+            let next = changed(&base, fraction);
             let packed = next.pack(Some(&base)).expect("packs");
             println!(
-                "{routes} routes, {} B, at {part}: {} B",
+                "{routes} routes, {} B, at {fraction}: {} B",
                 base.bytes.len(),
                 packed.bytes.len()
             );
             assert_eq!(packed.unpack(Some(&base)).expect("unpacks"), next);
-            assert!(packed.bytes.len() < SMALL, "{} B of {routes} routes", packed.bytes.len());
+            assert!(
+                packed.bytes.len() < MAX_CHANGE_BYTES,
+                "{} B of {routes} routes",
+                packed.bytes.len()
+            );
         }
     }
 }
