--- a/tests/gateway/availability.rs
+++ b/tests/gateway/availability.rs
@@ -1,4 +1,4 @@
-//! Whether a target may be sent anything, against a naive version that remembers every word.
+//! Whether a target may be sent requests, against a naive version that keeps every report.
 
 use std::time::Duration;
 
@@ -6,23 +6,26 @@
 use latchmount::retry_after::RetryAfter;
 use proptest::prelude::*;
 
-/// A rest that nobody is told the length of, and the longest.
-const UNCLEAR: Duration = Duration::from_secs(1);
-const LONGEST: Duration = Duration::from_secs(3_600);
-/// Time over which gateways come back.
-const SPREAD: Duration = Duration::from_millis(800);
+/// Back-off applied when the target gave no readable length, and the longest one that is applied.
+const UNCLEAR_BACKOFF: Duration = Duration::from_secs(1);
+const MAX_BACKOFF: Duration = Duration::from_secs(3_600);
+/// Time over which the gateways return to a target after its back-off.
+const RETURN_SPREAD: Duration = Duration::from_millis(800);
 
-/// What may happen around one start of a target.
+/// Events around one incarnation of a target.
 #[derive(Clone, Debug)]
 enum Event {
-    /// Time goes by, be it that the host is suspended meanwhile.
+    /// Milliseconds pass, possibly while the host is suspended.
     Wait(u64),
-    Leaving,
-    Rest(Option<u64>),
+    /// The target reports that it shuts down.
+    Draining,
+    /// The target asks for a back-off, in milliseconds, or one of unreadable length.
+    Backoff(Option<u64>),
     Answered,
+    /// The list says whether the target is draining.
     List(bool),
     Evacuate(bool),
-    /// A list loses it and brings it back.
+    /// The list drops the target and then has it again.
     Relist(bool),
 }
 
@@ -30,9 +33,9 @@
     prop_oneof![
         4 => (0_u64..3_000).prop_map(Event::Wait),
         1 => (0_u64..8_000_000).prop_map(Event::Wait),
-        1 => Just(Event::Leaving),
-        4 => prop::option::of(0_u64..5_000).prop_map(Event::Rest),
-        1 => (0_u64..700_000_000).prop_map(|ms| Event::Rest(Some(ms))),
+        1 => Just(Event::Draining),
+        4 => prop::option::of(0_u64..5_000).prop_map(Event::Backoff),
+        1 => (0_u64..700_000_000).prop_map(|ms| Event::Backoff(Some(ms))),
         4 => Just(Event::Answered),
         2 => any::<bool>().prop_map(Event::List),
         2 => any::<bool>().prop_map(Event::Evacuate),
@@ -40,63 +43,64 @@
     ]
 }
 
-/// Remembers all that was said.
+/// Keeps all reports.
 #[derive(Default)]
 struct Naive {
-    said_leaving: bool,
-    listed_leaving: bool,
+    reported_draining: bool,
+    listed_draining: bool,
     evacuated: bool,
-    rests: Vec<(Duration, Duration)>,
+    /// Start and length.
+    backoffs: Vec<(Duration, Duration)>,
 }
 
 impl Naive {
     fn note(&mut self, now: Duration, event: &Event) {
         match event {
-            Event::Leaving => self.said_leaving = true,
-            Event::Rest(Some(ms)) => {
-                self.rests.push((now, Duration::from_millis(*ms).min(LONGEST)));
+            Event::Draining => self.reported_draining = true,
+            Event::Backoff(Some(ms)) => {
+                self.backoffs.push((now, Duration::from_millis(*ms).min(MAX_BACKOFF)));
             }
-            Event::Rest(None) => self.rests.push((now, UNCLEAR)),
-            Event::List(leaving) | Event::Relist(leaving) => self.listed_leaving = *leaving,
+            Event::Backoff(None) => self.backoffs.push((now, UNCLEAR_BACKOFF)),
+            Event::List(draining) | Event::Relist(draining) => self.listed_draining = *draining,
             Event::Evacuate(evacuated) => self.evacuated = *evacuated,
             Event::Wait(_) | Event::Answered => {}
         }
     }
 
-    fn rests(&self, now: Duration) -> bool {
-        self.rests.iter().any(|(at, length)| now < *at + *length)
+    fn backs_off(&self, now: Duration) -> bool {
+        self.backoffs.iter().any(|(at, length)| now < *at + *length)
     }
 }
 
 fn note(known: &mut Availability, now: Duration, event: &Event, chance: f64, evacuated: bool) {
     match event {
         Event::Wait(_) => {}
-        Event::Leaving => {
+        Event::Draining => {
             known.says_leaving();
         }
-        Event::Rest(ms) => {
-            let rest =
+        Event::Backoff(ms) => {
+            let backoff =
                 ms.map_or(RetryAfter::Unclear, |ms| RetryAfter::In(Duration::from_millis(ms)));
-            known.rests(now, rest, SPREAD, chance);
+            known.rests(now, backoff, RETURN_SPREAD, chance);
         }
         Event::Answered => known.answered(now),
-        Event::List(leaving) => known.list(*leaving),
+        Event::List(draining) => known.list(*draining),
         Event::Evacuate(evacuated) => known.evacuate(*evacuated),
-        Event::Relist(leaving) => {
-            let said = known.own_word();
+        Event::Relist(draining) => {
+            let reported = known.own_word();
             *known = Availability::default();
-            known.list(*leaving);
+            known.list(*draining);
             known.evacuate(evacuated);
-            said.into_iter().for_each(|said| known.recall(said));
+            reported.into_iter().for_each(|report| known.recall(report));
         }
     }
 }
 
 proptest! {
-    /// Nothing is sent to a target that has said that it leaves, nor within a rest that it has asked for; and it is
-    /// sent something as soon as no word is in the way.
+    /// A target gets no request once it has reported that it shuts down, nor during a back-off that it asked for, and
+    /// may get one as soon as no report forbids it.
     #[test]
-    fn no_word_of_a_target_is_forgotten_and_none_outlives_its_time(
+    fn every_report_of_a_target_holds_for_its_time_and_no_longer(
         events in prop::collection::vec((event(), 0.0..1.0_f64), 1..60),
     ) {
         let (mut known, mut naive) = (Availability::default(), Naive::default());
@@ -108,9 +112,9 @@
             note(&mut known, now, &event, chance, naive.evacuated);
             naive.note(now, &event);
             let standing = known.standing(now);
-            let leaving = naive.said_leaving || naive.listed_leaving;
-            prop_assert_eq!(standing == Standing::Leaving, leaving);
-            let free = !leaving && !naive.evacuated && !naive.rests(now);
+            let draining = naive.reported_draining || naive.listed_draining;
+            prop_assert_eq!(standing == Standing::Leaving, draining);
+            let free = !draining && !naive.evacuated && !naive.backs_off(now);
             prop_assert_eq!(standing.takes_work(), free, "{:?} at {:?}", standing, now);
         }
     }
@@ -120,19 +124,19 @@
     Duration::from_secs_f64(seconds)
 }
 
-fn rest(seconds: f64) -> RetryAfter {
+fn backoff(seconds: f64) -> RetryAfter {
     RetryAfter::In(secs(seconds))
 }
 
 #[test]
 fn a_target_comes_back_with_one_request_and_twice_as_many_with_each_answer() {
     let mut known = Availability::default();
-    known.rests(secs(10.0), rest(3.0), secs(2.0), 0.5);
+    known.rests(secs(10.0), backoff(3.0), secs(2.0), 0.5);
     assert_eq!(known.standing(secs(12.9)), Standing::Resting { until: secs(13.0) });
-    // An answer of before the rest proves nothing.
+    // An answer from before the end of the back-off does not raise the limit.
     known.answered(secs(12.9));
     let early = known.standing(secs(13.5));
-    assert_eq!(early, Standing::Returning { allowed: 0 }, "only if no other will do");
+    assert_eq!(early, Standing::Returning { allowed: 0 }, "only as a last resort");
     assert!(early.takes_work() && early.hesitates(0));
     for allowed in [1, 2, 4, 8] {
         let standing = known.standing(secs(14.0));
@@ -143,25 +147,33 @@
     assert_eq!(known.standing(secs(14.0)), Standing::Open);
 }
 
-/// The next start under an identity may have answered before any list told of it.
+/// Until the next incarnation under an identity is listed, its answers are attributed to the one before. A back-off
+/// requested shortly before the listing may be its own, so it applies to both. A shutdown report applies to the old one
+/// only.
 #[test]
-fn a_rest_asked_for_just_before_another_start_is_listed_holds_for_that_and_a_leave_does_not() {
+fn only_a_backoff_requested_just_before_the_next_incarnation_is_listed_applies_to_it() {
     let mut old = Availability::default();
     old.says_leaving();
-    old.rests(secs(10.0), rest(30.0), Duration::ZERO, 0.5);
+    old.rests(secs(10.0), backoff(30.0), Duration::ZERO, 0.5);
     let mut next = Availability::default();
-    next.recall(old.word_of_next_start(secs(12.0)).expect("it may be its word"));
+    next.recall(
+        old.word_of_next_start(secs(12.0)).expect("the back-off may be of the next incarnation"),
+    );
     assert_eq!(next.standing(secs(12.0)), Standing::Resting { until: secs(40.0) });
-    assert_eq!(old.word_of_next_start(secs(20.0)), None, "it was the old one's");
+    assert_eq!(
+        old.word_of_next_start(secs(20.0)),
+        None,
+        "a back-off of 10 s ago is of the old incarnation"
+    );
 }
 
 #[test]
-fn a_shorter_word_does_not_shorten_a_rest_and_no_time_is_no_rest() {
+fn a_shorter_backoff_does_not_shorten_a_longer_one_and_zero_is_none() {
     let mut known = Availability::default();
-    known.rests(secs(1.0), rest(0.0), secs(1.0), 0.5);
+    known.rests(secs(1.0), backoff(0.0), secs(1.0), 0.5);
     assert_eq!(known.standing(secs(1.0)), Standing::Open);
-    known.rests(secs(1.0), rest(5.0), Duration::ZERO, 0.5);
-    known.rests(secs(1.5), rest(1.0), Duration::ZERO, 0.5);
-    known.rests(secs(2.0), rest(0.0), Duration::ZERO, 0.5);
+    known.rests(secs(1.0), backoff(5.0), Duration::ZERO, 0.5);
+    known.rests(secs(1.5), backoff(1.0), Duration::ZERO, 0.5);
+    known.rests(secs(2.0), backoff(0.0), Duration::ZERO, 0.5);
     assert_eq!(known.standing(secs(5.9)), Standing::Resting { until: secs(6.0) });
 }
--- a/tests/gateway/balance.rs
+++ b/tests/gateway/balance.rs
@@ -1,4 +1,4 @@
-//! Which target a request goes to.
+//! Choice of the target for a request.
 
 use latchmount::gateway::balance::{Affinity, Candidate, Preference, choose, earlier_home};
 use rand::rngs::StdRng;
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn cheap_requests_leave_a_full_home_before_dear_ones() {
+fn cheap_requests_leave_a_full_home_before_expensive_ones() {
     let mut rng = StdRng::seed_from_u64(4);
     let preference =
         |tokens| Preference { affinity: Some(shared(7, tokens)), load_bound: 2.0, targets: 10 };
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn doubtful_targets_are_chosen_only_when_there_is_no_other() {
+fn last_resort_targets_are_chosen_only_when_there_is_no_other() {
     let mut rng = StdRng::seed_from_u64(3);
     for affinity in [None, Some(shared(4, 100))] {
         let preference = Preference { affinity, load_bound: 2.0, targets: 18 };
@@ -86,13 +86,12 @@
     }
 }
 
-/// A fleet that starts: until most targets have a home, the few that have one do not get the work of
-/// all.
+/// While a fleet starts, few targets have a home. Those must not get the requests of all affinities.
 #[test]
 fn affinities_spread_over_all_targets_while_few_have_homes() {
     let mut rng = StdRng::seed_from_u64(seeds::seed());
-    let unhoused = |key: u32| Candidate { home: None, ..candidate(key, 0.0) };
-    let mut all: Vec<Candidate> = (0..40).map(unhoused).collect();
+    let without_home = |key: u32| Candidate { home: None, ..candidate(key, 0.0) };
+    let mut all: Vec<Candidate> = (0..40).map(without_home).collect();
     all[7].home = Some(0);
     let mut chosen = vec![0; all.len()];
     for affinity in 0..4_000 {
@@ -103,18 +102,18 @@
     assert!(chosen.iter().all(|times| (20..400).contains(times)), "{chosen:?}");
 }
 
-/// Who kept a prompt before its hall was evacuated is whoever would be chosen if it were not.
+/// The target in an evacuated hall that has a prompt cached is the one that would be chosen without the evacuation.
 #[test]
-fn the_keeper_away_is_the_target_that_would_be_chosen_were_it_there() {
+fn the_evacuated_prefix_holder_is_the_target_chosen_without_the_evacuation() {
     let mut rng = StdRng::seed_from_u64(seeds::seed());
     let all: Vec<Candidate> = (0..30).map(|home| candidate(home, 0.0)).collect();
-    let (there, away) = all.split_at(20);
+    let (eligible, evacuated) = all.split_at(20);
     for affinity in 0..500 {
         let affinity = shared(affinity, 0);
         let preference = Preference { affinity: Some(affinity), load_bound: 2.0, targets: 30 };
         let chosen = choose(&all, preference, &mut rng).expect("candidates");
-        let expected = chosen.checked_sub(there.len());
-        assert_eq!(earlier_home(there, away, affinity), expected);
+        let expected = chosen.checked_sub(eligible.len());
+        assert_eq!(earlier_home(eligible, evacuated, affinity), expected);
     }
-    assert_eq!(earlier_home(there, &[], shared(1, 0)), None);
+    assert_eq!(earlier_home(eligible, &[], shared(1, 0)), None);
 }
--- a/tests/gateway/budget.rs
+++ b/tests/gateway/budget.rs
@@ -1,4 +1,4 @@
-//! Budgets of retries, over all gateways together.
+//! Retry budgets, summed over all gateways.
 
 use latchmount::gateway::budget::{BudgetRule, ServiceBudget, USED_FRACTION};
 use latchmount::gateway::fleet_size::FleetSize;
@@ -9,7 +9,8 @@
 
 use crate::seeds;
 
-/// Members that have just started tell few gateways; nobody takes the slack of all for it.
+/// A member that has just started reports too few gateways. A gateway that believed it would take too large a part of
+/// the slack, which all gateways share.
 #[test]
 fn a_dip_in_the_number_of_gateways_counts_only_once_it_has_lasted_a_window() {
     let seconds = Duration::from_secs;
@@ -17,7 +18,7 @@
     assert_eq!(size.largest(seconds(1)), 0);
     size.note(seconds(1), 62);
     size.note(seconds(20), 1);
-    assert_eq!(size.largest(seconds(20)), 1, "what was told long ago counts no more");
+    assert_eq!(size.largest(seconds(20)), 1, "a number from before the window does not count");
     size.note(seconds(21), 60);
     size.note(seconds(22), 3);
     size.note(seconds(23), 8);
@@ -26,7 +27,7 @@
     assert_eq!(size.largest(seconds(90)), 8, "the newest counts however old it is");
 }
 
-/// The sum over all gateways holds the rule in every window, whatever they do.
+/// The retries of all gateways together obey the rule in every window, whatever requests each gets.
 #[test]
 fn budgets_of_all_gateways_hold_the_rule_in_every_window() {
     let seed = seeds::seed();
@@ -54,17 +55,17 @@
                 }
             }
         }
-        let mut within: VecDeque<(f64, bool)> = VecDeque::new();
+        let mut in_window: VecDeque<(f64, bool)> = VecDeque::new();
         for event in events {
-            within.push_back(event);
-            while within.front().is_some_and(|(at, _)| *at <= event.0 - 10.0) {
-                within.pop_front();
+            in_window.push_back(event);
+            while in_window.front().is_some_and(|(at, _)| *at <= event.0 - 10.0) {
+                in_window.pop_front();
             }
-            let further = within.iter().filter(|(_, further)| *further).count() as f64;
-            let requests = within.len() as f64 - further;
+            let retries = in_window.iter().filter(|(_, retries)| *retries).count() as f64;
+            let requests = in_window.len() as f64 - retries;
             assert!(
-                further <= 0.2 * requests + 56.0,
-                "seed {seed} round {round}: {further} for {requests} at {}",
+                retries <= 0.2 * requests + 56.0,
+                "seed {seed} round {round}: {retries} for {requests} at {}",
                 event.0
             );
         }
--- a/tests/gateway/propagation.rs
+++ b/tests/gateway/propagation.rs
@@ -1,4 +1,4 @@
-//! How long gateways wait for configurations, as their member counts it.
+//! How long gateways wait for configurations, as measured by their member.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_wait_counts_from_when_the_member_held_the_change_and_not_from_when_it_was_sent() {
+fn a_wait_counts_from_when_the_member_had_the_change_and_not_from_when_it_was_sent() {
     let mut propagation = Propagation::default();
     propagation.add_version(ms(0), 1);
     let first = propagation.connect(ms(10), "first", 1);
@@ -35,35 +35,35 @@
 }
 
 #[test]
-fn a_first_configuration_waited_for_the_gateway() {
+fn a_first_configuration_does_not_count_as_a_wait() {
     let mut propagation = Propagation::default();
     propagation.add_version(ms(0), 1);
     let gateway = propagation.connect(ms(500), "gateway", 0);
     assert_eq!(propagation.set_in_force(ms(520), gateway, 1), None);
-    let everywhere = Propagated { version: 1, reached: 1, slowest: None };
-    assert_eq!(propagation.take_propagated(), [everywhere]);
+    let propagated = Propagated { version: 1, reached: 1, slowest: None };
+    assert_eq!(propagation.take_propagated(), [propagated]);
 }
 
 #[test]
-fn a_gateway_that_left_is_waited_for_no_longer() {
+fn a_disconnected_gateway_is_no_longer_waited_for() {
     let mut propagation = Propagation::default();
     let stays = propagation.connect(ms(0), "stays", 1);
-    let leaves = propagation.connect(ms(0), "leaves", 1);
+    let disconnects = propagation.connect(ms(0), "disconnects", 1);
     propagation.add_version(ms(100), 2);
     propagation.set_in_force(ms(150), stays, 2);
-    propagation.disconnect(leaves);
+    propagation.disconnect(disconnects);
     assert_eq!(propagation.connections(), 1);
     assert_eq!(propagation.take_propagated().len(), 1);
 }
 
 proptest! {
-    /// Each version is told of once, in order, and never before all gateways have it.
+    /// Each version is reported once, in order, and never before all gateways have it.
     #[test]
-    fn versions_are_told_of_once_all_have_them(steps in prop::collection::vec((0..4_usize, 0..3_u64), 1..200)) {
+    fn versions_are_reported_once_all_gateways_have_them(steps in prop::collection::vec((0..4_usize, 0..3_u64), 1..200)) {
         let mut propagation = Propagation::default();
         let gateways: Vec<_> =
             (0..4).map(|at| propagation.connect(ms(0), &at.to_string(), 1)).collect();
-        let (mut has, mut newest, mut told) = ([1_u64; 4], 1, 1);
+        let (mut has, mut newest, mut reported) = ([1_u64; 4], 1, 1);
         for (at, (gateway, skip)) in steps.into_iter().enumerate() {
             let now = ms(at as u64);
             if skip == 0 {
@@ -73,10 +73,10 @@
                 has[gateway] = newest.min(has[gateway] + skip);
                 propagation.set_in_force(now, gateways[gateway], has[gateway]);
             }
-            for everywhere in propagation.take_propagated() {
-                prop_assert!(everywhere.version > told);
-                prop_assert!(has.iter().all(|has| *has >= everywhere.version));
-                told = everywhere.version;
+            for propagated in propagation.take_propagated() {
+                prop_assert!(propagated.version > reported);
+                prop_assert!(has.iter().all(|has| *has >= propagated.version));
+                reported = propagated.version;
             }
         }
     }
--- a/tests/gateway/requests.rs
+++ b/tests/gateway/requests.rs
@@ -1,4 +1,4 @@
-//! What is said of, and passed on with, a single request.
+//! Refusals, forwarded headers and connection reuse of a single request.
 
 use http::{HeaderMap, HeaderValue};
 use latchmount::dialect::{Dialect, NativeDialect};
@@ -32,9 +32,9 @@
     client.insert("connection", HeaderValue::from_static("X-Hop"));
     client.insert(names.prompt.clone(), HeaderValue::from_static("a:1,b:2"));
     client.insert("x-other", HeaderValue::from_static("kept"));
-    let passed = forwarded_headers(&client, names);
-    let passed: Vec<&str> = passed.keys().map(|name| name.as_str()).collect();
-    assert_eq!(passed, ["latchmount-prompt", "x-other"]);
+    let forwarded = forwarded_headers(&client, names);
+    let forwarded: Vec<&str> = forwarded.keys().map(|name| name.as_str()).collect();
+    assert_eq!(forwarded, ["latchmount-prompt", "x-other"]);
 }
 
 #[rstest]
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn callers_of_a_gateway_that_has_waited_long_for_news_come_back_later() {
+fn callers_of_a_gateway_that_has_waited_long_for_its_configuration_retry_later() {
     let up_for = |up_ms| RetryHints { uptime: Duration::from_millis(up_ms), backoff_left: None };
     let wait = |up_ms| Refusal::NoConfiguration.retry_after(up_for(up_ms));
     let expected = |ms| Some(Duration::from_millis(ms));
--- a/tests/gateway/routes.rs
+++ b/tests/gateway/routes.rs
@@ -1,4 +1,4 @@
-//! Routes, callers, faults of configurations, and documents that travel as differences.
+//! Route lookup, callers, faults of configurations, and documents sent as differences.
 
 use bytes::Bytes;
 use latchmount::configuration::{
@@ -66,10 +66,10 @@
 
 #[test]
 fn callers_are_known_by_their_key() {
-    let mut whole = configuration(vec![route("h", "/a/"), route("h", "/b/")]);
-    whole.routes[1].public = true;
-    whole.teams = Some(vec![team("t", &["k1", "k2"])]);
-    let table = RouteTable::new(whole);
+    let mut config = configuration(vec![route("h", "/a/"), route("h", "/b/")]);
+    config.routes[1].public = true;
+    config.teams = Some(vec![team("t", &["k1", "k2"])]);
+    let table = RouteTable::new(config);
     let private = table.route("h", "/a/").expect("a route").clone();
     let public = table.route("h", "/b/").expect("a route").clone();
     assert!(matches!(table.caller(&private, Some("k2")), Caller::Team(t) if t.name == "t"));
@@ -81,19 +81,19 @@
 }
 
 #[rstest]
-#[case::unknown_service(|whole: &mut Configuration| whole.services.clear(), "routes[0].service")]
-#[case::no_weight(|whole: &mut Configuration| whole.routes[0].services[0].weight = 0, "routes[0].service")]
-#[case::no_timeout(|whole: &mut Configuration| whole.routes[0].timeout = Duration::ZERO, "routes[0].timeout_ms")]
-#[case::same_place(|whole: &mut Configuration| whole.routes.push(route("h", "/a/")), "routes[1].prefix")]
-#[case::shared_key(|whole: &mut Configuration| whole.teams = Some(vec![team("t", &["k"]), team("u", &["k"])]), "teams[1].keys")]
+#[case::unknown_service(|config: &mut Configuration| config.services.clear(), "routes[0].service")]
+#[case::no_weight(|config: &mut Configuration| config.routes[0].services[0].weight = 0, "routes[0].service")]
+#[case::no_timeout(|config: &mut Configuration| config.routes[0].timeout = Duration::ZERO, "routes[0].timeout_ms")]
+#[case::same_place(|config: &mut Configuration| config.routes.push(route("h", "/a/")), "routes[1].prefix")]
+#[case::shared_key(|config: &mut Configuration| config.teams = Some(vec![team("t", &["k"]), team("u", &["k"])]), "teams[1].keys")]
 fn a_faulty_configuration_names_the_field(
-    #[case] spoil: fn(&mut Configuration),
+    #[case] add_fault: fn(&mut Configuration),
     #[case] path: &str,
 ) {
-    let mut whole = configuration(vec![route("h", "/a/")]);
-    assert_eq!(whole.faults(), Vec::new());
-    spoil(&mut whole);
-    let faults = whole.faults();
+    let mut config = configuration(vec![route("h", "/a/")]);
+    assert_eq!(config.faults(), Vec::new());
+    add_fault(&mut config);
+    let faults = config.faults();
     assert!(faults.iter().any(|fault| fault.path == path), "{faults:?}");
 }
 
@@ -104,17 +104,17 @@
         format!("{{\"version\":{version},\n \"routes\":[{}]}}", routes.join(","))
     };
     let document = |version| Document { version, bytes: Bytes::from(text(version)) };
-    let (held, newer) = (document(7), document(9));
-    let packed = newer.pack(Some(&held)).expect("small");
+    let (base, newer) = (document(7), document(9));
+    let packed = newer.pack(Some(&base)).expect("packs");
     assert!(packed.bytes.len() < 100, "{} bytes for a change of one number", packed.bytes.len());
-    assert_eq!(packed.unpack(Some(&held)), Ok(newer.clone()));
+    assert_eq!(packed.unpack(Some(&base)), Ok(newer.clone()));
     assert_eq!(packed.unpack(None), Err(PackError::WrongBase { base: 7 }));
     assert_eq!(packed.unpack(Some(&document(8))), Err(PackError::WrongBase { base: 7 }));
-    assert_eq!(newer.pack(None).expect("small").unpack(Some(&held)), Ok(newer));
+    assert_eq!(newer.pack(None).expect("packs").unpack(Some(&base)), Ok(newer));
 }
 
 #[test]
-fn weights_beyond_what_a_number_holds_are_no_fault_and_end_nothing() {
+fn weights_that_overflow_are_no_fault_and_do_not_panic() {
     let mut heavy = route("a", "/x/");
     let of = |weight| WeightedService { service: "s".into(), weight };
     heavy.services = vec![of(u64::MAX), of(1)];
--- a/tests/gateway/versions.rs
+++ b/tests/gateway/versions.rs
@@ -1,4 +1,4 @@
-//! Which version of a service requests go to while one takes the place of another.
+//! Which version of a service requests go to during a roll-out.
 
 use latchmount::gateway::versions::{VersionGroup, groups, trial_size};
 use latchmount::rollout::{RolloutOrder, RolloutStep, RolloutVerdict, Rollouts, Stage};
@@ -24,7 +24,7 @@
     assert_eq!(groups(stage, 0.04, again), expected);
 }
 
-/// A request is checked again right before it is sent: its stage may have passed since it chose.
+/// A request is checked again right before it is sent, since the stage may have ended after the choice of its target.
 #[rstest]
 #[case(Stage::Part(50), true, true)]
 #[case(Stage::Shifted, true, true)]
@@ -38,22 +38,22 @@
     assert_eq!((stage.may_send(false), stage.may_send(true)), (old, new));
     for group in [false, true].into_iter().flat_map(|again| groups(Some(stage), 0.04, again)) {
         let of_new = matches!(group, VersionGroup::Trial | VersionGroup::New);
-        // The old version is the last resort of a stage that has it at all.
+        // The old version is the last resort, but only of a stage that allows it.
         assert!(stage.may_send(of_new), "{group:?}");
     }
 }
 
-/// However many gateways there are, and whatever each of them gets: the new version has its part of all.
+/// The new version gets its share of all requests, however many gateways there are and however few each of them gets.
 #[rstest]
 #[case(8)]
 #[case(1_000)]
-fn a_fleet_of_any_size_gives_the_new_version_its_part(#[case] gateways: usize) {
+fn a_fleet_of_any_size_gives_the_new_version_its_share(#[case] gateways: usize) {
     let seed = seeds::seed();
     let mut rng = StdRng::seed_from_u64(seed);
     let (requests, stage) = (5_000, Stage::Part(50));
     let mut new = 0;
     for _ in 0..requests {
-        // Which gateway has the request makes no difference to its lot; most have fewer than ten.
+        // The draw does not depend on the gateway; with 1,000 gateways, most have fewer than ten requests.
         let _gateway = rng.random_range(0..gateways);
         new += usize::from(groups(Some(stage), rng.random(), false)[0] == VersionGroup::Trial);
     }
@@ -104,7 +104,7 @@
     assert_eq!(rollouts.get("s").expect("one").stage, Stage::RolledBack);
     assert_eq!(rollouts.order(8, order("v2", false)), RolloutVerdict::Taken);
     assert_eq!(rollouts.get("s").expect("one").stage, Stage::Part(50));
-    // A stage of the roll-out before is void.
+    // A step of the earlier roll-out is ignored.
     rollouts.step(9, &step(5, Stage::Completed));
     assert_eq!(rollouts.get("s").expect("one").stage, Stage::Part(50));
 }
