--- a/tests/gateway/words.rs
+++ b/tests/gateway/answer_headers.rs
@@ -1,4 +1,4 @@
-//! What the heads of answers say of their targets, and headers that nothing reads.
+//! What targets report about themselves in answer headers, and unknown headers of the dialect.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     pairs.iter().map(pair).collect()
 }
 
-fn rest(status: u16, values: &[&str]) -> Option<RetryAfter> {
+fn backoff(status: u16, values: &[&str]) -> Option<RetryAfter> {
     let pairs: Vec<(&str, &str)> = values.iter().map(|value| ("retry-after", *value)).collect();
     let status = StatusCode::from_u16(status).expect("a status");
     NativeDialect::default().target_status(status, &headers(&pairs)).backoff
@@ -41,18 +41,20 @@
 #[case::no_number(&["NaN"], Some(RetryAfter::Unclear))]
 #[case::infinite(&["inf"], Some(RetryAfter::Unclear))]
 #[case::empty(&[""], Some(RetryAfter::Unclear))]
-fn a_rest_is_read_from_what_a_target_says(
+fn a_backoff_is_read_from_retry_after(
     #[case] values: &[&str],
     #[case] expected: Option<RetryAfter>,
 ) {
-    assert_eq!(rest(503, values), expected);
+    assert_eq!(backoff(503, values), expected);
 }
 
 #[test]
-fn a_number_beyond_all_time_is_the_longest_rest() {
+fn a_huge_retry_after_is_a_very_long_backoff() {
     let digits = "9".repeat(400);
-    let long = rest(503, &[&digits]);
-    assert!(matches!(long, Some(RetryAfter::In(rest)) if rest > Duration::from_secs(1 << 40)));
+    let backoff = backoff(503, &[&digits]);
+    assert!(
+        matches!(backoff, Some(RetryAfter::In(backoff)) if backoff > Duration::from_secs(1 << 40))
+    );
 }
 
 #[rstest]
@@ -61,24 +63,24 @@
 #[case::served(200, false)]
 #[case::moved(301, false)]
 #[case::failed(500, false)]
-fn only_who_turns_a_request_away_wants_rest(#[case] status: u16, #[case] wants: bool) {
-    assert_eq!(rest(status, &["3"]).is_some(), wants);
+fn only_answers_that_reject_a_request_ask_for_a_backoff(#[case] status: u16, #[case] wants: bool) {
+    assert_eq!(backoff(status, &["3"]).is_some(), wants);
 }
 
 #[rstest]
 #[case::says_so("1", true)]
 #[case::says_not("0", false)]
 #[case::says_nothing_known("perhaps", false)]
-fn a_target_says_that_it_leaves(#[case] value: &str, #[case] leaving: bool) {
+fn a_target_reports_that_it_is_draining(#[case] value: &str, #[case] draining: bool) {
     let head = headers(&[("latchmount-leaving", value), ("latchmount-load", "3,1")]);
-    let word = NativeDialect::default().target_status(StatusCode::OK, &head);
-    assert_eq!(word.draining, leaving);
+    let status = NativeDialect::default().target_status(StatusCode::OK, &head);
+    assert_eq!(status.draining, draining);
     let load = TargetLoad { running: 3, waiting: 1, slowdown_percent: None };
-    assert_eq!(word.load, Some(load));
+    assert_eq!(status.load, Some(load));
 }
 
 #[test]
-fn a_header_of_the_dialect_that_nothing_reads_is_told_of_once_and_names_are_bounded() {
+fn an_unknown_header_of_the_dialect_is_reported_once_and_the_names_are_bounded() {
     let dialect = NativeDialect::default();
     let own = |name: &str| name.parse::<HeaderName>().expect("a name");
     assert!(dialect.headers().is_unknown(&own("latchmount-mood")));
--- a/tests/gateway/lateness.rs
+++ b/tests/gateway/config_delay.rs
@@ -1,4 +1,4 @@
-//! How late a configuration can have been at a gateway.
+//! Upper bound on how late a gateway got a configuration.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_change_is_late_by_at_most_the_time_since_nothing_newer_was_held() {
+fn a_change_is_late_by_at_most_the_time_since_nothing_newer_was_confirmed() {
     let mut lateness = ConfigDelay::default();
     assert_eq!(lateness.max_delay(ms(50)), None);
     lateness.note_update(ms(100), true, 7, 7);
@@ -22,16 +22,16 @@
 }
 
 #[test]
-fn a_member_without_a_leader_does_not_say_that_nothing_is_newer() {
+fn a_member_without_a_leader_does_not_confirm_that_nothing_is_newer() {
     let mut lateness = ConfigDelay::default();
     lateness.note_update(ms(100), true, 7, 7);
     lateness.note_update(ms(900), false, 7, 7);
     assert_eq!(lateness.max_delay(ms(1_000)), Some(ms(900)));
 }
 
-/// Another member is followed, which has not heard of the newest change yet.
+/// The gateway now follows a member that does not have the newest change yet.
 #[test]
-fn a_member_that_is_behind_what_another_told_does_not_say_so_either() {
+fn a_member_that_is_behind_another_does_not_confirm_it_either() {
     let mut lateness = ConfigDelay::default();
     lateness.note_update(ms(100), true, 7, 7);
     lateness.note_update(ms(200), true, 8, 7);
--- a/tests/gateway/main.rs
+++ b/tests/gateway/main.rs
@@ -1,34 +1,34 @@
-//! The gateway's decisions, and those that it shares with the members, each against a naive version
-//! or by cases.
+//! Tests of the gateway's decisions, and of those that it shares with the members, against naive
+//! implementations or case by case.
 //!
 //! `LATCHMOUNT_SEED` sets the seed of the random cases.
 
+mod answer_headers;
 mod availability;
+mod backoff;
 mod balance;
 mod budget;
+mod buffer_ledger;
 mod cold;
+mod config_delay;
 mod deltas;
 mod directory;
 mod documents;
 mod events;
 mod evidence;
-mod first_news;
+mod fan_out;
+mod first_update;
 mod health;
-mod held;
-mod herd;
 mod incarnations;
-mod keepers;
-mod lateness;
-mod news;
-mod order;
+mod member_link;
+mod member_order;
+mod prefix_holders;
 mod propagation;
-mod remembered;
+mod remembered_reports;
 mod requests;
-mod rests;
 mod routes;
 #[path = "../seeds/seed.rs"]
 mod seeds;
-mod spread;
-mod strain;
+mod slowdown;
+mod stale_loads;
 mod versions;
-mod words;
--- a/tests/gateway/news.rs
+++ b/tests/gateway/member_link.rs
@@ -1,4 +1,4 @@
-//! What members send gateways, under a part of their link.
+//! Shares of a member's link for what it sends to gateways and other members, and the pace of it.
 
 use latchmount::group::loads::{
     LoadKey, Loads, TargetLoad, loads_interval, member_loads_interval, own_loads_interval,
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// The bytes on a member's link for words about loads, however many gateways there are.
+/// The load messages take less than a quarter of a member's link, however many gateways there are.
 #[test]
 fn words_about_loads_leave_most_of_a_members_link_free() {
     const MEMBERS: u32 = 5;
@@ -18,24 +18,24 @@
         let load = |at| TargetLoad { target: LoadKey::of(hash(at)), requests: 20 };
         let loads: Loads = (0..targets).map(load).collect();
         let bytes = postcard::to_stdvec(&loads).expect("encodes").len() as f64;
-        let a_second = 1.0 / loads_interval(gateways, loads.len()).as_secs_f64();
-        let to_gateways = f64::from(gateways.div_ceil(MEMBERS)) * bytes * a_second;
-        let between = member_loads_interval(gateways, loads.len());
-        let to_members = f64::from(MEMBERS - 1) * bytes / between.as_secs_f64();
-        let part = (to_gateways + to_members) / LINK_BYTES_PER_S;
-        assert!(part < 0.25, "{part:.2} of the link with {gateways} gateways, {targets} targets");
+        let per_second = 1.0 / loads_interval(gateways, loads.len()).as_secs_f64();
+        let to_gateways = f64::from(gateways.div_ceil(MEMBERS)) * bytes * per_second;
+        let interval = member_loads_interval(gateways, loads.len());
+        let to_members = f64::from(MEMBERS - 1) * bytes / interval.as_secs_f64();
+        let share = (to_gateways + to_members) / LINK_BYTES_PER_S;
+        assert!(share < 0.25, "{share:.2} of the link with {gateways} gateways, {targets} targets");
     }
 }
 
-/// What is left is for the agreement, and for calls of operators and targets.
+/// The rest of the link is for Raft, and for calls of operators and targets.
 #[test]
 fn parts_of_a_members_link_add_up_to_less_than_the_link() {
-    const PART_FOR_LOADS: f64 = 0.25;
-    let parts = pacer::SMALL_BLOBS_SHARE + pacer::LARGE_BLOBS_SHARE + PART_FOR_LOADS;
-    assert!(parts <= 0.8, "{parts:.2} of the link");
+    const LOADS_SHARE: f64 = 0.25;
+    let shares = pacer::SMALL_BLOBS_SHARE + pacer::LARGE_BLOBS_SHARE + LOADS_SHARE;
+    assert!(shares <= 0.8, "{shares:.2} of the link");
 }
 
-/// The first gateways after a rest go at once, up to what the burst allows; later ones are paced.
+/// After an idle time the first lists go out at once, as far as the burst allows. Later ones are paced.
 #[tokio::test(start_paused = true)]
 async fn gateways_that_start_together_get_the_first_lists_at_once() {
     let burst = Duration::from_millis(300);
@@ -45,31 +45,31 @@
     for _ in 0..6 {
         let turn = pacer.turn().await;
         waits.push(began.elapsed());
-        // 100 ms of the part of the link.
+        // Takes 100 ms at the rate of the pacer.
         turn.spend(10_000);
     }
     let expected = [0, 0, 0, 0, 100, 200].map(Duration::from_millis);
     assert_eq!(waits, expected);
 }
 
-/// What a gateway knows of a load is at most as old as a gateway's word, a member's to the others and a
-/// member's to the gateway take together; most requests last for less than a second.
+/// The loads that a gateway knows are at most as old as three intervals together: of reports of a gateway to its member,
+/// of a member to the others, and of a member to its gateways. Most requests take less than a second.
 #[test]
 fn loads_are_known_within_a_second_with_hundreds_of_gateways() {
     for (gateways, targets) in [(8, 22), (87, 40), (295, 153), (372, 193)] {
-        let oldest = own_loads_interval(gateways)
+        let max_age = own_loads_interval(gateways)
             + member_loads_interval(gateways, targets)
             + loads_interval(gateways, targets);
-        assert!(oldest < Duration::from_millis(1_000), "{oldest:?} with {gateways} gateways");
+        assert!(max_age < Duration::from_millis(1_000), "{max_age:?} with {gateways} gateways");
     }
 }
 
 proptest! {
-    /// Loads arrive as they were told, whatever the targets.
+    /// Loads decode as they were encoded, whatever the targets.
     #[test]
-    fn loads_travel_unchanged(told in hash_map(any::<u64>(), 1..1_000_u32, 0..300)) {
+    fn loads_travel_unchanged(sent in hash_map(any::<u64>(), 1..1_000_u32, 0..300)) {
         let load = |(hash, requests)| TargetLoad { target: LoadKey::of(hash), requests };
-        let loads: Loads = told.into_iter().map(load).collect();
+        let loads: Loads = sent.into_iter().map(load).collect();
         let bytes = postcard::to_stdvec(&loads).expect("encodes");
         prop_assert_eq!(postcard::from_bytes::<Loads>(&bytes).expect("decodes"), loads);
     }
--- a/tests/gateway/order.rs
+++ b/tests/gateway/member_order.rs
@@ -1,4 +1,4 @@
-//! In which order gateways turn to members.
+//! The order in which gateways try members.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -17,25 +17,24 @@
     MemberOrder::new(&format!("front-{gateway}"), members.to_vec()).expect("members")
 }
 
-/// Gateways at the member that has most.
-fn most(followed: impl Iterator<Item = SocketAddr>) -> usize {
+/// The largest number of gateways at one member.
+fn max_followers(followed: impl Iterator<Item = SocketAddr>) -> usize {
     let mut shares: BTreeMap<SocketAddr, usize> = BTreeMap::new();
     followed.for_each(|member| *shares.entry(member).or_default() += 1);
     shares.into_values().max().unwrap_or(0)
 }
 
-/// The gateways of a lost member turn to all others; where all turned to the same one, it had two
-/// parts of three. None has over twice its even part, so that what a member's link must carry has a
-/// bound.
+/// The gateways of a lost member spread over all others. If all of them followed the same one, it would serve two thirds
+/// of the gateways. No member serves more than twice its even share, so that the load of its link is bounded.
 #[rstest]
-fn no_member_serves_over_twice_its_even_part(
+fn no_member_serves_over_twice_its_even_share(
     #[values(60, 87, 295, 372)] gateways: usize,
     #[values(3, 5, 7)] count: u8,
 ) {
     for fleet in 0..40 {
         let all = members(count, fleet);
         let even = gateways / usize::from(count);
-        let at_first = most((0..gateways).map(|gateway| order(gateway, &all).current()));
+        let at_first = max_followers((0..gateways).map(|gateway| order(gateway, &all).current()));
         assert!(at_first <= 2 * even, "{at_first} of {gateways} at one of {count}");
         for lost in &all {
             let after = (0..gateways).map(|gateway| {
@@ -45,7 +44,7 @@
                 }
                 order.current()
             });
-            let (after, even) = (most(after), gateways / usize::from(count - 1));
+            let (after, even) = (max_followers(after), gateways / usize::from(count - 1));
             assert!(after <= 2 * even, "{after} of {gateways} at one of {count} less one");
         }
     }
@@ -75,31 +74,31 @@
         assert_eq!(order.current(), current);
         let others = all.iter().copied().filter(|member| *member != current);
         order.set_members(others.collect());
-        assert_ne!(order.current(), current, "it is none any more");
+        assert_ne!(order.current(), current, "a removed member is not followed");
         let current = order.current();
         order.set_members(Vec::new());
-        assert_eq!(order.current(), current, "no word of members is no member less");
+        assert_eq!(order.current(), current, "an empty list of members is ignored");
     }
 }
 
-/// Every look waits longer than the one before, up to a bound, and begins anew once it is settled.
+/// Each check waits longer than the one before, up to a bound. The delays start anew after a reset.
 #[test]
-fn looks_become_seldom_while_none_helps() {
-    let mut looks = FailbackBackoff::default();
-    let mut pauses = Vec::new();
+fn failback_checks_become_rarer_while_none_succeeds() {
+    let mut backoff = FailbackBackoff::default();
+    let mut delays = Vec::new();
     for _ in 0..40 {
-        pauses.push(looks.delay(0.0));
-        looks.note_check();
+        delays.push(backoff.delay(0.0));
+        backoff.note_check();
     }
-    assert!(pauses.is_sorted());
-    assert_eq!(pauses[..3], [2, 4, 8].map(Duration::from_secs));
-    assert_eq!(pauses.last(), Some(&Duration::from_secs(30)));
-    looks.reset();
-    assert_eq!(looks.delay(1.0), Duration::from_secs(4));
+    assert!(delays.is_sorted());
+    assert_eq!(delays[..3], [2, 4, 8].map(Duration::from_secs));
+    assert_eq!(delays.last(), Some(&Duration::from_secs(30)));
+    backoff.reset();
+    assert_eq!(backoff.delay(1.0), Duration::from_secs(4));
 }
 
 proptest! {
-    /// Members come in the order of a hash over gateway and member, from the current one round.
+    /// Members are sorted by a hash over gateway and member, rotated to start with the current one.
     #[test]
     fn the_order_is_that_of_a_naive_version(
         gateway in "[a-z0-9-]{1,12}",
