--- a/src/operator/member_api.rs
+++ b/src/operator/member_api.rs
@@ -51,7 +51,7 @@
     let prefix = dialect.paths().poison;
     match command {
         PoisonCommand::List(args) => call_members(args, Method::GET, prefix).await,
-        PoisonCommand::Lift { endpoints: doors: args, fingerprint } => {
+        PoisonCommand::Lift { endpoints: args, fingerprint } => {
             call_members(args, Method::DELETE, &format!("{prefix}{fingerprint}")).await?;
             Ok(format!("{fingerprint} is sent to targets again"))
         }
