--- a/benches/evacuation.rs
+++ b/benches/evacuation.rs
@@ -52,7 +52,7 @@
     let mut acknowledged = Vec::new();
     for number in 0..ORDERS {
         let method = if number % 2 == 0 { "POST" } else { "DELETE" };
-        let (began, door) = (Instant::now(), fleet.door(number % MEMBERS));
+        let (began, door) = (Instant::now(), fleet.api_addr(number % MEMBERS));
         let answer = call(door, method, "/evacuations/hall-b", "").await.expect("an answer");
         assert_eq!(answer.status, 200);
         acknowledged.push(began.elapsed().as_secs_f64() * 1_000.0);
--- a/tests/fleet/cold.rs
+++ b/tests/fleet/cold.rs
@@ -4,8 +4,8 @@
 
 use serde_json::json;
 
-use crate::doors::configuration;
 use crate::harness::{Fleet, Process, call, eventually};
+use crate::member_api::configuration;
 use crate::refusals::{Ask, code};
 use crate::standin::Standin;
 
@@ -21,8 +21,8 @@
         gateway.set("cold_slack", json!(0.5));
     }
     fleet.members.iter_mut().chain(&mut fleet.gateways).for_each(Process::start);
-    fleet.settled().await;
-    let warm = Standin::start_in("hall-a", "i-warm", "s", fleet.doors()).await;
+    fleet.wait_for_leader().await;
+    let warm = Standin::start_in("hall-a", "i-warm", "s", fleet.api_addrs()).await;
     let mut configuration = configuration(1);
     configuration["services"][0]["cold-start-s"] = json!(4.0);
     configuration["services"][0]["cold-per-s"] = json!(2.0);
@@ -34,7 +34,7 @@
 async fn ask_about(fleet: &Fleet, subject: usize) {
     let prompt = format!("s{subject}:500,p:20");
     let ask = Ask::new("/sticky/x", "r-2").with("x-prompt-prefix", &prompt);
-    ask.send(fleet.front(subject % GATEWAYS)).await.expect("an answer");
+    ask.send(fleet.gateway_addr(subject % GATEWAYS)).await.expect("an answer");
 }
 
 /// Waits until so many requests have reached a target, which is asked for as any other.
@@ -57,21 +57,21 @@
 async fn a_cold_target_gets_little_until_it_says_that_it_is_warm() {
     let (fleet, warm) = fleet().await;
     let mut cold = Standin::start_in("hall-b", "i-cold", "s", vec![]).await;
-    cold.stay_cold(60_000);
-    cold.announce_at(fleet.doors());
+    cold.set_cold_left(60_000);
+    cold.start_heartbeats(fleet.api_addrs());
     for gateway in 0..GATEWAYS {
-        fleet.knows_targets(gateway, 2).await;
+        fleet.wait_for_targets(gateway, 2).await;
     }
     let since = Instant::now();
     for round in 0..300 {
         let path = ["/safe/x", "/unsafe/x", "/sticky/x"][round % 3];
         let ask = Ask::new(path, "r-1").with("x-prompt-prefix", "aa:500,bb:20");
-        let answer = ask.send(fleet.front(round % GATEWAYS)).await.expect("an answer");
+        let answer = ask.send(fleet.gateway_addr(round % GATEWAYS)).await.expect("an answer");
         assert_eq!(answer.status, 200, "{answer:?}");
         assert!(cold.arrivals().len() <= most(since), "{} arrivals", cold.arrivals().len());
     }
     assert!(warm.arrivals().len() >= 300 - most(since));
-    cold.stay_cold(0);
+    cold.set_cold_left(0);
     let before = cold.arrivals().len();
     gets_its_part(&fleet, "the warm target gets its part", &cold, before + 20).await;
 }
@@ -79,12 +79,12 @@
 #[tokio::test]
 async fn targets_of_a_hall_that_returns_count_as_cold_for_a_start() {
     let (fleet, warm) = fleet().await;
-    let back = Standin::start_in("hall-b", "i-back", "s", fleet.doors()).await;
+    let back = Standin::start_in("hall-b", "i-back", "s", fleet.api_addrs()).await;
     for gateway in 0..GATEWAYS {
-        fleet.knows_targets(gateway, 2).await;
+        fleet.wait_for_targets(gateway, 2).await;
     }
     for method in ["POST", "DELETE"] {
-        let answer = call(fleet.door(0), method, "/evacuations/hall-b", "").await;
+        let answer = call(fleet.api_addr(0), method, "/evacuations/hall-b", "").await;
         assert_eq!(answer.expect("an answer").status, 200);
     }
     for gateway in &fleet.gateways {
@@ -111,9 +111,9 @@
 #[tokio::test]
 async fn with_cold_targets_only_what_they_cannot_bear_is_refused_at_once() {
     let (fleet, warm) = fleet().await;
-    warm.stay_cold(60_000);
+    warm.set_cold_left(60_000);
     eventually("the gateway takes it as cold", async || {
-        let answer = Ask::new("/unsafe/x", "r-1").send(fleet.front(0)).await.ok()?;
+        let answer = Ask::new("/unsafe/x", "r-1").send(fleet.gateway_addr(0)).await.ok()?;
         (answer.status == 503 && code(&answer) == "cold").then_some(answer)
     })
     .await
@@ -124,9 +124,9 @@
 #[tokio::test]
 async fn a_target_that_was_silent_counts_as_cold_for_a_start() {
     let (fleet, warm) = fleet().await;
-    let mut back = Standin::start_in("hall-b", "i-back", "s", fleet.doors()).await;
+    let mut back = Standin::start_in("hall-b", "i-back", "s", fleet.api_addrs()).await;
     for gateway in 0..GATEWAYS {
-        fleet.knows_targets(gateway, 2).await;
+        fleet.wait_for_targets(gateway, 2).await;
     }
     let changes = |gateway: &Process| gateway.log().matches("msg=\"targets changed\"").count();
     let before: Vec<usize> = fleet.gateways.iter().map(changes).collect();
@@ -136,9 +136,9 @@
                 .await;
         }
     };
-    back.fall_silent();
+    back.stop_heartbeats();
     told(1).await;
-    back.announce_at(fleet.doors());
+    back.start_heartbeats(fleet.api_addrs());
     told(2).await;
     let since = Instant::now();
     let before = back.arrivals().len();
@@ -155,7 +155,7 @@
 async fn targets_of_a_hall_that_returned_long_ago_are_warm_after_the_loss_of_all_processes() {
     let (mut fleet, warm) = fleet().await;
     for method in ["POST", "DELETE"] {
-        let answer = call(fleet.door(0), method, "/evacuations/hall-a", "").await;
+        let answer = call(fleet.api_addr(0), method, "/evacuations/hall-a", "").await;
         assert_eq!(answer.expect("an answer").status, 200);
     }
     let halls_warm = |fleet: &Fleet| fleet.members[0].log().contains("event=halls_warm");
@@ -164,7 +164,7 @@
     fleet.members.iter_mut().chain(&mut fleet.gateways).for_each(Process::start);
     let before = warm.arrivals().len();
     let served = eventually("a gateway that knows its targets answers", async || {
-        let answer = Ask::new("/unsafe/x", "r-1").send(fleet.front(0)).await.ok()?;
+        let answer = Ask::new("/unsafe/x", "r-1").send(fleet.gateway_addr(0)).await.ok()?;
         (answer.status == 200 || code(&answer) == "cold").then_some(answer)
     });
     assert_eq!(served.await.status, 200);
@@ -176,20 +176,20 @@
 #[tokio::test]
 async fn a_target_that_refused_connections_counts_as_cold_for_a_start() {
     let (mut fleet, warm) = fleet().await;
-    let mut target = Standin::start_in("hall-a", "i-1", "s", fleet.doors()).await;
+    let mut target = Standin::start_in("hall-a", "i-1", "s", fleet.api_addrs()).await;
     for gateway in 0..GATEWAYS {
-        fleet.knows_targets(gateway, 2).await;
+        fleet.wait_for_targets(gateway, 2).await;
     }
     gets_its_part(&fleet, "it is warm and gets its part", &target, 10).await;
     let addr = target.addr;
-    target.fall_silent();
+    target.stop_heartbeats();
     target.stop_listening();
     fleet.members[0].kill();
     let mut number = 0;
     eventually("each gateway met nobody there", async || {
         number += 1;
         let ask = Ask::new("/safe/x", "r-3");
-        ask.send(fleet.front(number % GATEWAYS)).await.ok()?;
+        ask.send(fleet.gateway_addr(number % GATEWAYS)).await.ok()?;
         let met = |log: String| log.contains("error=\"NotSent(Refused)\"");
         fleet.gateways.iter().all(|gateway| met(gateway.log())).then_some(())
     })
@@ -203,7 +203,7 @@
     let again = Standin::serve(listener, "hall-a", "i-1", "s", Vec::new(), None);
     let since = Instant::now();
     for round in 0..300 {
-        let answer = Ask::new("/safe/x", "r-4").send(fleet.front(round % GATEWAYS)).await;
+        let answer = Ask::new("/safe/x", "r-4").send(fleet.gateway_addr(round % GATEWAYS)).await;
         assert_eq!(answer.expect("an answer").status, 200);
         assert!(again.arrivals().len() <= most(since), "{} arrivals", again.arrivals().len());
     }
--- a/tests/fleet/news.rs
+++ b/tests/fleet/distribution.rs
@@ -5,8 +5,8 @@
 use nix::sys::signal::Signal;
 use serde_json::{Value, json};
 
-use crate::doors::configuration;
 use crate::harness::{Fleet, Process, eventually, field};
+use crate::member_api::configuration;
 
 /// A configuration that is large however it is packed: so many more routes with random names.
 fn large_configuration(version: u64, routes: u64) -> Value {
@@ -28,7 +28,7 @@
     let mut fleet = Fleet::prepare(1, gateways);
     fleet.members[0].set("link_mbps", json!(1));
     fleet.members.iter_mut().chain(&mut fleet.gateways).for_each(Process::start);
-    fleet.settled().await;
+    fleet.wait_for_leader().await;
     fleet.configure(&configuration(1)).await;
     fleet
 }
@@ -77,16 +77,16 @@
     fleet.gateways[0].signal(Signal::SIGSTOP);
     fleet.submit(0, &large_configuration(2, 400)).await;
     for gateway in 1..6 {
-        fleet.in_force(gateway, 2).await;
+        fleet.wait_for_configuration(gateway, 2).await;
     }
     fleet.gateways[1].signal(Signal::SIGSTOP);
     fleet.submit(0, &large_configuration(3, 500)).await;
     for gateway in 2..6 {
-        fleet.in_force(gateway, 3).await;
+        fleet.wait_for_configuration(gateway, 3).await;
     }
     for gateway in [0, 1] {
         fleet.gateways[gateway].signal(Signal::SIGCONT);
-        fleet.in_force(gateway, 3).await;
+        fleet.wait_for_configuration(gateway, 3).await;
     }
 }
 
@@ -97,7 +97,7 @@
     let taken = SocketAddr::new(fleet.gateways[0].ip, fleet.addresses.ports.peer);
     let _holder = TcpListener::bind(taken).expect("a free port");
     fleet.members.iter_mut().chain(&mut fleet.gateways).for_each(Process::start);
-    fleet.settled().await;
+    fleet.wait_for_leader().await;
     fleet.configure(&large_configuration(2, 400)).await;
     assert!(fleet.gateways[0].log().contains("event=passes_on_nothing"));
     assert!(came_from(&fleet.gateways[0], 2).starts_with(&fleet.members[0].ip.to_string()));
--- a/tests/fleet/evacuations.rs
+++ b/tests/fleet/evacuations.rs
@@ -5,19 +5,19 @@
 use rstest::rstest;
 use serde_json::Value;
 
-use crate::doors::configuration;
 use crate::harness::{Fleet, Process, call, eventually, field};
+use crate::member_api::configuration;
 use crate::refusals::{Ask, code};
 use crate::standin::{Behaviour, Standin};
 
 /// A fleet with a target in each of two halls.
 async fn two_halls(members: usize, gateways: usize) -> (Fleet, Standin, Standin) {
     let fleet = Fleet::start(members, gateways).await;
-    let here = Standin::start_in("hall-a", "i-a", "s", fleet.doors()).await;
-    let there = Standin::start_in("hall-b", "i-b", "s", fleet.doors()).await;
+    let here = Standin::start_in("hall-a", "i-a", "s", fleet.api_addrs()).await;
+    let there = Standin::start_in("hall-b", "i-b", "s", fleet.api_addrs()).await;
     fleet.configure(&configuration(1)).await;
     for gateway in 0..gateways {
-        fleet.knows_targets(gateway, 2).await;
+        fleet.wait_for_targets(gateway, 2).await;
     }
     (fleet, here, there)
 }
@@ -26,7 +26,7 @@
 async fn order(fleet: &Fleet, member: usize, method: &str, data_hall: &str) {
     eventually(&format!("{method} of {data_hall}"), async || {
         let path = format!("/evacuations/{data_hall}");
-        let answer = call(fleet.door(member), method, &path, "").await?;
+        let answer = call(fleet.api_addr(member), method, &path, "").await?;
         assert!(!(400..500).contains(&answer.status), "{answer:?}");
         (answer.status == 200).then_some(())
     })
@@ -45,7 +45,7 @@
 }
 
 async fn ask(fleet: &Fleet, gateway: usize, path: &str, id: &str) -> (u16, String) {
-    let answer = Ask::new(path, id).send(fleet.front(gateway)).await.expect("an answer");
+    let answer = Ask::new(path, id).send(fleet.gateway_addr(gateway)).await.expect("an answer");
     let reason = if answer.status == 200 { String::new() } else { code(&answer) };
     (answer.status, reason)
 }
@@ -63,10 +63,10 @@
         assert_eq!(ask(&fleet, round % 2, path, &format!("r-{round}")).await.0, 200);
     }
     assert_eq!(here.arrivals().len(), before);
-    assert_eq!(here.open(), 0, "connections are not kept");
+    assert_eq!(here.open_connections(), 0, "connections are not kept");
     assert_eq!(there.arrivals().len(), 40);
     // Retries obey too.
-    there.behave(Behaviour::Lose);
+    there.behave(Behaviour::CloseConnection);
     assert_eq!(ask(&fleet, 0, "/safe/x", "r-lost").await.0, 502);
     there.behave(Behaviour::Answer);
     assert_eq!(here.arrivals().len(), before);
@@ -85,7 +85,7 @@
     order(&fleet, 0, "POST", "hall-b").await;
     obeys(&fleet.gateways[0], "hall-b").await;
     here.behave(Behaviour::Stream(40));
-    let front = fleet.front(0);
+    let front = fleet.gateway_addr(0);
     let whole = tokio::spawn(async move { Ask::new("/stream/x", "r-1").send(front).await });
     eventually("the stream runs", async || (here.arrivals().len() == 1).then_some(())).await;
     order(&fleet, 0, "DELETE", "hall-b").await;
@@ -115,7 +115,7 @@
     order(&fleet, 0, "POST", "hall-a").await;
     order(&fleet, 0, "POST", "hall-b").await;
     obeys(&fleet.gateways[0], "hall-a,hall-b").await;
-    let answer = Ask::new("/safe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
+    let answer = Ask::new("/safe/x", "r-1").send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!((answer.status, code(&answer).as_str()), (503, "evacuated"));
     assert!(answer.header("retry-after").is_some());
 }
@@ -133,13 +133,13 @@
     fleet.members.iter_mut().chain(&mut fleet.gateways).for_each(Process::start);
     for gateway in 0..2 {
         eventually("the gateway serves", async || {
-            let answer = Ask::new("/safe/x", "r-1").send(fleet.front(gateway)).await.ok()?;
+            let answer = Ask::new("/safe/x", "r-1").send(fleet.gateway_addr(gateway)).await.ok()?;
             (answer.status == 200).then_some(())
         })
         .await;
     }
     let list = eventually("the group has a leader again", async || {
-        let list = call(fleet.door(1), "GET", "/evacuations/", "").await?;
+        let list = call(fleet.api_addr(1), "GET", "/evacuations/", "").await?;
         (list.status == 200).then_some(list.body)
     });
     assert_eq!(list.await, r#"{"evacuated":["hall-a"]}"#);
@@ -192,12 +192,12 @@
     #[case] word: &str,
 ) {
     let fleet = Fleet::start(1, 0).await;
-    let answer = call(fleet.door(0), method, path, body).await.expect("an answer");
+    let answer = call(fleet.api_addr(0), method, path, body).await.expect("an answer");
     assert_eq!(answer.status, status, "{answer:?}");
     let text: Value = serde_json::from_str(&answer.body).expect("JSON");
     assert_eq!(text["faults"][0]["path"], field, "{}", answer.body);
     assert!(text["faults"][0]["message"].as_str().expect("a text").contains(word), "{text}");
-    let list = call(fleet.door(0), "GET", "/evacuations/", "").await.expect("an answer");
+    let list = call(fleet.api_addr(0), "GET", "/evacuations/", "").await.expect("an answer");
     assert_eq!(list.body, r#"{"evacuated":[]}"#);
 }
 
@@ -208,7 +208,7 @@
     let run = async |words: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_latchmount"));
         command.args(["evacuation"]).args(words).args(["--dialect", "platform", "--member"]);
-        command.arg(fleet.door(0).to_string());
+        command.arg(fleet.api_addr(0).to_string());
         let run = tokio::task::spawn_blocking(move || command.output().expect("it starts"));
         let output = run.await.expect("no panic");
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
--- a/tests/fleet/followers.rs
+++ b/tests/fleet/followers.rs
@@ -17,8 +17,8 @@
 
 use latchmount::gateway::member_order::MemberOrder;
 
-use crate::doors::configuration;
 use crate::harness::{Fleet, Process, eventually, field};
+use crate::member_api::configuration;
 
 const MEMBERS: usize = 5;
 const SEEDS: usize = 3;
--- a/tests/fleet/group.rs
+++ b/tests/fleet/group.rs
@@ -3,8 +3,8 @@
 use nix::sys::signal::Signal;
 use serde_json::json;
 
-use crate::doors::configuration;
 use crate::harness::{Fleet, Process, call, eventually};
+use crate::member_api::configuration;
 use crate::refusals::Ask;
 use crate::standin::Standin;
 
@@ -24,7 +24,7 @@
 async fn reads(fleet: &Fleet, member: usize, version: u64) {
     let text = configuration(version).to_string();
     eventually(&format!("member {member} reads version {version}"), async || {
-        let answer = call(fleet.door(member), "GET", "/config", "").await?;
+        let answer = call(fleet.api_addr(member), "GET", "/config", "").await?;
         (answer.status == 200 && answer.body == text).then_some(())
     })
     .await;
@@ -97,24 +97,24 @@
 async fn a_gateway_serves_on_without_members_and_a_new_one_learns_from_a_member_without_a_leader() {
     let mut fleet = Fleet::start(5, 2).await;
     voters(&fleet, 5).await;
-    let _target = Standin::start("i-1", "s", fleet.doors()).await;
+    let _target = Standin::start("i-1", "s", fleet.api_addrs()).await;
     fleet.configure(&configuration(2)).await;
-    fleet.knows_targets(0, 1).await;
-    fleet.knows_targets(1, 1).await;
+    fleet.wait_for_targets(0, 1).await;
+    fleet.wait_for_targets(1, 1).await;
     fleet.members.iter_mut().for_each(Process::kill);
     fleet.gateways[1].kill();
-    let answer = Ask::new("/safe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
+    let answer = Ask::new("/safe/x", "r-1").send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!(answer.status, 200);
     // One member of five elects nobody, but knows what was committed.
     fleet.members[2].start();
     fleet.gateways[1].start();
-    let front = fleet.front(1);
+    let front = fleet.gateway_addr(1);
     eventually("the new gateway serves", async || {
         let answer = Ask::new("/safe/x", "r-2").send(front).await.ok()?;
         (answer.status == 200).then_some(())
     })
     .await;
-    let answer = call(fleet.door(2), "GET", "/config", "").await.expect("an answer");
+    let answer = call(fleet.api_addr(2), "GET", "/config", "").await.expect("an answer");
     assert_eq!(answer.status, 503, "a member without a leader can't be sure of the newest");
 }
 
@@ -125,10 +125,10 @@
     fleet.gateways[0].set("stale_after_ms", json!(500));
     fleet.members[0].start();
     fleet.gateways[0].start();
-    let _target = Standin::start("i-1", "s", fleet.doors()).await;
+    let _target = Standin::start("i-1", "s", fleet.api_addrs()).await;
     fleet.configure(&configuration(2)).await;
-    fleet.knows_targets(0, 1).await;
-    let front = fleet.front(0);
+    fleet.wait_for_targets(0, 1).await;
+    let front = fleet.gateway_addr(0);
     let answered = async |id: &str, status: u16| {
         eventually("the answer", async || {
             let answer = Ask::new("/safe/x", id).send(front).await.ok()?;
@@ -155,11 +155,11 @@
     fleet.gateways[0].set("metrics_listen", json!(scraped));
     fleet.members[0].start();
     fleet.gateways[0].start();
-    let _target = Standin::start("i-1", "s", fleet.doors()).await;
+    let _target = Standin::start("i-1", "s", fleet.api_addrs()).await;
     fleet.configure(&configuration(6)).await;
-    fleet.knows_targets(0, 1).await;
-    Ask::new("/safe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
-    Ask::new("/none/x", "r-2").send(fleet.front(0)).await.expect("an answer");
+    fleet.wait_for_targets(0, 1).await;
+    Ask::new("/safe/x", "r-1").send(fleet.gateway_addr(0)).await.expect("an answer");
+    Ask::new("/none/x", "r-2").send(fleet.gateway_addr(0)).await.expect("an answer");
     let member = std::net::SocketAddr::new(member, port);
     fleet.configure(&configuration(7)).await;
     let text = eventually("the gateway's word that version 7 is in force", async || {
--- a/tests/fleet/harness.rs
+++ b/tests/fleet/harness.rs
@@ -20,20 +20,20 @@
 use pauses::{Pausable, PausePlan, Paused, Pauses};
 
 /// Longest wait for anything that must happen.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
 /// Lines of each log that a failing test shows.
 const LOG_LINES_SHOWN: usize = 15;
 
 /// Waits until `done` gives a value, and says what did not happen otherwise.
 pub async fn eventually<T>(what: &str, mut done: impl AsyncFnMut() -> Option<T>) -> T {
     let started = Instant::now();
-    while started.elapsed() < PATIENCE {
+    while started.elapsed() < WAIT_TIMEOUT {
         if let Some(value) = done().await {
             return value;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("{what}: not within {PATIENCE:?}");
+    panic!("{what}: not within {WAIT_TIMEOUT:?}");
 }
 
 /// Ports of a fleet; every host has the same ones at an address of its own.
@@ -41,7 +41,7 @@
 pub struct Ports {
     pub control: u16,
     pub peer: u16,
-    pub front: u16,
+    pub client: u16,
     pub ready: u16,
 }
 
@@ -63,7 +63,7 @@
         let free = || TcpListener::bind((probe, 0)).expect("a free port");
         let held = [free(), free(), free(), free()];
         let port = |at: usize| held[at].local_addr().expect("bound").port();
-        let ports = Ports { control: port(0), peer: port(1), front: port(2), ready: port(3) };
+        let ports = Ports { control: port(0), peer: port(1), client: port(2), ready: port(3) };
         Addresses { high, middle, next: 1, ports }
     }
 
@@ -95,13 +95,7 @@
 }
 
 impl Process {
-    fn laid_out(
-        name: String,
-        ip: IpAddr,
-        role: &'static str,
-        folder: PathBuf,
-        settings: Value,
-    ) -> Self {
+    fn new(name: String, ip: IpAddr, role: &'static str, folder: PathBuf, settings: Value) -> Self {
         let (without, binary) = (Vec::new(), this_build());
         let pausable = Pausable::default();
         Process { name, ip, role, folder, settings, without, binary, child: None, pausable }
@@ -136,7 +130,7 @@
     }
 
     /// Has another build run from the next start on, with the settings that it knows.
-    pub fn as_set_for(&mut self, binary: &Path) {
+    pub fn use_build(&mut self, binary: &Path) {
         self.binary = binary.to_owned();
         self.without.clear();
         std::fs::create_dir_all(&self.folder).expect("a folder");
@@ -160,7 +154,7 @@
     }
 
     /// Puts a copy of a log and the note beside it in the data folder.
-    pub fn lay_disk(&self, from: &Path) {
+    pub fn copy_data_from(&self, from: &Path) {
         let data = self.folder.join("data");
         std::fs::create_dir_all(&data).expect("a folder");
         for file in ["log", "commit"] {
@@ -196,10 +190,10 @@
     }
 
     /// Waits for a process that was told to end.
-    pub fn kill_after_signal(&mut self) {
+    pub fn wait_or_kill(&mut self) {
         if let Some(mut child) = self.take_child() {
             let started = Instant::now();
-            while started.elapsed() < PATIENCE && child.try_wait().expect("a child").is_none() {
+            while started.elapsed() < WAIT_TIMEOUT && child.try_wait().expect("a child").is_none() {
                 std::thread::sleep(Duration::from_millis(5));
             }
             let _ = child.kill();
@@ -217,19 +211,19 @@
     }
 
     /// Leaves a half-written new log beside the log, as a loss of power during a snapshot does.
-    pub fn leave_new_log(&self) {
+    pub fn leave_partial_snapshot(&self) {
         let log = std::fs::read(self.folder.join("data/log")).unwrap_or_default();
         let half = &log[..log.len() / 2];
         std::fs::write(self.folder.join("data/log.new"), half).expect("a writable folder");
     }
 
     /// Puts garbage in place of the note of what is committed, which may be lost at any time.
-    pub fn scribble_note(&self) {
+    pub fn corrupt_commit_file(&self) {
         std::fs::write(self.folder.join("data/commit"), [0xff; 12]).expect("a writable folder");
     }
 
     /// Waits until the process has ended by itself, and tells whether it did so well.
-    pub async fn ended(&mut self) -> bool {
+    pub async fn wait_for_exit(&mut self) -> bool {
         let mut child = self.take_child().expect("a running process");
         let what = format!("{} ends", self.name);
         let status = eventually(&what, async || child.try_wait().expect("a child")).await;
@@ -242,7 +236,7 @@
     }
 
     /// Whether the process has ended without being told to.
-    pub fn died(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| child.try_wait().expect("a child").is_some())
     }
 
@@ -297,7 +291,7 @@
     pub async fn start(members: usize, gateways: usize) -> Self {
         let mut fleet = Fleet::prepare(members, gateways);
         fleet.members.iter_mut().chain(&mut fleet.gateways).for_each(Process::start);
-        fleet.settled().await;
+        fleet.wait_for_leader().await;
         fleet
     }
 
@@ -310,7 +304,7 @@
     }
 
     /// Ends the pauses; every process runs.
-    pub fn pause_no_more(&mut self) {
+    pub fn stop_pauses(&mut self) {
         self.pauses = None;
     }
 
@@ -358,7 +352,7 @@
             "target_heartbeat_ms": 300,
         });
         let role = "member";
-        self.members.push(Process::laid_out(name, ip, role, folder, settings));
+        self.members.push(Process::new(name, ip, role, folder, settings));
     }
 
     /// Lays out one more gateway.
@@ -371,7 +365,7 @@
             "host": name,
             "data_hall": "hall-a",
             "data_halls": { "hall-a": "north", "hall-b": "north", "hall-c": "south" },
-            "listen": SocketAddr::new(ip, ports.front),
+            "listen": SocketAddr::new(ip, ports.client),
             "ready_listen": SocketAddr::new(ip, ports.ready),
             "members": self.seeds,
             "peer_port": ports.peer,
@@ -382,28 +376,28 @@
             "stop_within_ms": 8_000,
         });
         let role = "gateway";
-        self.gateways.push(Process::laid_out(name, ip, role, folder, settings));
+        self.gateways.push(Process::new(name, ip, role, folder, settings));
     }
 
     /// Where clients reach a gateway.
-    pub fn front(&self, gateway: usize) -> SocketAddr {
-        SocketAddr::new(self.gateways[gateway].ip, self.addresses.ports.front)
+    pub fn gateway_addr(&self, gateway: usize) -> SocketAddr {
+        SocketAddr::new(self.gateways[gateway].ip, self.addresses.ports.client)
     }
 
     /// Where operators and targets reach a member.
-    pub fn door(&self, member: usize) -> SocketAddr {
+    pub fn api_addr(&self, member: usize) -> SocketAddr {
         SocketAddr::new(self.members[member].ip, self.addresses.ports.control)
     }
 
     /// Doors of all members.
-    pub fn doors(&self) -> Vec<SocketAddr> {
-        (0..self.members.len()).map(|member| self.door(member)).collect()
+    pub fn api_addrs(&self) -> Vec<SocketAddr> {
+        (0..self.members.len()).map(|member| self.api_addr(member)).collect()
     }
 
     /// Waits until a member answers reads, be it that there is nothing to read yet.
-    pub async fn settled(&self) {
+    pub async fn wait_for_leader(&self) {
         eventually("the group has a leader", async || {
-            let call = call(self.door(0), "DELETE", "/instances/nobody", "").await?;
+            let call = call(self.api_addr(0), "DELETE", "/instances/nobody", "").await?;
             (call.status == 200).then_some(())
         })
         .await;
@@ -414,7 +408,7 @@
         self.submit(0, configuration).await;
         let version = &configuration["version"];
         for gateway in 0..self.gateways.len() {
-            self.in_force(gateway, version.as_u64().expect("a version")).await;
+            self.wait_for_configuration(gateway, version.as_u64().expect("a version")).await;
         }
     }
 
@@ -422,14 +416,14 @@
     pub async fn submit(&self, member: usize, configuration: &Value) {
         let text = configuration.to_string();
         eventually("the configuration is acknowledged", async || {
-            let answer = call(self.door(member), "PUT", "/config", &text).await?;
+            let answer = call(self.api_addr(member), "PUT", "/config", &text).await?;
             (answer.status == 200).then_some(())
         })
         .await;
     }
 
     /// What the gateways logged of a request.
-    pub fn logged_of(&self, id: &str) -> String {
+    pub fn log_lines_of(&self, id: &str) -> String {
         let lines = self.gateways.iter().flat_map(|gateway| {
             let log = gateway.log();
             let of_id = log.lines().filter(|line| field(line, "id") == Some(id));
@@ -439,7 +433,7 @@
     }
 
     /// Waits until a gateway has a configuration in force.
-    pub async fn in_force(&self, gateway: usize, version: u64) {
+    pub async fn wait_for_configuration(&self, gateway: usize, version: u64) {
         let process = &self.gateways[gateway];
         let line = format!("version={version} ");
         eventually(&format!("version {version} at {}", process.name), async || {
@@ -451,7 +445,7 @@
     }
 
     /// Waits until a gateway knows so many targets.
-    pub async fn knows_targets(&self, gateway: usize, targets: usize) {
+    pub async fn wait_for_targets(&self, gateway: usize, targets: usize) {
         let process = &self.gateways[gateway];
         let word = format!(" targets={targets} ");
         eventually(&format!("{targets} targets at {}", process.name), async || {
@@ -472,25 +466,25 @@
 
 /// An answer to a call.
 #[derive(Debug)]
-pub struct Called {
+pub struct CallResponse {
     pub status: u16,
     pub headers: reqwest::header::HeaderMap,
     pub body: String,
 }
 
-impl Called {
+impl CallResponse {
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers.get(name)?.to_str().ok()
     }
 }
 
 /// Calls a process; `None` when no answer came.
-pub async fn call(addr: SocketAddr, method: &str, path: &str, body: &str) -> Option<Called> {
+pub async fn call(addr: SocketAddr, method: &str, path: &str, body: &str) -> Option<CallResponse> {
     let client = reqwest::Client::builder().timeout(Duration::from_secs(5)).build().ok()?;
     let method = reqwest::Method::from_bytes(method.as_bytes()).ok()?;
     let sent = client.request(method, format!("http://{addr}{path}")).body(body.to_owned());
     let response = sent.send().await.ok()?;
     let status = response.status().as_u16();
     let headers = response.headers().clone();
-    Some(Called { status, headers, body: response.text().await.ok()? })
+    Some(CallResponse { status, headers, body: response.text().await.ok()? })
 }
--- a/tests/fleet/headers.rs
+++ b/tests/fleet/headers.rs
@@ -6,8 +6,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::doors::configuration;
 use crate::harness::{Fleet, eventually};
+use crate::member_api::configuration;
 use crate::standin::{Arrival, Behaviour, Standin};
 
 /// Headers of the platform's dialect that only the system sets.
@@ -67,13 +67,13 @@
     let fleet = Fleet::start(1, 1).await;
     let mut standins = Vec::new();
     for number in 0..3 {
-        let standin = Standin::start(&format!("i-{number}"), "s", fleet.doors()).await;
+        let standin = Standin::start(&format!("i-{number}"), "s", fleet.api_addrs()).await;
         standin.behave(behaviour);
         standins.push(standin);
     }
     fleet.configure(&configuration(1)).await;
-    fleet.knows_targets(0, 3).await;
-    send_forged(fleet.front(0), path, "r-1").await;
+    fleet.wait_for_targets(0, 3).await;
+    send_forged(fleet.gateway_addr(0), path, "r-1").await;
     let arrived = eventually("every attempt arrives", async || {
         let arrived: Vec<Arrival> = standins.iter().flat_map(Standin::arrivals).collect();
         (arrived.len() >= arrivals).then_some(arrived)
--- a/tests/fleet/kept.rs
+++ b/tests/fleet/keep_alive.rs
@@ -13,9 +13,9 @@
 use rstest::rstest;
 use tokio::net::TcpStream;
 
-use crate::doors::configuration;
 use crate::harness::pauses::{PausePlan, Paused};
-use crate::harness::{Fleet, PATIENCE, call, eventually};
+use crate::harness::{Fleet, WAIT_TIMEOUT, call, eventually};
+use crate::member_api::configuration;
 use crate::standin::{Behaviour, Standin};
 
 /// A client that sends over one connection until it is closed, and then over one to the next gateway.
@@ -63,7 +63,7 @@
     /// Sends until there is an answer, as a client does whose connection was closed unread.
     async fn ask(&mut self, path: &str, id: &str) -> (StatusCode, Bytes) {
         let started = Instant::now();
-        while started.elapsed() < PATIENCE {
+        while started.elapsed() < WAIT_TIMEOUT {
             if let Some(answer) = self.send(path, id).await {
                 return answer;
             }
@@ -71,16 +71,16 @@
             self.at += 1;
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
-        panic!("{id}: no answer within {PATIENCE:?}");
+        panic!("{id}: no answer within {WAIT_TIMEOUT:?}");
     }
 }
 
 async fn fleet_with_target(gateways: usize) -> (Fleet, Standin) {
     let fleet = Fleet::start(1, gateways).await;
-    let target = Standin::start("i-1", "s", fleet.doors()).await;
+    let target = Standin::start("i-1", "s", fleet.api_addrs()).await;
     fleet.configure(&configuration(1)).await;
     for gateway in 0..gateways {
-        fleet.knows_targets(gateway, 1).await;
+        fleet.wait_for_targets(gateway, 1).await;
     }
     (fleet, target)
 }
@@ -88,10 +88,10 @@
 #[tokio::test]
 async fn a_connection_at_rest_is_closed_when_new_work_ends_and_nothing_is_refused_on_it() {
     let (fleet, target) = fleet_with_target(1).await;
-    let front = fleet.front(0);
+    let front = fleet.gateway_addr(0);
     let mut resting = Client::new(&[front], 0);
     assert_eq!(resting.ask("/safe/x", "r-1").await.0, StatusCode::OK);
-    target.behave(Behaviour::Mute);
+    target.behave(Behaviour::NeverAnswer);
     let busy = tokio::spawn(async move { Client::new(&[front], 0).send("/unsafe/x", "r-2").await });
     eventually("a request is under way", async || target.arrivals().get(1).map(|_| ())).await;
     fleet.gateways[0].signal(Signal::SIGTERM);
@@ -125,7 +125,7 @@
     let (mut fleet, target) = fleet_with_target(2).await;
     pauses.into_iter().for_each(|plan| fleet.pause(plan));
     target.behave(Behaviour::Stream(150));
-    let fronts = [fleet.front(0), fleet.front(1)];
+    let fronts = [fleet.gateway_addr(0), fleet.gateway_addr(1)];
     let mut clients = tokio::task::JoinSet::new();
     for client in 0..24_u64 {
         let mut kept = Client::new(&fronts, client as usize);
@@ -141,7 +141,7 @@
     }
     for gateway in 0..2 {
         fleet.gateways[gateway].signal(Signal::SIGTERM);
-        assert!(fleet.gateways[gateway].ended().await);
+        assert!(fleet.gateways[gateway].wait_for_exit().await);
         fleet.gateways[gateway].start();
         let ready = SocketAddr::new(fleet.gateways[gateway].ip, fleet.addresses.ports.ready);
         eventually("the gateway is ready", async || {
@@ -149,16 +149,16 @@
             (answer.status == 200).then_some(())
         })
         .await;
-        fleet.knows_targets(gateway, 1).await;
+        fleet.wait_for_targets(gateway, 1).await;
     }
     while let Some(ended) = clients.join_next().await {
         if let Err(error) = ended {
             let message = error.into_panic().downcast::<String>().expect("a message");
             let id = message.split([' ', ':']).next().expect("an id");
-            panic!("{message}\n{}", fleet.logged_of(id));
+            panic!("{message}\n{}", fleet.log_lines_of(id));
         }
     }
     let twice: HashMap<_, _> =
-        target.counts().into_iter().filter(|(_, count)| *count > 1).collect();
+        target.arrival_counts().into_iter().filter(|(_, count)| *count > 1).collect();
     assert!(twice.is_empty(), "passed on and lost: {twice:?}");
 }
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -2,21 +2,20 @@
 //! dialect by stand-ins for clients, targets and operators.
 
 mod cold;
-mod doors;
+mod distribution;
 mod evacuations;
 mod followers;
 mod group;
 mod harness;
 mod headers;
-mod kept;
-mod leaving;
-mod mortal;
-mod news;
+mod keep_alive;
+mod member_api;
 mod operators;
 mod paused;
 mod poison;
 mod refusals;
 mod requests;
+mod restarting_target;
 mod rests;
 mod returns;
 mod rollouts;
@@ -28,6 +27,7 @@
 mod stops;
 mod stories;
 mod streams;
+mod target_shutdown;
 mod upgrade;
 mod words;
 mod writers;
--- a/tests/fleet/doors.rs
+++ b/tests/fleet/member_api.rs
@@ -40,13 +40,13 @@
     for (member, version) in [(0, 3), (1, 5), (2, 9)] {
         let text = format!("\n {}  ", configuration(version));
         eventually("acknowledged", async || {
-            let answer = call(fleet.door(member), "PUT", "/config", &text).await?;
+            let answer = call(fleet.api_addr(member), "PUT", "/config", &text).await?;
             (answer.status == 200).then_some(())
         })
         .await;
         for reader in 0..3 {
             let read = eventually("readable", async || {
-                let answer = call(fleet.door(reader), "GET", "/config", "").await?;
+                let answer = call(fleet.api_addr(reader), "GET", "/config", "").await?;
                 (answer.status == 200).then_some(answer)
             });
             assert_eq!(read.await.body, text, "version {version} at member {reader}");
@@ -61,10 +61,10 @@
     for version in [7, 6] {
         let mut other = configuration(version);
         other["routes"] = json!([]);
-        let answer = call(fleet.door(1), "PUT", "/config", &other.to_string()).await;
+        let answer = call(fleet.api_addr(1), "PUT", "/config", &other.to_string()).await;
         assert_eq!(answer.expect("an answer").status, 200);
     }
-    let read = call(fleet.door(2), "GET", "/config", "").await.expect("an answer");
+    let read = call(fleet.api_addr(2), "GET", "/config", "").await.expect("an answer");
     assert_eq!(read.body, configuration(7).to_string());
 }
 
@@ -76,7 +76,7 @@
 #[tokio::test]
 async fn a_configuration_that_can_t_be_read_is_refused(#[case] text: &str, #[case] path: &str) {
     let fleet = Fleet::start(1, 0).await;
-    let answer = call(fleet.door(0), "PUT", "/config", text).await.expect("an answer");
+    let answer = call(fleet.api_addr(0), "PUT", "/config", text).await.expect("an answer");
     assert_eq!(answer.status, 400, "{answer:?}");
     let body: Value = serde_json::from_str(&answer.body).expect("JSON");
     assert_eq!(body["faults"][0]["path"], path, "{}", answer.body);
@@ -128,12 +128,12 @@
         ),
     ];
     for (text, path) in cases {
-        let answer = call(fleet.door(1), "PUT", "/config", &text).await.expect("an answer");
+        let answer = call(fleet.api_addr(1), "PUT", "/config", &text).await.expect("an answer");
         assert_eq!(answer.status, 400, "{text}");
         let body: Value = serde_json::from_str(&answer.body).expect("JSON");
         assert_eq!(body["faults"][0]["path"], path, "{}", answer.body);
     }
-    let read = call(fleet.door(2), "GET", "/config", "").await.expect("an answer");
+    let read = call(fleet.api_addr(2), "GET", "/config", "").await.expect("an answer");
     assert_eq!(read.body, configuration(2).to_string());
 }
 
@@ -153,7 +153,7 @@
 #[tokio::test]
 async fn a_faulty_heartbeat_is_refused_naming_the_field(#[case] text: &str, #[case] path: &str) {
     let fleet = Fleet::start(1, 0).await;
-    let answer = call(fleet.door(0), "PUT", "/instances/i-1", text).await.expect("an answer");
+    let answer = call(fleet.api_addr(0), "PUT", "/instances/i-1", text).await.expect("an answer");
     assert_eq!(answer.status, 400, "{answer:?}");
     let body: Value = serde_json::from_str(&answer.body).expect("JSON");
     assert_eq!(body["faults"][0]["path"], path, "{}", answer.body);
@@ -166,15 +166,15 @@
         "slots": 4, "state": "ready", "cold-left-ms": 0, "sequence": 1, "models": [{"name": "m"}]});
     for member in 0..3 {
         let text = beat.to_string();
-        let answer = call(fleet.door(member), "PUT", "/instances/i-1", &text).await;
+        let answer = call(fleet.api_addr(member), "PUT", "/instances/i-1", &text).await;
         let answer = answer.expect("an answer");
         assert_eq!(answer.status, 200);
         let body: Value = serde_json::from_str(&answer.body).expect("JSON");
         let next = body["heartbeat-addr"].as_str().expect("an address").parse();
-        assert!(fleet.doors().contains(&next.expect("an address")));
+        assert!(fleet.api_addrs().contains(&next.expect("an address")));
     }
     for (method, path) in [("GET", "/elsewhere"), ("POST", "/config"), ("PUT", "/instances/")] {
-        let answer = call(fleet.door(0), method, path, "").await.expect("an answer");
+        let answer = call(fleet.api_addr(0), method, path, "").await.expect("an answer");
         assert_eq!(answer.status, 404, "{method} {path}");
     }
 }
--- a/tests/fleet/paused.rs
+++ b/tests/fleet/paused.rs
@@ -27,7 +27,7 @@
 async fn a_stream_that_lies_ready_after_a_pause_of_its_gateway_arrives_whole() {
     let (fleet, target) = fleet(&[]).await;
     target.behave(Behaviour::Stream(100));
-    let front = fleet.front(0);
+    let front = fleet.gateway_addr(0);
     let ask = tokio::spawn(async move {
         Ask::new("/stream/x", "r-1").with("x-deadline-ms", "2500").send(front).await
     });
@@ -46,7 +46,7 @@
 async fn an_answer_that_lies_ready_after_a_pause_of_its_gateway_is_delivered() {
     let (fleet, target) = fleet(&[]).await;
     target.behave(Behaviour::Slow(Duration::from_millis(600)));
-    let front = fleet.front(0);
+    let front = fleet.gateway_addr(0);
     let ask = tokio::spawn(async move {
         Ask::new("/unsafe/x", "r-1").with("x-deadline-ms", "1200").send(front).await
     });
@@ -68,7 +68,7 @@
     // Small enough that the gateway's own buffer is full while it stands still.
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(200_000).expect("a size");
-    let mut client: TcpStream = socket.connect(fleet.front(0)).await.expect("a connection");
+    let mut client: TcpStream = socket.connect(fleet.gateway_addr(0)).await.expect("a connection");
     let head = "POST /safe/x HTTP/1.1\r\nhost: h.example\r\nx-request-id: r-1\r\n\
          x-credential: key-a\r\nx-deadline-ms: 60000\r\ncontent-length: 0\r\n\r\n";
     client.write_all(head.as_bytes()).await.expect("it takes bytes");
@@ -123,7 +123,7 @@
     fleet.gateways[0].kill();
     fleet.members[0].signal(Signal::SIGSTOP);
     fleet.gateways[0].start();
-    let front = fleet.front(0);
+    let front = fleet.gateway_addr(0);
     for _ in 0..25 {
         tokio::time::sleep(Duration::from_millis(100)).await;
         assert!(TcpStream::connect(front).await.is_err(), "it takes connections");
--- a/tests/fleet/poison.rs
+++ b/tests/fleet/poison.rs
@@ -14,10 +14,10 @@
 
 use serde_json::{Value, json};
 
-use crate::doors::configuration;
-use crate::harness::{Called, Fleet, call, eventually};
-use crate::mortal::{Ledger, Place};
+use crate::harness::{CallResponse, Fleet, call, eventually};
+use crate::member_api::configuration;
 use crate::refusals::{Ask, code};
+use crate::restarting_target::{CrashCounts, RestartingTarget};
 use crate::standin::{Behaviour, Standin};
 
 /// Places of the service.
@@ -34,37 +34,40 @@
     Ask { body: b"poison 1".to_vec(), ..Ask::new("/resumable/x", id) }
 }
 
-fn blocked(answer: &Result<Called, reqwest::Error>) -> bool {
+fn blocked(answer: &Result<CallResponse, reqwest::Error>) -> bool {
     answer.as_ref().is_ok_and(|answer| answer.status == 500 && code(answer) == "ends_targets")
 }
 
 /// A fleet with places of mortal targets, and what happens at them.
 struct Deadly {
     fleet: Fleet,
-    ledger: Arc<Mutex<Ledger>>,
-    _places: Vec<Place>,
+    ledger: Arc<Mutex<CrashCounts>>,
+    _places: Vec<RestartingTarget>,
 }
 
 impl Deadly {
     async fn start() -> Self {
         let fleet = Fleet::start(3, GATEWAYS).await;
-        let ledger = Arc::new(Mutex::new(Ledger::default()));
+        let ledger = Arc::new(Mutex::new(CrashCounts::default()));
         let mut places = Vec::new();
         for place in 0..PLACES {
-            places.push(Place::start(format!("i-{place}"), fleet.doors(), ledger.clone()).await);
+            places.push(
+                RestartingTarget::start(format!("i-{place}"), fleet.api_addrs(), ledger.clone())
+                    .await,
+            );
         }
         let mut two_teams = configuration(1);
         let another = json!({"name": "tenant-b", "api-keys": ["key-b"], "priority": 1});
         two_teams["tenants"].as_array_mut().expect("a list").push(another);
         fleet.configure(&two_teams).await;
         for gateway in 0..GATEWAYS {
-            fleet.knows_targets(gateway, PLACES).await;
+            fleet.wait_for_targets(gateway, PLACES).await;
         }
         Deadly { fleet, ledger, _places: places }
     }
 
     fn ended(&self) -> usize {
-        self.ledger.lock().expect("no panic").ended
+        self.ledger.lock().expect("no panic").crashes
     }
 
     /// Callers repeat a poison request at any gateway, until each has refused it by its name.
@@ -72,7 +75,7 @@
         let mut refused = [false; GATEWAYS];
         for number in 0..TRIES {
             let at = number % GATEWAYS;
-            let answer = poison(&format!("p-{number}")).send(self.fleet.front(at)).await;
+            let answer = poison(&format!("p-{number}")).send(self.fleet.gateway_addr(at)).await;
             refused[at] |= blocked(&answer);
             if refused == [true; GATEWAYS] {
                 break;
@@ -86,7 +89,7 @@
 
     /// What operators are told of blocked requests, at a member.
     async fn list(&self, member: usize) -> Vec<Value> {
-        let answer = call(self.fleet.door(member), "GET", "/v1/poison/", "").await;
+        let answer = call(self.fleet.api_addr(member), "GET", "/v1/poison/", "").await;
         let answer: Value = serde_json::from_str(&answer.expect("an answer").body).expect("JSON");
         answer["blocked"].as_array().expect("a list").clone()
     }
@@ -98,7 +101,8 @@
     deadly.repeat_until_blocked().await;
     let ended = deadly.ended();
     for gateway in 0..GATEWAYS {
-        let answer = poison("again").send(deadly.fleet.front(gateway)).await.expect("an answer");
+        let answer =
+            poison("again").send(deadly.fleet.gateway_addr(gateway)).await.expect("an answer");
         assert_eq!((answer.status, code(&answer).as_str()), (500, "ends_targets"));
         assert!(answer.body.contains("\"not_run\":true"), "{}", answer.body);
         assert_eq!(answer.header("retry-after"), None, "it is not to come back");
@@ -117,7 +121,7 @@
     deadly.fleet.members[1].start();
     for member in 0..3 {
         let blocked = eventually("the member knows", async || {
-            let door = deadly.fleet.door(member);
+            let door = deadly.fleet.api_addr(member);
             call(door, "GET", "/v1/poison/", "").await?;
             deadly.list(member).await.pop()
         })
@@ -129,7 +133,7 @@
         assert!(blocked["ends"].as_u64().is_some_and(|ends| ends >= 3), "{blocked}");
     }
     let fingerprint = deadly.list(2).await[0]["fingerprint"].as_str().expect("a text").to_owned();
-    let door = deadly.fleet.door(2);
+    let door = deadly.fleet.api_addr(2);
     let wrong = call(door, "DELETE", "/v1/poison/xyz", "").await.expect("an answer");
     assert_eq!(wrong.status, 400);
     assert!(wrong.body.contains("fingerprint"), "{}", wrong.body);
@@ -144,7 +148,7 @@
             .await;
     }
     assert_eq!(deadly.ended(), ended);
-    let _ = poison("lifted").send(deadly.fleet.front(0)).await;
+    let _ = poison("lifted").send(deadly.fleet.gateway_addr(0)).await;
     eventually("it is sent again", async || (deadly.ended() > ended).then_some(())).await;
 }
 
@@ -166,13 +170,13 @@
     std::fs::write(&files[0], b"half").expect("a writable folder");
     fleet.members.iter_mut().chain(&mut fleet.gateways).for_each(|process| process.start());
     for gateway in 0..GATEWAYS {
-        fleet.in_force(gateway, 1).await;
+        fleet.wait_for_configuration(gateway, 1).await;
         let process = &fleet.gateways[gateway];
         eventually("the gateway knows again", async || {
             (process.log().matches("event=poison_blocked").count() >= 2).then_some(())
         })
         .await;
-        let answer = poison("after").send(fleet.front(gateway)).await.expect("an answer");
+        let answer = poison("after").send(fleet.gateway_addr(gateway)).await.expect("an answer");
         assert_eq!((answer.status, code(&answer).as_str()), (500, "ends_targets"));
     }
     assert_eq!(deadly.ended(), ended, "nothing was sent");
@@ -184,18 +188,18 @@
     let fleet = Fleet::start(1, 1).await;
     let mut standins = Vec::new();
     for number in 0..4 {
-        let standin = Standin::start(&format!("i-{number}"), "s", fleet.doors()).await;
+        let standin = Standin::start(&format!("i-{number}"), "s", fleet.api_addrs()).await;
         standin.behave(Behaviour::BreakAfter(2));
         standins.push(standin);
     }
     fleet.configure(&configuration(1)).await;
-    fleet.knows_targets(0, standins.len()).await;
+    fleet.wait_for_targets(0, standins.len()).await;
     for number in 0..6 {
         let id = format!("l-{number}");
-        let _ = Ask::new("/resumable/x", &id).send(fleet.front(0)).await;
+        let _ = Ask::new("/resumable/x", &id).send(fleet.gateway_addr(0)).await;
     }
     standins.iter().for_each(|standin| standin.behave(Behaviour::Stream(4)));
-    let answer = Ask::new("/resumable/x", "w-1").send(fleet.front(0)).await.expect("whole");
+    let answer = Ask::new("/resumable/x", "w-1").send(fleet.gateway_addr(0)).await.expect("whole");
     assert_eq!(answer.status, 200);
     let log = fleet.gateways[0].log();
     assert!(log.contains("found=Lives") && !log.contains("found=Ended"));
@@ -214,7 +218,7 @@
     for gateway in 0..GATEWAYS {
         for other in &others {
             eventually("an innocent request is served", async || {
-                let answer = other.send(fleet.front(gateway)).await.ok()?;
+                let answer = other.send(fleet.gateway_addr(gateway)).await.ok()?;
                 (answer.status == 200).then_some(())
             })
             .await;
--- a/tests/fleet/refusals.rs
+++ b/tests/fleet/refusals.rs
@@ -6,8 +6,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
-use crate::doors::configuration;
-use crate::harness::{Called, Fleet, eventually};
+use crate::harness::{CallResponse, Fleet, eventually};
+use crate::member_api::configuration;
 use crate::standin::{Behaviour, Standin};
 
 /// A request of a client.
@@ -42,7 +42,7 @@
     }
 
     /// Sends the request; an error when the answer is not whole.
-    pub async fn send(&self, front: SocketAddr) -> Result<Called, reqwest::Error> {
+    pub async fn send(&self, front: SocketAddr) -> Result<CallResponse, reqwest::Error> {
         let client = reqwest::Client::builder().timeout(std::time::Duration::from_secs(20));
         let client = client.build().expect("a client");
         let method = self.method.parse().expect("a method");
@@ -53,12 +53,12 @@
         let response = request.body(self.body.clone()).send().await?;
         let status = response.status().as_u16();
         let headers = response.headers().clone();
-        Ok(Called { status, headers, body: response.text().await? })
+        Ok(CallResponse { status, headers, body: response.text().await? })
     }
 }
 
 /// Code of a refusal.
-pub fn code(answer: &Called) -> String {
+pub fn code(answer: &CallResponse) -> String {
     let body: Value = serde_json::from_str(&answer.body).expect("JSON");
     body["error"]["code"].as_str().expect("a code").to_owned()
 }
@@ -67,7 +67,7 @@
 async fn a_gateway_that_knows_nothing_says_come_back_and_is_not_ready() {
     let mut fleet = Fleet::prepare(1, 1);
     fleet.gateways[0].start();
-    let front = fleet.front(0);
+    let front = fleet.gateway_addr(0);
     let answer = eventually("the gateway listens", async || {
         Ask::new("/safe/x", "r-1").send(front).await.ok()
     });
@@ -83,9 +83,9 @@
 #[tokio::test]
 async fn each_fault_of_a_request_has_its_answer_and_reaches_no_target() {
     let fleet = Fleet::start(1, 1).await;
-    let target = Standin::start("i-1", "s", fleet.doors()).await;
+    let target = Standin::start("i-1", "s", fleet.api_addrs()).await;
     fleet.configure(&configuration(1)).await;
-    fleet.knows_targets(0, 1).await;
+    fleet.wait_for_targets(0, 1).await;
     let big = "x".repeat(6_000);
     let mut long = Ask::new("/safe/x", "r-7");
     long.body = vec![b'x'; 20_000];
@@ -100,7 +100,7 @@
         (Ask::new("/safe/x", "r-8").with("x-large", &big), 431, "head_too_large"),
     ];
     for (ask, status, reason) in cases {
-        let answer = ask.send(fleet.front(0)).await.expect("an answer");
+        let answer = ask.send(fleet.gateway_addr(0)).await.expect("an answer");
         assert_eq!((answer.status, code(&answer).as_str()), (status, reason), "{}", ask.path);
         assert_eq!(answer.header("x-server-stamp"), None);
     }
@@ -112,27 +112,27 @@
 async fn a_request_that_no_target_took_is_answered_503_at_once_with_a_time() {
     let fleet = Fleet::start(1, 1).await;
     fleet.configure(&configuration(1)).await;
-    let answer = Ask::new("/safe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
+    let answer = Ask::new("/safe/x", "r-1").send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!((answer.status, code(&answer).as_str()), (503, "no_target"));
     assert!(answer.header("retry-after").is_some());
-    let target = Standin::start("i-1", "s", fleet.doors()).await;
-    target.behave(Behaviour::TurnAway);
-    fleet.knows_targets(0, 1).await;
-    let answer = Ask::new("/unsafe/x", "r-2").send(fleet.front(0)).await.expect("an answer");
+    let target = Standin::start("i-1", "s", fleet.api_addrs()).await;
+    target.behave(Behaviour::NotRun);
+    fleet.wait_for_targets(0, 1).await;
+    let answer = Ask::new("/unsafe/x", "r-2").send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!((answer.status, code(&answer).as_str()), (503, "not_run"));
     assert!(answer.header("retry-after").is_some());
     drop(target);
-    let answer = Ask::new("/unsafe/x", "r-3").send(fleet.front(0)).await.expect("an answer");
+    let answer = Ask::new("/unsafe/x", "r-3").send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!((answer.status, code(&answer).as_str()), (503, "connect_failed"));
 }
 
 #[tokio::test]
 async fn a_body_that_does_not_come_is_answered_408_and_reaches_no_target() {
     let fleet = Fleet::start(1, 1).await;
-    let target = Standin::start("i-1", "s", fleet.doors()).await;
+    let target = Standin::start("i-1", "s", fleet.api_addrs()).await;
     fleet.configure(&configuration(1)).await;
-    fleet.knows_targets(0, 1).await;
-    let mut stream = TcpStream::connect(fleet.front(0)).await.expect("a connection");
+    fleet.wait_for_targets(0, 1).await;
+    let mut stream = TcpStream::connect(fleet.gateway_addr(0)).await.expect("a connection");
     let head = "POST /safe/x HTTP/1.1\r\nhost: h.example\r\nx-request-id: r-1\r\n\
         x-credential: key-a\r\nx-deadline-ms: 400\r\ncontent-length: 10\r\n\r\nabc";
     stream.write_all(head.as_bytes()).await.expect("sent");
--- a/tests/fleet/requests.rs
+++ b/tests/fleet/requests.rs
@@ -4,8 +4,8 @@
 
 use serde_json::json;
 
-use crate::doors::configuration;
 use crate::harness::Fleet;
+use crate::member_api::configuration;
 use crate::refusals::{Ask, code};
 use crate::standin::{Behaviour, Standin};
 
@@ -13,10 +13,10 @@
     let fleet = Fleet::start(1, 1).await;
     let mut standins = Vec::new();
     for number in 0..targets {
-        standins.push(Standin::start(&format!("i-{number}"), "s", fleet.doors()).await);
+        standins.push(Standin::start(&format!("i-{number}"), "s", fleet.api_addrs()).await);
     }
     fleet.configure(&configuration(1)).await;
-    fleet.knows_targets(0, targets).await;
+    fleet.wait_for_targets(0, targets).await;
     (fleet, standins)
 }
 
@@ -29,7 +29,7 @@
 }
 
 fn arrivals(standins: &[Standin], id: &str) -> usize {
-    standins.iter().map(|standin| standin.counts().get(id).copied().unwrap_or(0)).sum()
+    standins.iter().map(|standin| standin.arrival_counts().get(id).copied().unwrap_or(0)).sum()
 }
 
 #[tokio::test]
@@ -40,7 +40,7 @@
         .with("x-tenant", "forged")
         .with("connection", "x-hop")
         .with("x-hop", "dropped");
-    let answer = ask.send(fleet.front(0)).await.expect("an answer");
+    let answer = ask.send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!(answer.status, 200);
     assert_eq!(answer.body, "answer to r-1");
     assert_eq!(answer.header("x-server-stamp"), Some("stamp-i-0-r-1"));
@@ -64,12 +64,13 @@
 async fn an_unsafe_request_whose_answer_is_lost_runs_once_and_is_never_called_not_run() {
     let (fleet, standins) = fleet_with(3).await;
     for (behaviour, id, reason) in [
-        (Behaviour::Lose, "r-1", "answer_lost"),
-        (Behaviour::AnswerAnother, "r-2", "wrong_answer"),
+        (Behaviour::CloseConnection, "r-1", "answer_lost"),
+        (Behaviour::WrongRequestId, "r-2", "wrong_answer"),
         (Behaviour::Unsigned, "r-3", "wrong_answer"),
     ] {
         standins.iter().for_each(|standin| standin.behave(behaviour));
-        let answer = Ask::new("/retried/x", id).send(fleet.front(0)).await.expect("an answer");
+        let answer =
+            Ask::new("/retried/x", id).send(fleet.gateway_addr(0)).await.expect("an answer");
         assert_eq!((answer.status, code(&answer).as_str()), (502, reason));
         assert_eq!(arrivals(&standins, id), 1);
         assert_eq!(answer.header("x-server-stamp"), None);
@@ -79,13 +80,15 @@
 #[tokio::test]
 async fn a_safe_request_goes_to_another_target_after_any_failure() {
     let (fleet, standins) = fleet_with(2).await;
-    let faults = [Behaviour::Lose, Behaviour::Fail, Behaviour::AnswerAnother, Behaviour::TurnAway];
+    let faults =
+        [Behaviour::CloseConnection, Behaviour::Fail, Behaviour::WrongRequestId, Behaviour::NotRun];
     for (at, fault) in faults.into_iter().enumerate() {
         for round in 0..4 {
             standins[round % 2].behave(fault);
             standins[(round + 1) % 2].behave(Behaviour::Answer);
             let id = format!("r-{at}-{round}");
-            let answer = Ask::new("/safe/x", &id).send(fleet.front(0)).await.expect("an answer");
+            let answer =
+                Ask::new("/safe/x", &id).send(fleet.gateway_addr(0)).await.expect("an answer");
             assert_eq!(answer.status, 200, "{fault:?}: {}", answer.body);
             assert_eq!(answer.body, format!("answer to {id}"));
         }
@@ -96,11 +99,11 @@
 async fn a_failure_of_every_target_is_passed_on_and_attempts_are_bounded() {
     let (fleet, standins) = fleet_with(5).await;
     standins.iter().for_each(|standin| standin.behave(Behaviour::Fail));
-    let answer = Ask::new("/safe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
+    let answer = Ask::new("/safe/x", "r-1").send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!((answer.status, answer.body.as_str()), (500, "failed"));
     assert!(answer.header("x-server-stamp").is_some());
     assert_eq!(arrivals(&standins, "r-1"), 3, "the route allows three attempts");
-    let answer = Ask::new("/unsafe/x", "r-2").send(fleet.front(0)).await.expect("an answer");
+    let answer = Ask::new("/unsafe/x", "r-2").send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!(answer.status, 500);
     assert_eq!(arrivals(&standins, "r-2"), 1);
 }
@@ -108,10 +111,11 @@
 #[tokio::test]
 async fn a_request_that_was_not_run_goes_to_another_target_within_its_attempts() {
     let (fleet, standins) = fleet_with(2).await;
-    standins[0].behave(Behaviour::TurnAway);
+    standins[0].behave(Behaviour::NotRun);
     for round in 0..6 {
         let id = format!("r-{round}");
-        let answer = Ask::new("/retried/x", &id).send(fleet.front(0)).await.expect("an answer");
+        let answer =
+            Ask::new("/retried/x", &id).send(fleet.gateway_addr(0)).await.expect("an answer");
         assert_eq!(answer.status, 200);
     }
 }
@@ -120,10 +124,11 @@
 async fn an_address_that_another_target_has_now_counts_as_nobody() {
     let (fleet, standins) = fleet_with(2).await;
     // Whoever answers there is not the one that the request is meant for.
-    standins[0].become_another();
+    standins[0].set_replaced();
     for round in 0..10 {
         let id = format!("r-{round}");
-        let answer = Ask::new("/unsafe/x", &id).send(fleet.front(0)).await.expect("an answer");
+        let answer =
+            Ask::new("/unsafe/x", &id).send(fleet.gateway_addr(0)).await.expect("an answer");
         assert_eq!((answer.status, answer.body), (200, format!("answer to {id}")));
     }
     let log = fleet.gateways[0].log();
@@ -134,19 +139,19 @@
 #[tokio::test]
 async fn a_request_without_an_answer_ends_at_its_deadline_and_is_not_called_not_run() {
     let (fleet, standins) = fleet_with(1).await;
-    standins[0].behave(Behaviour::Mute);
+    standins[0].behave(Behaviour::NeverAnswer);
     let ask = Ask::new("/unsafe/x", "r-1").with("x-deadline-ms", "400");
-    let answer = ask.send(fleet.front(0)).await.expect("an answer");
+    let answer = ask.send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!((answer.status, code(&answer).as_str()), (504, "answer_late"));
 }
 
 #[tokio::test]
 async fn a_repeatable_request_to_a_silent_target_is_answered_by_another_in_time() {
     let (fleet, standins) = fleet_with(2).await;
-    standins[0].behave(Behaviour::Mute);
+    standins[0].behave(Behaviour::NeverAnswer);
     for round in 0..6 {
         let id = format!("r-{round}");
-        let answer = Ask::new("/safe/x", &id).send(fleet.front(0)).await.expect("an answer");
+        let answer = Ask::new("/safe/x", &id).send(fleet.gateway_addr(0)).await.expect("an answer");
         assert_eq!((answer.status, answer.body), (200, format!("answer to {id}")));
     }
 }
@@ -154,12 +159,12 @@
 #[tokio::test]
 async fn a_target_whose_silence_made_a_caller_leave_is_left_alone() {
     let (fleet, standins) = fleet_with(2).await;
-    standins[0].behave(Behaviour::Mute);
+    standins[0].behave(Behaviour::NeverAnswer);
     crate::harness::eventually("the silent target is left alone", async || {
         let id = format!("r-{}", rand::random::<u32>());
         let ask = Ask::new("/unsafe/x", &id).with("x-deadline-ms", "3900");
         // The route's goal is 300 ms, and the caller leaves well after it.
-        let asking = ask.send(fleet.front(0));
+        let asking = ask.send(fleet.gateway_addr(0));
         let _ = tokio::time::timeout(Duration::from_millis(1_200), asking).await;
         fleet.gateways[0].log().contains("event=target_paused").then_some(())
     })
@@ -172,7 +177,7 @@
     let (fleet, standins) = fleet_with(2).await;
     standins[0].behave(Behaviour::Slow(Duration::from_secs(1)));
     standins[1].behave(Behaviour::Slow(Duration::from_secs(1)));
-    let front = fleet.front(0);
+    let front = fleet.gateway_addr(0);
     let asks: Vec<_> = (0..8)
         .map(|at| {
             let id = format!("before-{at}");
@@ -182,7 +187,7 @@
     tokio::time::sleep(Duration::from_millis(300)).await;
     let changes = || fleet.gateways[0].log().matches("event=targets").count();
     let known = changes();
-    standins[0].drain(fleet.door(0)).await;
+    standins[0].drain(fleet.api_addr(0)).await;
     crate::harness::eventually("the gateway knows", async || (changes() > known).then_some(()))
         .await;
     tokio::time::sleep(Duration::from_millis(500)).await;
@@ -206,17 +211,18 @@
     let (fleet, standins) = fleet_with(3).await;
     let sticky =
         |id: &'static str| Ask::new("/sticky/x", id).with("x-prompt-prefix", "aa:900,bb:10");
-    let home_of = |id: &str| standins.iter().position(|standin| standin.counts().contains_key(id));
+    let home_of =
+        |id: &str| standins.iter().position(|standin| standin.arrival_counts().contains_key(id));
     standins.iter().for_each(|standin| standin.behave(Behaviour::Stream(2)));
     for id in ["r-1", "r-2", "r-3"] {
-        sticky(id).send(fleet.front(0)).await.expect("an answer");
+        sticky(id).send(fleet.gateway_addr(0)).await.expect("an answer");
     }
     let home = home_of("r-3").expect("a home");
-    standins[home].behave(Behaviour::Lose);
-    let answer = sticky("r-4").send(fleet.front(0)).await.expect("an answer");
+    standins[home].behave(Behaviour::CloseConnection);
+    let answer = sticky("r-4").send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!((answer.status, home_of("r-4")), (502, Some(home)));
     standins[home].behave(Behaviour::Stream(2));
-    let answer = sticky("r-5").send(fleet.front(0)).await.expect("an answer");
+    let answer = sticky("r-5").send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!((answer.status, home_of("r-5")), (200, Some(home)));
 }
 
@@ -224,9 +230,9 @@
 #[tokio::test]
 async fn a_request_reaches_targets_of_the_regions_of_its_route_and_team_only() {
     let fleet = Fleet::start(1, 1).await;
-    let north = Standin::start_in("hall-b", "i-north", "s", fleet.doors()).await;
-    let south = Standin::start_in("hall-c", "i-south", "s", fleet.doors()).await;
-    let nowhere = Standin::start_in("hall-q", "i-nowhere", "s", fleet.doors()).await;
+    let north = Standin::start_in("hall-b", "i-north", "s", fleet.api_addrs()).await;
+    let south = Standin::start_in("hall-c", "i-south", "s", fleet.api_addrs()).await;
+    let nowhere = Standin::start_in("hall-q", "i-nowhere", "s", fleet.api_addrs()).await;
     let mut configuration = configuration(1);
     // The safe route, the unsafe one and the retried one; the others are free.
     configuration["routes"][0]["allowed-regions"] = json!(["south"]);
@@ -234,17 +240,18 @@
     configuration["routes"][2]["allowed-regions"] = json!(["north"]);
     configuration["tenants"][0]["allowed-regions"] = json!(["south"]);
     fleet.configure(&configuration).await;
-    fleet.knows_targets(0, 3).await;
+    fleet.wait_for_targets(0, 3).await;
     for round in 0..30 {
         for path in ["/safe/x", "/unsafe/x", "/sticky/x"] {
             let id = format!("r-{round}");
-            let answer = Ask::new(path, &id).send(fleet.front(0)).await.expect("an answer");
+            let answer = Ask::new(path, &id).send(fleet.gateway_addr(0)).await.expect("an answer");
             assert_eq!(answer.status, 200, "{path}: {answer:?}");
         }
     }
     assert_eq!(south.arrivals().len(), 90);
     assert!(north.arrivals().is_empty() && nowhere.arrivals().is_empty());
-    let answer = Ask::new("/retried/x", "r-none").send(fleet.front(0)).await.expect("an answer");
+    let answer =
+        Ask::new("/retried/x", "r-none").send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!((answer.status, code(&answer).as_str()), (503, "no_target"));
 }
 
@@ -254,15 +261,15 @@
     let fleet = Fleet::start(1, 4).await;
     let mut standins = Vec::new();
     for number in 0..16 {
-        standins.push(Standin::start(&format!("i-{number}"), "s", fleet.doors()).await);
+        standins.push(Standin::start(&format!("i-{number}"), "s", fleet.api_addrs()).await);
     }
     fleet.configure(&configuration(1)).await;
     for gateway in 0..4 {
-        fleet.knows_targets(gateway, 16).await;
+        fleet.wait_for_targets(gateway, 16).await;
     }
     standins[1..].iter_mut().for_each(Standin::stop_listening);
     for gateway in 0..4 {
-        let answer = Ask::new("/unsafe/x", "r-1").send(fleet.front(gateway)).await;
+        let answer = Ask::new("/unsafe/x", "r-1").send(fleet.gateway_addr(gateway)).await;
         assert_eq!(answer.expect("an answer").status, 200);
     }
 }
--- a/tests/fleet/mortal.rs
+++ b/tests/fleet/restarting_target.rs
@@ -17,28 +17,32 @@
 
 /// What has happened at the targets of a service.
 #[derive(Default)]
-pub struct Ledger {
+pub struct CrashCounts {
     /// Targets that ended.
-    pub ended: usize,
+    pub crashes: usize,
     /// Poison requests that reached a target.
-    pub reached: usize,
+    pub poison_arrivals: usize,
 }
 
 /// A place at which one target after the other runs; ends when dropped.
-pub struct Place(JoinHandle<()>);
+pub struct RestartingTarget(JoinHandle<()>);
 
-impl Drop for Place {
+impl Drop for RestartingTarget {
     fn drop(&mut self) {
         self.0.abort();
     }
 }
 
-impl Place {
+impl RestartingTarget {
     /// Starts targets of service `s`, named after `name` and the count of their starts.
-    pub async fn start(name: String, doors: Vec<SocketAddr>, ledger: Arc<Mutex<Ledger>>) -> Self {
+    pub async fn start(
+        name: String,
+        doors: Vec<SocketAddr>,
+        ledger: Arc<Mutex<CrashCounts>>,
+    ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
         let addr = listener.local_addr().expect("bound");
-        Place(tokio::spawn(run(name, addr, listener, doors, ledger)))
+        RestartingTarget(tokio::spawn(run(name, addr, listener, doors, ledger)))
     }
 }
 
@@ -47,7 +51,7 @@
     addr: SocketAddr,
     mut listener: TcpListener,
     doors: Vec<SocketAddr>,
-    ledger: Arc<Mutex<Ledger>>,
+    ledger: Arc<Mutex<CrashCounts>>,
 ) {
     for start in 0.. {
         let ends = Arc::new(Notify::new());
@@ -60,8 +64,8 @@
         drop(target);
         {
             let mut ledger = ledger.lock().expect("no panic");
-            ledger.ended += 1;
-            ledger.reached += poison;
+            ledger.crashes += 1;
+            ledger.poison_arrivals += poison;
         }
         tokio::time::sleep(DOWN_FOR).await;
         listener = loop {
--- a/tests/fleet/rests.rs
+++ b/tests/fleet/rests.rs
@@ -26,7 +26,7 @@
     eventually("the target gets a request", async || {
         asked += 1;
         let id = format!("first-{asked}");
-        let _ = Ask::new("/retried/x", &id).send(fleet.front(0)).await;
+        let _ = Ask::new("/retried/x", &id).send(fleet.gateway_addr(0)).await;
         (!target.arrivals().is_empty()).then_some(())
     })
     .await;
@@ -39,13 +39,14 @@
 #[tokio::test]
 async fn a_target_that_asks_for_rest_gets_it(#[case] seconds: &'static str) {
     let (fleet, resting, _other) = fleet_with_two().await;
-    resting.say("retry-after", seconds);
-    resting.behave(Behaviour::TurnAway);
+    resting.add_header("retry-after", seconds);
+    resting.behave(Behaviour::NotRun);
     ask_until_turned_away(&fleet, &resting).await;
     resting.behave(Behaviour::Answer);
     for number in 0..LATER {
         let id = format!("later-{number}");
-        let answer = Ask::new("/unsafe/x", &id).send(fleet.front(0)).await.expect("an answer");
+        let answer =
+            Ask::new("/unsafe/x", &id).send(fleet.gateway_addr(0)).await.expect("an answer");
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     assert_eq!(resting.arrivals().len(), 1, "of {LATER} more");
@@ -60,16 +61,16 @@
 #[tokio::test]
 async fn a_target_is_used_again_after_its_rest(#[case] value: &'static str) {
     let (fleet, resting, _other) = fleet_with_two().await;
-    resting.say("retry-after", value);
-    resting.behave(Behaviour::TurnAway);
+    resting.add_header("retry-after", value);
+    resting.behave(Behaviour::NotRun);
     ask_until_turned_away(&fleet, &resting).await;
     resting.behave(Behaviour::Answer);
-    resting.say_no_more();
+    resting.clear_headers();
     let mut asked = 0;
     eventually("the target is used again", async || {
         asked += 1;
         let id = format!("later-{asked}");
-        let answer = Ask::new("/unsafe/x", &id).send(fleet.front(0)).await.ok()?;
+        let answer = Ask::new("/unsafe/x", &id).send(fleet.gateway_addr(0)).await.ok()?;
         assert_eq!(answer.status, 200, "{}", answer.body);
         (resting.arrivals().len() > 1).then_some(())
     })
@@ -81,13 +82,13 @@
 async fn a_service_whose_targets_all_rest_refuses_at_once_with_the_earliest_end() {
     let (fleet, one, other) = fleet_with_two().await;
     for (target, seconds) in [(&one, "900"), (&other, "600")] {
-        target.say("retry-after", seconds);
-        target.behave(Behaviour::TurnAway);
+        target.add_header("retry-after", seconds);
+        target.behave(Behaviour::NotRun);
     }
     for target in [&one, &other] {
         ask_until_turned_away(&fleet, target).await;
     }
-    let answer = Ask::new("/safe/x", "later").send(fleet.front(0)).await.expect("an answer");
+    let answer = Ask::new("/safe/x", "later").send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!((answer.status, code(&answer).as_str()), (503, "resting"));
     let wait: f64 = answer.header("retry-after").expect("a time").parse().expect("seconds");
     assert!((500.0..601.0).contains(&wait), "{wait}");
--- a/tests/fleet/returns.rs
+++ b/tests/fleet/returns.rs
@@ -2,8 +2,8 @@
 
 use rstest::rstest;
 
-use crate::doors::configuration;
 use crate::harness::{Fleet, call, eventually};
+use crate::member_api::configuration;
 use crate::refusals::Ask;
 use crate::standin::{Behaviour, Standin};
 
@@ -15,16 +15,16 @@
 /// A target that says when it was born, with heartbeats that count on from there.
 async fn target(fleet: &Fleet, born_ms: u64, sequence: u64) -> Standin {
     let mut standin = Standin::start("i-1", "s", Vec::new()).await;
-    standin.say_born(born_ms, sequence);
-    standin.announce_at(fleet.doors());
+    standin.set_start_time(born_ms, sequence);
+    standin.start_heartbeats(fleet.api_addrs());
     standin
 }
 
 async fn serves(fleet: &Fleet, standin: &Standin) {
     eventually("the target is used", async || {
         let id = format!("r-{}", rand::random::<u32>());
-        let answer = Ask::new("/safe/x", &id).send(fleet.front(0)).await.ok()?;
-        (answer.status == 200 && standin.counts().contains_key(&id)).then_some(())
+        let answer = Ask::new("/safe/x", &id).send(fleet.gateway_addr(0)).await.ok()?;
+        (answer.status == 200 && standin.arrival_counts().contains_key(&id)).then_some(())
     })
     .await;
 }
@@ -59,7 +59,7 @@
     drop(first);
     if end == End::Removed {
         eventually("it leaves", async || {
-            let answer = call(fleet.door(0), "DELETE", "/instances/i-1", "").await?;
+            let answer = call(fleet.api_addr(0), "DELETE", "/instances/i-1", "").await?;
             (answer.status == 200).then_some(())
         })
         .await;
@@ -82,17 +82,17 @@
     let first = target(&fleet, FIRST, MANY).await;
     serves(&fleet, &first).await;
     let late = Standin::start("i-1", "s", Vec::new()).await;
-    late.say_born(FIRST, 2 * MANY);
-    late.behave(Behaviour::Lose);
+    late.set_start_time(FIRST, 2 * MANY);
+    late.behave(Behaviour::CloseConnection);
     drop(first);
     let second = target(&fleet, SECOND, 0).await;
     serves(&fleet, &second).await;
-    for door in fleet.doors() {
+    for door in fleet.api_addrs() {
         late.drain(door).await;
     }
     for number in 0..20 {
         let id = format!("a-{number}");
-        let answer = Ask::new("/safe/x", &id).send(fleet.front(0)).await.expect("an answer");
+        let answer = Ask::new("/safe/x", &id).send(fleet.gateway_addr(0)).await.expect("an answer");
         assert_eq!(answer.status, 200);
     }
     assert!(late.arrivals().is_empty());
--- a/tests/fleet/rollouts.rs
+++ b/tests/fleet/rollouts.rs
@@ -11,9 +11,9 @@
 use serde_json::{Value, json};
 use tokio::task::JoinSet;
 
-use crate::doors::configuration;
 use crate::harness::pauses::{PausePlan, Paused};
-use crate::harness::{Called, Fleet, Process, call, eventually, field};
+use crate::harness::{CallResponse, Fleet, Process, call, eventually, field};
+use crate::member_api::configuration;
 use crate::refusals::Ask;
 use crate::standin::{Behaviour, Standin};
 
@@ -29,14 +29,14 @@
         member.set("expose_share", json!(EXPOSE_SHARE));
     }
     fleet.members.iter_mut().chain(&mut fleet.gateways).for_each(Process::start);
-    fleet.settled().await;
+    fleet.wait_for_leader().await;
     let mut old = Vec::new();
     for id in ["old-1", "old-2"] {
-        old.push(Standin::start(id, "s", fleet.doors()).await);
+        old.push(Standin::start(id, "s", fleet.api_addrs()).await);
     }
     fleet.configure(&configuration(1)).await;
     for gateway in 0..gateways {
-        fleet.knows_targets(gateway, 2).await;
+        fleet.wait_for_targets(gateway, 2).await;
     }
     (fleet, old)
 }
@@ -45,18 +45,18 @@
 async fn newcomers(fleet: &Fleet, version: &'static str, behaviour: Behaviour) -> Vec<Standin> {
     let mut new = Vec::new();
     for id in ["new-1", "new-2"] {
-        let mut standin = Standin::start(id, "s", Vec::new()).await.of_version(version);
+        let mut standin = Standin::start(id, "s", Vec::new()).await.with_version(version);
         standin.behave(behaviour);
-        standin.announce_at(fleet.doors());
+        standin.start_heartbeats(fleet.api_addrs());
         new.push(standin);
     }
     new
 }
 
-async fn start(fleet: &Fleet, member: usize, version: &str, duration_s: f64) -> Called {
+async fn start(fleet: &Fleet, member: usize, version: &str, duration_s: f64) -> CallResponse {
     let order = json!({ "service": "s", "target-version": version, "duration-s": duration_s });
     eventually("the roll-out is answered", async || {
-        let answer = call(fleet.door(member), "POST", "/rollouts", &order.to_string()).await?;
+        let answer = call(fleet.api_addr(member), "POST", "/rollouts", &order.to_string()).await?;
         (answer.status != 503).then_some(answer)
     })
     .await
@@ -65,7 +65,7 @@
 /// Waits until a member says that the roll-out is in this state.
 async fn reaches(fleet: &Fleet, member: usize, state: &str) {
     eventually(&format!("the roll-out is {state}"), async || {
-        let answer = call(fleet.door(member), "GET", "/rollouts/s", "").await?;
+        let answer = call(fleet.api_addr(member), "GET", "/rollouts/s", "").await?;
         let told: Value = serde_json::from_str(&answer.body).ok()?;
         (told["state"] == state).then_some(())
     })
@@ -118,7 +118,7 @@
         while self.tasks.join_next().await.is_some() {}
         let lost = std::mem::take(&mut *self.lost.lock().expect("no panic"));
         let stories = lost.iter().map(|Lost { id, front, took, came }| {
-            format!("{id} at {front} after {took:?}: {came}\n{}", fleet.logged_of(id))
+            format!("{id} at {front} after {took:?}: {came}\n{}", fleet.log_lines_of(id))
         });
         let stories: Vec<String> = stories.collect();
         assert!(lost.is_empty(), "{} requests were lost:\n{}", lost.len(), stories.join("\n"));
@@ -157,7 +157,7 @@
     let (fleet, old) = fleet(3, 2).await;
     assert_eq!(start(&fleet, 1, "v2", 20.0).await.status, 200);
     let new = newcomers(&fleet, "v2", Behaviour::Answer).await;
-    let callers = Callers::start(vec![fleet.front(0), fleet.front(1)], "/unsafe/x");
+    let callers = Callers::start(vec![fleet.gateway_addr(0), fleet.gateway_addr(1)], "/unsafe/x");
     reaches(&fleet, 0, "completed").await;
     for gateway in &fleet.gateways {
         knows(gateway, "s:v2:completed:1").await;
@@ -212,7 +212,7 @@
     let (mut fleet, old) = fleet(3, 8).await;
     pauses.into_iter().for_each(|plan| fleet.pause(plan));
     assert_eq!(start(&fleet, 2, "v2", 600.0).await.status, 200);
-    let fronts = (0..8).map(|gateway| fleet.front(gateway)).collect();
+    let fronts = (0..8).map(|gateway| fleet.gateway_addr(gateway)).collect();
     let callers = Callers::start(fronts, "/unsafe/x");
     eventually("the old version serves", async || (asked(&old) > 100).then_some(())).await;
     let new = newcomers(&fleet, "v2", behaviour).await;
@@ -232,12 +232,15 @@
     fleet.gateways[3].kill();
     fleet.gateways[3].start();
     eventually("it serves again", async || {
-        let answer = Ask::new("/safe/x", "r-again").send(fleet.front(3)).await.ok()?;
+        let answer = Ask::new("/safe/x", "r-again").send(fleet.gateway_addr(3)).await.ok()?;
         (answer.status == 200).then_some(())
     })
     .await;
     for round in 0..30 {
-        Ask::new("/safe/x", &format!("r-{round}")).send(fleet.front(3)).await.expect("an answer");
+        Ask::new("/safe/x", &format!("r-{round}"))
+            .send(fleet.gateway_addr(3))
+            .await
+            .expect("an answer");
     }
     assert_eq!(asked(&new), at_new);
 }
@@ -253,7 +256,7 @@
     fleet.members.iter_mut().for_each(Process::kill);
     fleet.members.iter_mut().for_each(Process::start);
     let told = eventually("a member tells", async || {
-        let answer = call(fleet.door(1), "GET", "/rollouts/s", "").await?;
+        let answer = call(fleet.api_addr(1), "GET", "/rollouts/s", "").await?;
         (answer.status == 200).then_some(answer)
     })
     .await;
@@ -273,7 +276,7 @@
     #[case] path: &str,
 ) {
     let (fleet, _old) = fleet(1, 0).await;
-    let answer = call(fleet.door(0), "POST", "/rollouts", &order.to_string()).await;
+    let answer = call(fleet.api_addr(0), "POST", "/rollouts", &order.to_string()).await;
     let answer = answer.expect("an answer");
     assert_eq!(answer.status, status, "{answer:?}");
     assert!(answer.body.contains(path), "{answer:?}");
@@ -282,7 +285,7 @@
 #[tokio::test]
 async fn operators_start_show_list_and_withdraw_roll_outs() {
     let (fleet, _old) = fleet(1, 0).await;
-    let door = fleet.door(0).to_string();
+    let door = fleet.api_addr(0).to_string();
     let run = async |words: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_latchmount"));
         command.arg("rollout").args(words).args(["--dialect", "platform", "--member", &door]);
--- a/tests/fleet/slow.rs
+++ b/tests/fleet/slow.rs
@@ -7,8 +7,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpSocket, TcpStream};
 
-use crate::doors::configuration;
 use crate::harness::{Fleet, Process, eventually, field};
+use crate::member_api::configuration;
 use crate::refusals::{Ask, code};
 use crate::standin::{Behaviour, Standin};
 
@@ -24,15 +24,15 @@
         fleet.gateways[0].set(field, value.clone());
     }
     fleet.members.iter_mut().chain(&mut fleet.gateways).for_each(Process::start);
-    fleet.settled().await;
-    let target = Standin::start("i-1", "s", fleet.doors()).await;
+    fleet.wait_for_leader().await;
+    let target = Standin::start("i-1", "s", fleet.api_addrs()).await;
     let mut large = configuration(1);
     large["limits"]["max-body-bytes"] = json!(4_000_000);
     for route in large["routes"].as_array_mut().expect("routes") {
         route["timeout-ms"] = json!(60_000);
     }
     fleet.configure(&large).await;
-    fleet.knows_targets(0, 1).await;
+    fleet.wait_for_targets(0, 1).await;
     (fleet, target)
 }
 
@@ -72,7 +72,7 @@
 #[tokio::test]
 async fn slow_senders_cost_others_nothing_and_stay_within_memory() {
     let (fleet, _target) = fleet(&[]).await;
-    let front = fleet.front(0);
+    let front = fleet.gateway_addr(0);
     let mut slow = Vec::new();
     for number in 0..SLOW {
         slow.push(send(front, b"POST /safe/x HTTP/1.1\r\nhost: h.exa").await);
@@ -95,7 +95,7 @@
 #[tokio::test]
 async fn a_slow_sender_that_makes_room_is_told_408_and_its_request_reaches_nobody() {
     let (fleet, target) = fleet(&[("memory_mb", json!(32))]).await;
-    let front = fleet.front(0);
+    let front = fleet.gateway_addr(0);
     // 13 MB may be held; each of these has 3 MB, and may be cut a second after it came.
     let mut slow = Vec::new();
     for number in 0..6 {
@@ -132,7 +132,7 @@
     // The system must not keep megabytes for the client.
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4_096).expect("a size");
-    let mut stuck = socket.connect(fleet.front(0)).await.expect("a connection");
+    let mut stuck = socket.connect(fleet.gateway_addr(0)).await.expect("a connection");
     stuck.write_all(head("/stream/x", "r-stuck", 0).as_bytes()).await.expect("it takes bytes");
     eventually("the stream runs", async || (target.arrivals().len() == 1).then_some(())).await;
     let cut = eventually("the client is cut", async || {
@@ -141,11 +141,12 @@
         log.lines().find(cut).and_then(|line| field(line, "why")).map(str::to_owned)
     });
     assert_eq!(cut.await, "unread");
-    eventually("the target is let go", async || (target.open() == 0).then_some(())).await;
+    eventually("the target is let go", async || (target.open_connections() == 0).then_some(()))
+        .await;
     let log = fleet.gateways[0].log();
     assert!(!log.contains("event=target_paused"), "{log}");
     target.behave(Behaviour::Answer);
-    let answer = Ask::new("/safe/x", "r-2").send(fleet.front(0)).await.expect("an answer");
+    let answer = Ask::new("/safe/x", "r-2").send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!(answer.status, 200);
 }
 
@@ -155,11 +156,11 @@
     let (fleet, target) = fleet(&[]).await;
     target.behave(Behaviour::Stream(2_000));
     let head = head("/stream/x", "r-late", 0);
-    let mut late = send(fleet.front(0), head.as_bytes()).await;
+    let mut late = send(fleet.gateway_addr(0), head.as_bytes()).await;
     eventually("the target is done", async || {
         let log = fleet.gateways[0].log();
         let _ = log;
-        (target.arrivals().len() == 1 && target.open() <= 1).then_some(())
+        (target.arrivals().len() == 1 && target.open_connections() <= 1).then_some(())
     })
     .await;
     let mut bytes = Vec::new();
@@ -177,7 +178,7 @@
 async fn bodies_at_a_target_are_bounded() {
     let (fleet, target) = fleet(&[("target_bodies_kb", json!(64))]).await;
     target.behave(Behaviour::Slow(Duration::from_secs(2)));
-    let front = fleet.front(0);
+    let front = fleet.gateway_addr(0);
     let large = |id: String| async move {
         let mut ask = Ask::new("/unsafe/x", &id);
         ask.body = vec![b'x'; 100_000];
@@ -200,7 +201,7 @@
     const STEP: usize = 20_000;
     let (fleet, target) = fleet(&[]).await;
     target.behave(Behaviour::Large(BYTES));
-    let mut steady = send(fleet.front(0), head("/safe/x", "r-steady", 0).as_bytes()).await;
+    let mut steady = send(fleet.gateway_addr(0), head("/safe/x", "r-steady", 0).as_bytes()).await;
     let mut read = 0;
     let mut bytes = vec![0; STEP];
     while read < BYTES {
--- a/tests/fleet/standin.rs
+++ b/tests/fleet/standin.rs
@@ -22,7 +22,7 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-use crate::harness::{Called, call};
+use crate::harness::{CallResponse, call};
 
 /// Between two heartbeats.
 const HEARTBEAT: Duration = Duration::from_millis(300);
@@ -35,15 +35,15 @@
     /// Answers after a while.
     Slow(Duration),
     /// Says that it did not run the request.
-    TurnAway,
+    NotRun,
     /// Runs the request and closes the connection.
-    Lose,
+    CloseConnection,
     /// Runs the request and fails.
     Fail,
     /// Runs the request and answers that it can't be done.
-    Deny,
+    Conflict,
     /// Answers for another request.
-    AnswerAnother,
+    WrongRequestId,
     /// Answers without a signature.
     Unsigned,
     /// Answers with so many bytes.
@@ -57,7 +57,7 @@
     /// Streams large events without a pause or an end.
     Flood,
     /// Runs the request and says nothing.
-    Mute,
+    NeverAnswer,
 }
 
 /// A request that reached a target.
@@ -77,7 +77,7 @@
     service: String,
     behaviour: Arc<Mutex<Behaviour>>,
     /// Headers that its answers bear besides.
-    odd_headers: Arc<Mutex<Vec<(&'static str, &'static str)>>>,
+    extra_headers: Arc<Mutex<Vec<(&'static str, &'static str)>>>,
     arrivals: Arc<Mutex<Vec<Arrival>>>,
     open: Arc<AtomicUsize>,
     replaced: Arc<AtomicBool>,
@@ -130,13 +130,13 @@
         let state = Arc::new(Mutex::new(("ready", 0)));
         let open = Arc::new(AtomicUsize::new(0));
         let replaced = Arc::new(AtomicBool::new(false));
-        let odd_headers: Arc<Mutex<Vec<_>>> = Arc::default();
+        let extra_headers: Arc<Mutex<Vec<_>>> = Arc::default();
         let serving = Serving {
             id: id.to_owned(),
             replaced: replaced.clone(),
             behaviour: behaviour.clone(),
             arrivals: arrivals.clone(),
-            odd_headers: odd_headers.clone(),
+            extra_headers: extra_headers.clone(),
             ends,
         };
         let mut standin = Standin {
@@ -144,7 +144,7 @@
             addr,
             service: service.to_owned(),
             behaviour,
-            odd_headers,
+            extra_headers,
             arrivals,
             open: open.clone(),
             replaced,
@@ -156,7 +156,7 @@
             data_hall: data_hall.to_owned(),
         };
         if !doors.is_empty() {
-            standin.announce_at(doors);
+            standin.start_heartbeats(doors);
         }
         standin
     }
@@ -167,12 +167,12 @@
     }
 
     /// Announces itself no more.
-    pub fn fall_silent(&mut self) {
+    pub fn stop_heartbeats(&mut self) {
         self.tasks.remove(1).abort();
     }
 
     /// Begins to announce itself at `doors`.
-    pub fn announce_at(&mut self, doors: Vec<SocketAddr>) {
+    pub fn start_heartbeats(&mut self, doors: Vec<SocketAddr>) {
         let heartbeats = tokio::spawn(self.heartbeats(doors));
         self.tasks.push(heartbeats);
     }
@@ -182,13 +182,13 @@
     }
 
     /// Has its answers bear a header besides.
-    pub fn say(&self, name: &'static str, value: &'static str) {
-        self.odd_headers.lock().expect("no panic").push((name, value));
+    pub fn add_header(&self, name: &'static str, value: &'static str) {
+        self.extra_headers.lock().expect("no panic").push((name, value));
     }
 
     /// Has its answers bear none of those headers any more.
-    pub fn say_no_more(&self) {
-        self.odd_headers.lock().expect("no panic").clear();
+    pub fn clear_headers(&self) {
+        self.extra_headers.lock().expect("no panic").clear();
     }
 
     pub fn arrivals(&self) -> Vec<Arrival> {
@@ -196,34 +196,34 @@
     }
 
     /// Lets another target have the address.
-    pub fn become_another(&self) {
+    pub fn set_replaced(&self) {
         self.replaced.store(true, Ordering::Relaxed);
     }
 
     /// Has it say that it stays cold for so long.
-    pub fn stay_cold(&self, left_ms: u64) {
+    pub fn set_cold_left(&self, left_ms: u64) {
         self.cold_left.store(left_ms, Ordering::Relaxed);
     }
 
     /// Has it say that it started then, and count its heartbeats from there.
-    pub fn say_born(&self, born_ms: u64, sequence: u64) {
+    pub fn set_start_time(&self, born_ms: u64, sequence: u64) {
         self.born.store(born_ms, Ordering::Relaxed);
         self.state.lock().expect("no panic").1 = sequence;
     }
 
     /// Has it say that it runs another version, before it announces itself.
-    pub fn of_version(self, version: &'static str) -> Self {
+    pub fn with_version(self, version: &'static str) -> Self {
         *self.version.lock().expect("no panic") = version;
         self
     }
 
     /// Connections open now.
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.load(Ordering::Relaxed)
     }
 
     /// How often each request arrived.
-    pub fn counts(&self) -> HashMap<String, usize> {
+    pub fn arrival_counts(&self) -> HashMap<String, usize> {
         let mut counts = HashMap::new();
         for arrival in self.arrivals() {
             *counts.entry(arrival.id).or_default() += 1;
@@ -235,15 +235,15 @@
     pub async fn drain(&self, door: SocketAddr) {
         self.state.lock().expect("no panic").0 = "draining";
         crate::harness::eventually("the drain is acknowledged", async || {
-            let answer = self.beat(door).await?;
+            let answer = self.send_heartbeat(door).await?;
             (answer.status == 200).then_some(())
         })
         .await;
     }
 
     /// Sends one heartbeat.
-    pub async fn beat(&self, door: SocketAddr) -> Option<Called> {
-        beat(door, &self.announced(), &self.state).await
+    pub async fn send_heartbeat(&self, door: SocketAddr) -> Option<CallResponse> {
+        send_heartbeat(door, &self.announced(), &self.state).await
     }
 
     fn announced(&self) -> Announced {
@@ -265,7 +265,7 @@
             let mut at = 0;
             loop {
                 let door = doors[at % doors.len()];
-                let answered = beat(door, &announced, &state).await;
+                let answered = send_heartbeat(door, &announced, &state).await;
                 if answered.is_none_or(|answer| answer.status != 200) {
                     at += 1;
                     tokio::time::sleep(Duration::from_millis(50)).await;
@@ -288,11 +288,11 @@
     version: Arc<Mutex<&'static str>>,
 }
 
-async fn beat(
+async fn send_heartbeat(
     door: SocketAddr,
     announced: &Announced,
     state: &Mutex<(&'static str, u64)>,
-) -> Option<Called> {
+) -> Option<CallResponse> {
     let (word, sequence) = {
         let mut state = state.lock().expect("no panic");
         state.1 += 1;
@@ -315,7 +315,7 @@
     id: String,
     behaviour: Arc<Mutex<Behaviour>>,
     arrivals: Arc<Mutex<Vec<Arrival>>>,
-    odd_headers: Arc<Mutex<Vec<(&'static str, &'static str)>>>,
+    extra_headers: Arc<Mutex<Vec<(&'static str, &'static str)>>>,
     ends: Option<Arc<Notify>>,
 }
 
@@ -379,7 +379,7 @@
         let mut answer = Response::builder()
             .header("x-request-id", &id)
             .header("x-server-stamp", format!("stamp-{}-{id}", self.id));
-        let odd = self.odd_headers.lock().expect("no panic").clone();
+        let odd = self.extra_headers.lock().expect("no panic").clone();
         if !odd.iter().any(|(name, _)| *name == "x-server-load") {
             answer = answer.header("x-server-load", "1,0,8");
         }
@@ -400,20 +400,20 @@
                 tokio::time::sleep(time).await;
                 whole(format!("answer to {id}"))
             }
-            Behaviour::TurnAway => {
+            Behaviour::NotRun => {
                 answer = answer.status(503).header("x-not-run", "1");
                 whole(String::new())
             }
-            Behaviour::Lose => return Err(Cut),
+            Behaviour::CloseConnection => return Err(Cut),
             Behaviour::Fail => {
                 answer = answer.status(500);
                 whole("failed".into())
             }
-            Behaviour::Deny => {
+            Behaviour::Conflict => {
                 answer = answer.status(409);
                 whole("denied".into())
             }
-            Behaviour::AnswerAnother => {
+            Behaviour::WrongRequestId => {
                 let another = Response::builder()
                     .header("x-request-id", "another")
                     .header("x-server-stamp", "stamp-of-another");
@@ -443,7 +443,7 @@
                     futures_util::stream::repeat_with(move || Ok(Frame::data(event.clone())));
                 BodyExt::boxed(StreamBody::new(events))
             }
-            Behaviour::Mute => std::future::pending().await,
+            Behaviour::NeverAnswer => std::future::pending().await,
         };
         Ok(answer.body(body).expect("sound"))
     }
--- a/tests/fleet/starts.rs
+++ b/tests/fleet/starts.rs
@@ -5,8 +5,8 @@
 
 use serde_json::json;
 
-use crate::doors::configuration;
 use crate::harness::{Fleet, Process, eventually};
+use crate::member_api::configuration;
 use crate::refusals::Ask;
 use crate::standin::Standin;
 
@@ -19,7 +19,7 @@
 async fn a_gateway_that_starts_does_not_wait_for_members_that_say_nothing() {
     let mut fleet = Fleet::prepare(1, 1);
     let ports = fleet.addresses.ports;
-    let mut members = vec![fleet.door(0)];
+    let mut members = vec![fleet.api_addr(0)];
     let mut silent = Vec::new();
     for _ in 0..SILENT {
         let ip = fleet.addresses.host();
@@ -27,11 +27,11 @@
         members.push(SocketAddr::new(ip, ports.control));
     }
     fleet.members[0].start();
-    fleet.settled().await;
+    fleet.wait_for_leader().await;
     fleet.submit(0, &configuration(1)).await;
     fleet.gateways[0].set("members", json!(members));
     fleet.gateways[0].start();
-    fleet.in_force(0, 1).await;
+    fleet.wait_for_configuration(0, 1).await;
     let log = fleet.gateways[0].log();
     assert!(!log.contains("event=members_lost"), "{log}");
 }
@@ -41,18 +41,18 @@
 #[tokio::test]
 async fn a_request_that_comes_before_the_first_configuration_is_served_when_that_comes() {
     let mut fleet = Fleet::start(1, 1).await;
-    let _target = Standin::start("i-1", "s", fleet.doors()).await;
+    let _target = Standin::start("i-1", "s", fleet.api_addrs()).await;
     let mut patient = configuration(1);
     patient["routes"].as_array_mut().expect("routes").iter_mut().for_each(|route| {
         route["timeout-ms"] = json!(60_000);
     });
     fleet.configure(&patient).await;
-    fleet.knows_targets(0, 1).await;
+    fleet.wait_for_targets(0, 1).await;
     fleet.gateways.iter_mut().chain(&mut fleet.members).for_each(Process::kill);
     // As long as it takes on a busy machine until the member is up.
     fleet.gateways[0].set("first_news_within_ms", json!(60_000));
     fleet.gateways[0].start();
-    let front = fleet.front(0);
+    let front = fleet.gateway_addr(0);
     let asked = eventually("the gateway listens", async || {
         Ask::new("/safe/x", "r-1").with("x-deadline-ms", "60000").send(front).await.ok()
     });
--- a/tests/fleet/stops.rs
+++ b/tests/fleet/stops.rs
@@ -8,19 +8,19 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpSocket;
 
-use crate::doors::configuration;
 use crate::harness::{Fleet, Process, eventually};
+use crate::member_api::configuration;
 use crate::refusals::Ask;
 use crate::standin::{Behaviour, Standin};
 
 #[tokio::test]
 async fn a_planned_stop_loses_no_request_and_ends_well() {
     let mut fleet = Fleet::start(1, 1).await;
-    let target = Standin::start("i-1", "s", fleet.doors()).await;
+    let target = Standin::start("i-1", "s", fleet.api_addrs()).await;
     target.behave(Behaviour::Slow(Duration::from_millis(200)));
     fleet.configure(&configuration(1)).await;
-    fleet.knows_targets(0, 1).await;
-    let front = fleet.front(0);
+    fleet.wait_for_targets(0, 1).await;
+    let front = fleet.gateway_addr(0);
     let asking = |at: usize| async move {
         let id = format!("r-{at}");
         (id.clone(), Ask::new("/unsafe/x", &id).send(front).await)
@@ -45,7 +45,7 @@
             Err(error) => assert!(error.is_connect(), "{id} was taken and lost: {error}"),
         }
     }
-    assert!(fleet.gateways[0].ended().await);
+    assert!(fleet.gateways[0].wait_for_exit().await);
 }
 
 /// Reads an answer at some 900 KB/s to its end; gives the length of its body and the length that its head states.
@@ -78,21 +78,26 @@
     let mut fleet = Fleet::prepare(1, 1);
     fleet.gateways[0].set("stop_within_ms", json!(40_000));
     fleet.members.iter_mut().chain(&mut fleet.gateways).for_each(Process::start);
-    fleet.settled().await;
-    let target = Standin::start("i-1", "s", fleet.doors()).await;
+    fleet.wait_for_leader().await;
+    let target = Standin::start("i-1", "s", fleet.api_addrs()).await;
     target.behave(Behaviour::Large(BYTES));
     let mut patient = configuration(1);
     for route in patient["routes"].as_array_mut().expect("routes") {
         route["timeout-ms"] = json!(60_000);
     }
     fleet.configure(&patient).await;
-    fleet.knows_targets(0, 1).await;
-    let front = fleet.front(0);
+    fleet.wait_for_targets(0, 1).await;
+    let front = fleet.gateway_addr(0);
     let reading = tokio::spawn(async move { read_slowly(front, "r-slow").await });
     eventually("the request is under way", async || target.arrivals().first().map(|_| ())).await;
     fleet.gateways[0].signal(Signal::SIGTERM);
-    assert!(fleet.gateways[0].ended().await);
-    assert_eq!(reading.await.expect("no panic"), (BYTES, BYTES), "{}", fleet.logged_of("r-slow"));
+    assert!(fleet.gateways[0].wait_for_exit().await);
+    assert_eq!(
+        reading.await.expect("no panic"),
+        (BYTES, BYTES),
+        "{}",
+        fleet.log_lines_of("r-slow")
+    );
 }
 
 #[tokio::test]
@@ -132,5 +137,5 @@
         line.contains("restart_needed=false").then_some(())
     })
     .await;
-    assert!(!gateway.died());
+    assert!(!gateway.has_exited());
 }
--- a/tests/fleet/stories.rs
+++ b/tests/fleet/stories.rs
@@ -5,8 +5,8 @@
 use latchmount::explain::{Step, Timeline};
 use rstest::rstest;
 
-use crate::doors::configuration;
 use crate::harness::{Fleet, eventually};
+use crate::member_api::configuration;
 use crate::refusals::Ask;
 use crate::standin::{Behaviour, Standin};
 
@@ -36,7 +36,7 @@
 ) {
     let fleet = Fleet::start(1, 1).await;
     fleet.configure(&configuration(4)).await;
-    ask.send(fleet.front(0)).await.expect("an answer");
+    ask.send(fleet.gateway_addr(0)).await.expect("an answer");
     let story = story(&fleet, "r-1", "refused").await;
     let step = &story.steps[0];
     assert_eq!((detail(step, "reason"), detail(step, "version")), (reason, "4"));
@@ -46,10 +46,10 @@
 }
 
 #[rstest]
-#[case::turned_away("/unsafe/x", Behaviour::TurnAway, "not_run")]
-#[case::lost("/unsafe/x", Behaviour::Lose, "answer_lost")]
-#[case::for_another("/unsafe/x", Behaviour::AnswerAnother, "wrong_answer")]
-#[case::late("/unsafe/x", Behaviour::Mute, "answer_late")]
+#[case::turned_away("/unsafe/x", Behaviour::NotRun, "not_run")]
+#[case::lost("/unsafe/x", Behaviour::CloseConnection, "answer_lost")]
+#[case::for_another("/unsafe/x", Behaviour::WrongRequestId, "wrong_answer")]
+#[case::late("/unsafe/x", Behaviour::NeverAnswer, "answer_late")]
 #[tokio::test]
 async fn a_request_given_up_on_tells_each_attempt_and_the_reason(
     #[case] path: &str,
@@ -57,12 +57,12 @@
     #[case] reason: &str,
 ) {
     let fleet = Fleet::start(1, 1).await;
-    let target = Standin::start("i-1", "s", fleet.doors()).await;
+    let target = Standin::start("i-1", "s", fleet.api_addrs()).await;
     target.behave(behaviour);
     fleet.configure(&configuration(4)).await;
-    fleet.knows_targets(0, 1).await;
+    fleet.wait_for_targets(0, 1).await;
     let ask = Ask::new(path, "r-1").with("x-deadline-ms", "500");
-    ask.send(fleet.front(0)).await.expect("an answer");
+    ask.send(fleet.gateway_addr(0)).await.expect("an answer");
     let story = story(&fleet, "r-1", "given_up").await;
     let [attempt, given_up] = &story.steps[..] else {
         panic!("{story}");
@@ -79,12 +79,12 @@
 async fn a_retry_a_resumption_and_a_cut_are_told() {
     let fleet = Fleet::start(1, 1).await;
     let targets = [
-        Standin::start("i-1", "s", fleet.doors()).await,
-        Standin::start("i-2", "s", fleet.doors()).await,
+        Standin::start("i-1", "s", fleet.api_addrs()).await,
+        Standin::start("i-2", "s", fleet.api_addrs()).await,
     ];
     fleet.configure(&configuration(4)).await;
-    fleet.knows_targets(0, 2).await;
-    let front = fleet.front(0);
+    fleet.wait_for_targets(0, 2).await;
+    let front = fleet.gateway_addr(0);
     let behave = |behaviour| targets.iter().for_each(|target| target.behave(behaviour));
 
     behave(Behaviour::Fail);
@@ -101,7 +101,7 @@
 
     let asking = tokio::spawn(async move { Ask::new("/resumable/x", "resumed").send(front).await });
     eventually("the first attempt", async || {
-        let began = targets.iter().any(|target| target.counts().contains_key("resumed"));
+        let began = targets.iter().any(|target| target.arrival_counts().contains_key("resumed"));
         began.then_some(())
     })
     .await;
@@ -122,7 +122,7 @@
     fleet.configure(&configuration(4)).await;
     let late = Ask::new("/safe/x", "late").with("x-deadline-ms", "0");
     eventually("the request is too late", async || {
-        late.send(fleet.front(0)).await.ok()?;
+        late.send(fleet.gateway_addr(0)).await.ok()?;
         let log = fleet.gateways[0].log();
         let story = Timeline::of("late", log.lines());
         let given_up = story.steps.iter().find(|step| step.event == "given_up")?;
@@ -131,7 +131,7 @@
     .await;
     fleet.members[0].kill();
     eventually("the request is refused", async || {
-        Ask::new("/safe/x", "stale").send(fleet.front(0)).await.ok()?;
+        Ask::new("/safe/x", "stale").send(fleet.gateway_addr(0)).await.ok()?;
         let log = fleet.gateways[0].log();
         let story = Timeline::of("stale", log.lines());
         let refused = story.steps.iter().find(|step| step.event == "refused")?;
@@ -144,11 +144,11 @@
 #[tokio::test]
 async fn a_client_that_leaves_is_told() {
     let fleet = Fleet::start(1, 1).await;
-    let target = Standin::start("i-1", "s", fleet.doors()).await;
-    target.behave(Behaviour::Mute);
+    let target = Standin::start("i-1", "s", fleet.api_addrs()).await;
+    target.behave(Behaviour::NeverAnswer);
     fleet.configure(&configuration(4)).await;
-    fleet.knows_targets(0, 1).await;
-    let front = fleet.front(0);
+    fleet.wait_for_targets(0, 1).await;
+    let front = fleet.gateway_addr(0);
     let asking = Ask::new("/unsafe/x", "r-1");
     let left = tokio::time::timeout(Duration::from_millis(300), asking.send(front)).await;
     assert!(left.is_err(), "the client left before an answer");
--- a/tests/fleet/leaving.rs
+++ b/tests/fleet/target_shutdown.rs
@@ -12,8 +12,8 @@
 
 use rstest::rstest;
 
-use crate::doors::configuration;
 use crate::harness::{Fleet, eventually};
+use crate::member_api::configuration;
 use crate::refusals::{Ask, code};
 use crate::requests::fleet_with_two;
 use crate::standin::{Behaviour, Standin};
@@ -31,7 +31,7 @@
         asked += 1;
         let id = format!("{mark}-{asked}");
         // An answer that breaks off tells enough, too.
-        let _ = Ask::new(path, &id).send(fleet.front(0)).await;
+        let _ = Ask::new(path, &id).send(fleet.gateway_addr(0)).await;
         (target.arrivals().len() > before).then_some(())
     })
     .await;
@@ -42,7 +42,7 @@
     let before = target.arrivals().len();
     for number in 0..LATER {
         let id = format!("{mark}-{number}");
-        let answer = Ask::new("/safe/x", &id).send(fleet.front(0)).await.expect("an answer");
+        let answer = Ask::new("/safe/x", &id).send(fleet.gateway_addr(0)).await.expect("an answer");
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     target.arrivals().len() - before
@@ -53,9 +53,9 @@
 
 #[rstest]
 #[case::well(Behaviour::Answer, "/safe/x")]
-#[case::denied(Behaviour::Deny, "/unsafe/x")]
+#[case::denied(Behaviour::Conflict, "/unsafe/x")]
 #[case::failed(Behaviour::Fail, "/unsafe/x")]
-#[case::turned_away(Behaviour::TurnAway, "/unsafe/x")]
+#[case::turned_away(Behaviour::NotRun, "/unsafe/x")]
 #[case::a_stream(Behaviour::Stream(3), "/stream/x")]
 #[case::a_stream_that_breaks_off(Behaviour::BreakAfter(2), "/stream/x")]
 #[tokio::test]
@@ -64,7 +64,7 @@
     #[case] path: &str,
 ) {
     let (fleet, leaving, _other) = fleet_with_two().await;
-    leaving.say(LEAVING.0, LEAVING.1);
+    leaving.add_header(LEAVING.0, LEAVING.1);
     leaving.behave(behaviour);
     ask_until_reached(&fleet, &leaving, path, "first").await;
     leaving.behave(Behaviour::Answer);
@@ -75,11 +75,11 @@
 #[tokio::test]
 async fn what_a_target_has_said_is_not_undone_by_answers_or_members_without_the_word() {
     let (fleet, leaving, _other) = fleet_with_two().await;
-    leaving.say(LEAVING.0, LEAVING.1);
+    leaving.add_header(LEAVING.0, LEAVING.1);
     ask_until_reached(&fleet, &leaving, "/safe/x", "first").await;
-    leaving.say_no_more();
+    leaving.clear_headers();
     // Further heartbeats say that it is ready, and a start that grows shorter is news to the gateways.
-    leaving.stay_cold(5_000);
+    leaving.set_cold_left(5_000);
     let news_before = targets_told(&fleet);
     eventually("the gateway has news of its targets", async || {
         (targets_told(&fleet) > news_before).then_some(())
@@ -96,7 +96,7 @@
 async fn a_gateway_without_members_obeys_it_too() {
     let (mut fleet, leaving, _other) = fleet_with_two().await;
     fleet.members[0].kill();
-    leaving.say(LEAVING.0, LEAVING.1);
+    leaving.add_header(LEAVING.0, LEAVING.1);
     ask_until_reached(&fleet, &leaving, "/safe/x", "first").await;
     assert_eq!(reached_by_later(&fleet, &leaving, "later").await, 0);
 }
@@ -104,18 +104,18 @@
 #[tokio::test]
 async fn another_start_under_the_same_id_is_used_again() {
     let fleet = Fleet::start(1, 1).await;
-    let _other = Standin::start("i-2", "s", fleet.doors()).await;
+    let _other = Standin::start("i-2", "s", fleet.api_addrs()).await;
     let mut leaving = Standin::start("i-1", "s", Vec::new()).await;
-    leaving.say_born(BORN_MS, 0);
-    leaving.announce_at(fleet.doors());
+    leaving.set_start_time(BORN_MS, 0);
+    leaving.start_heartbeats(fleet.api_addrs());
     fleet.configure(&configuration(1)).await;
-    fleet.knows_targets(0, 2).await;
-    leaving.say(LEAVING.0, LEAVING.1);
+    fleet.wait_for_targets(0, 2).await;
+    leaving.add_header(LEAVING.0, LEAVING.1);
     ask_until_reached(&fleet, &leaving, "/safe/x", "first").await;
     drop(leaving);
     let mut next = Standin::start("i-1", "s", Vec::new()).await;
-    next.say_born(BORN_MS + 1, 0);
-    next.announce_at(fleet.doors());
+    next.set_start_time(BORN_MS + 1, 0);
+    next.start_heartbeats(fleet.api_addrs());
     ask_until_reached(&fleet, &next, "/safe/x", "second").await;
 }
 
@@ -123,10 +123,11 @@
 async fn a_service_whose_targets_all_leave_refuses_at_once_as_not_run() {
     let (fleet, one, other) = fleet_with_two().await;
     for target in [&one, &other] {
-        target.say(LEAVING.0, LEAVING.1);
+        target.add_header(LEAVING.0, LEAVING.1);
         ask_until_reached(&fleet, target, "/safe/x", &target.id).await;
     }
-    let answer = Ask::new("/unsafe/x", "later").send(fleet.front(0)).await.expect("an answer");
+    let answer =
+        Ask::new("/unsafe/x", "later").send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!((answer.status, code(&answer).as_str()), (503, "no_target"));
     assert!(answer.header("retry-after").is_some());
 }
--- a/tests/fleet/upgrade.rs
+++ b/tests/fleet/upgrade.rs
@@ -4,8 +4,8 @@
 
 use rstest::rstest;
 
-use crate::doors::configuration;
 use crate::harness::{Fleet, call, eventually, this_build};
+use crate::member_api::configuration;
 use crate::standin::Standin;
 
 /// A disk that a member of another build left, with the configuration that it had acknowledged last.
@@ -25,16 +25,16 @@
 async fn what_an_earlier_build_acknowledged_is_served_by_this_one(#[case] name: &str) {
     let acknowledged = std::fs::read_to_string(disk(name).join("config.json")).expect("a disk");
     let mut fleet = Fleet::prepare(1, 1);
-    fleet.members[0].lay_disk(&disk(name));
+    fleet.members[0].copy_data_from(&disk(name));
     fleet.members[0].start();
     fleet.gateways[0].start();
     let read = eventually("the configuration is read back", async || {
-        assert!(!fleet.members[0].died(), "the member ended: {}", fleet.members[0].log());
-        let answer = call(fleet.door(0), "GET", "/config", "").await?;
+        assert!(!fleet.members[0].has_exited(), "the member ended: {}", fleet.members[0].log());
+        let answer = call(fleet.api_addr(0), "GET", "/config", "").await?;
         (answer.status == 200).then_some(answer)
     });
     assert_eq!(read.await.body, acknowledged);
-    fleet.in_force(0, 3).await;
+    fleet.wait_for_configuration(0, 3).await;
     fleet.configure(&configuration(4)).await;
 }
 
@@ -58,14 +58,14 @@
     for reader in 0..fleet.members.len() {
         let what = format!("{step}: read back");
         let read = eventually(&what, async || {
-            let answer = call(fleet.door(reader), "GET", "/config", "").await?;
+            let answer = call(fleet.api_addr(reader), "GET", "/config", "").await?;
             (answer.status == 200).then_some(answer.body)
         });
         assert_eq!(read.await, configuration(version).to_string(), "{step}, member {reader}");
     }
     for gateway in 0..fleet.gateways.len() {
-        fleet.in_force(gateway, version).await;
-        fleet.knows_targets(gateway, 1).await;
+        fleet.wait_for_configuration(gateway, version).await;
+        fleet.wait_for_targets(gateway, 1).await;
     }
 }
 
@@ -78,11 +78,11 @@
     let earlier = earlier_build();
     let mut fleet = Fleet::prepare(3, 2);
     for process in fleet.members.iter_mut().chain(&mut fleet.gateways) {
-        process.as_set_for(&earlier);
+        process.use_build(&earlier);
         process.start();
     }
-    fleet.settled().await;
-    let _target = Standin::start("i-1", "s", fleet.doors()).await;
+    fleet.wait_for_leader().await;
+    let _target = Standin::start("i-1", "s", fleet.api_addrs()).await;
     let mut version = 1;
     holds_everywhere(&fleet, version, "before").await;
     let (members, gateways) = (fleet.members.len(), fleet.gateways.len());
@@ -99,7 +99,7 @@
         let processes = fleet.members.iter_mut().chain(&mut fleet.gateways);
         let process = processes.into_iter().nth(turn).expect("one of them");
         process.kill();
-        process.as_set_for(&build);
+        process.use_build(&build);
         process.start();
         version += 1;
         holds_everywhere(&fleet, version, &format!("{turn} runs {}", build.display())).await;
--- a/tests/fleet/words.rs
+++ b/tests/fleet/words.rs
@@ -2,14 +2,14 @@
 
 use rstest::rstest;
 
-use crate::doors::configuration;
 use crate::harness::{Fleet, eventually, field};
+use crate::member_api::configuration;
 use crate::refusals::Ask;
 use crate::standin::{Behaviour, Standin};
 
 #[rstest]
 #[case::leaving(Behaviour::Answer, ("server-leaving", "1"), "target_leaving", "told_by_members", "false")]
-#[case::rest(Behaviour::TurnAway, ("retry-after", "2.5"), "target_rests", "rest", "In(2.5s)")]
+#[case::rest(Behaviour::NotRun, ("retry-after", "2.5"), "target_rests", "rest", "In(2.5s)")]
 #[case::unread(Behaviour::Answer, ("server-mood", "good"), "unread_header", "name", "server-mood")]
 #[tokio::test]
 async fn a_word_of_a_target_stands_in_the_log(
@@ -20,12 +20,12 @@
     #[case] told: &str,
 ) {
     let fleet = Fleet::start(1, 1).await;
-    let target = Standin::start("i-1", "s", fleet.doors()).await;
+    let target = Standin::start("i-1", "s", fleet.api_addrs()).await;
     target.behave(behaviour);
-    target.say(header.0, header.1);
+    target.add_header(header.0, header.1);
     fleet.configure(&configuration(1)).await;
-    fleet.knows_targets(0, 1).await;
-    let answer = Ask::new("/unsafe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
+    fleet.wait_for_targets(0, 1).await;
+    let answer = Ask::new("/unsafe/x", "r-1").send(fleet.gateway_addr(0)).await.expect("an answer");
     if behaviour == Behaviour::Answer {
         assert_eq!(answer.header(header.0), Some(header.1), "it is passed on");
     }
--- a/tests/fleet/writers.rs
+++ b/tests/fleet/writers.rs
@@ -5,8 +5,8 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-use crate::doors::configuration;
 use crate::harness::{Fleet, call, eventually};
+use crate::member_api::configuration;
 use crate::refusals::Ask;
 use crate::standin::{Behaviour, Standin};
 
@@ -17,14 +17,14 @@
 
 async fn fleet_with_target() -> (Fleet, Standin) {
     let fleet = Fleet::start(3, 1).await;
-    let target = Standin::start("i-known", "s", fleet.doors()).await;
+    let target = Standin::start("i-known", "s", fleet.api_addrs()).await;
     fleet.configure(&configuration(1)).await;
-    fleet.knows_targets(0, 1).await;
+    fleet.wait_for_targets(0, 1).await;
     (fleet, target)
 }
 
 async fn is_served(fleet: &Fleet, id: &str) {
-    let answer = Ask::new("/safe/x", id).send(fleet.front(0)).await.expect("an answer");
+    let answer = Ask::new("/safe/x", id).send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!(answer.status, 200, "{}", answer.body);
 }
 
@@ -88,7 +88,7 @@
 
 /// Status and body of the answer, if one came before the connection ended.
 async fn try_put(fleet: &Fleet, at: usize, id: &str, body: Vec<u8>) -> Option<(u16, String)> {
-    let url = format!("http://{}/instances/{id}", fleet.door(at % 3));
+    let url = format!("http://{}/instances/{id}", fleet.api_addr(at % 3));
     let sent = reqwest::Client::new().put(url).body(body).send().await.ok()?;
     Some((sent.status().as_u16(), sent.text().await.ok()?))
 }
@@ -153,7 +153,7 @@
     assert_eq!(status, 400);
     assert!(answer.contains("id"), "{answer}");
     is_served(&fleet, "r-1").await;
-    for door in fleet.doors() {
+    for door in fleet.api_addrs() {
         eventually("the member answers", async || {
             let answer = call(door, "GET", "/config", "").await?;
             (answer.status == 200).then_some(())
@@ -173,7 +173,7 @@
     #[case] value: &'static str,
 ) {
     let (fleet, target) = fleet_with_target().await;
-    target.say(name, value);
+    target.add_header(name, value);
     for number in 0..6 {
         is_served(&fleet, &format!("r-{number}")).await;
     }
@@ -192,13 +192,13 @@
     let (fleet, target) = fleet_with_target().await;
     target.behave(Behaviour::Stream(3));
     for path in ["/sticky/x", "/resumable/x"] {
-        let answer = Ask::new(path, "r-1").with(name, value).send(fleet.front(0)).await;
+        let answer = Ask::new(path, "r-1").with(name, value).send(fleet.gateway_addr(0)).await;
         assert!(answer.is_ok_and(|answer| [200, 400].contains(&answer.status)), "{path}");
     }
     is_served_stream(&fleet).await;
 }
 
 async fn is_served_stream(fleet: &Fleet) {
-    let answer = Ask::new("/resumable/x", "r-2").send(fleet.front(0)).await.expect("whole");
+    let answer = Ask::new("/resumable/x", "r-2").send(fleet.gateway_addr(0)).await.expect("whole");
     assert_eq!(answer.status, 200);
 }
--- a/tests/soak/checks.rs
+++ b/tests/soak/checks.rs
@@ -53,7 +53,7 @@
     }
     drop(book);
     for process in world.fleet.members.iter_mut().chain(&mut world.fleet.gateways) {
-        if process.died() {
+        if process.has_exited() {
             broken.push(format!("{} ended by itself", process.name));
         }
     }
@@ -84,7 +84,7 @@
     check_orders(world).await;
     world.configure_until_acknowledged().await;
     for gateway in 0..world.fleet.gateways.len() {
-        world.fleet.in_force(gateway, world.version).await;
+        world.fleet.wait_for_configuration(gateway, world.version).await;
     }
     let calm = world.ledger.now();
     world.add_caller_at_each_gateway();
--- a/tests/soak/faults.rs
+++ b/tests/soak/faults.rs
@@ -181,7 +181,7 @@
             }
             Fault::StopMember => {
                 process.signal(Signal::SIGTERM);
-                process.kill_after_signal();
+                process.wait_or_kill();
                 Repair::StartMember(at)
             }
             Fault::LoseDisk => {
@@ -197,12 +197,12 @@
             }
             Fault::LeaveNewLog => {
                 process.kill();
-                process.leave_new_log();
+                process.leave_partial_snapshot();
                 Repair::StartMember(at)
             }
             Fault::ScribbleNote => {
                 process.kill();
-                process.scribble_note();
+                process.corrupt_commit_file();
                 Repair::StartMember(at)
             }
             Fault::PauseMember => {
@@ -419,17 +419,17 @@
             Repair::StartGateway(at) => {
                 let build = self.world.draw_build(None);
                 let process = &mut self.world.fleet.gateways[at];
-                build.iter().for_each(|build| process.as_set_for(build));
+                build.iter().for_each(|build| process.use_build(build));
                 process.start();
                 self.world.ledger.book().gateway_starts += 1;
             }
             Repair::AwaitGateway(at) => {
                 let build = self.world.draw_build(None);
                 let process = &mut self.world.fleet.gateways[at];
-                if !process.ended().await {
+                if !process.wait_for_exit().await {
                     self.world.ledger.broken(format!("gateway {at} did not stop well"));
                 }
-                build.iter().for_each(|build| process.as_set_for(build));
+                build.iter().for_each(|build| process.use_build(build));
                 process.start();
                 self.world.ledger.book().gateway_starts += 1;
             }
@@ -445,7 +445,7 @@
             Repair::StartMember(at) => {
                 let build = self.world.draw_build(Some(at));
                 let process = &mut self.world.fleet.members[at];
-                build.iter().for_each(|build| process.as_set_for(build));
+                build.iter().for_each(|build| process.use_build(build));
                 process.start();
             }
             Repair::ResumeMember(at) => self.world.fleet.members[at].signal(Signal::SIGCONT),
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -102,9 +102,9 @@
         let mut gateway_networks = Vec::new();
         let mut fronts = Vec::new();
         for gateway in 0..size.gateways {
-            let public = SocketAddr::new(fleet.addresses.host(), ports.front);
+            let public = SocketAddr::new(fleet.addresses.host(), ports.client);
             let network = Network::new();
-            network.proxy(public, fleet.front(gateway)).await;
+            network.proxy(public, fleet.gateway_addr(gateway)).await;
             let process = &mut fleet.gateways[gateway];
             process.set("source", json!(process.ip));
             process.set("members", json!(seeds));
@@ -116,7 +116,7 @@
         }
         for process in fleet.members.iter_mut().chain(&mut fleet.gateways) {
             if let Some(earlier) = &earlier {
-                process.as_set_for(earlier);
+                process.use_build(earlier);
             }
             process.start();
         }
@@ -141,8 +141,8 @@
         }
         world.configure_until_acknowledged().await;
         for gateway in 0..size.gateways {
-            world.fleet.in_force(gateway, world.version).await;
-            world.fleet.knows_targets(gateway, size.targets).await;
+            world.fleet.wait_for_configuration(gateway, world.version).await;
+            world.fleet.wait_for_targets(gateway, size.targets).await;
         }
         for number in 0..size.callers {
             let caller = Caller {
@@ -181,8 +181,8 @@
         }
         for process in self.fleet.members.iter_mut().chain(&mut self.fleet.gateways) {
             process.signal(Signal::SIGTERM);
-            process.kill_after_signal();
-            process.as_set_for(&this_build());
+            process.wait_or_kill();
+            process.use_build(&this_build());
             process.start();
             tokio::time::sleep(BETWEEN_REPLACED).await;
         }
@@ -215,7 +215,7 @@
 
     /// Starts one more target, at an address of its own.
     pub async fn add_target(&mut self) {
-        let port = self.fleet.addresses.ports.front;
+        let port = self.fleet.addresses.ports.client;
         let private = SocketAddr::new(self.fleet.addresses.host(), port);
         let public = SocketAddr::new(self.fleet.addresses.host(), port);
         let network = Network::new();
