--- a/tests/fleet/harness.rs
+++ b/tests/fleet/harness.rs
@@ -1,4 +1,4 @@
-//! Starts, stops and speaks to the processes of one fleet on the loopback.
+//! Starts, stops and calls the processes of one test fleet. Every process has a loopback address of its own.
 
 #![allow(dead_code)]
 
@@ -19,12 +19,12 @@
 
 use pauses::{Pausable, PausePlan, Paused, Pauses};
 
-/// Longest wait for anything that must happen.
+/// How long a test waits for something that must happen before it fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
-/// Lines of each log that a failing test shows.
+/// Number of lines at the end of each process log that a failing test prints.
 const LOG_LINES_SHOWN: usize = 15;
 
-/// Waits until `done` gives a value, and says what did not happen otherwise.
+/// Polls `done` until it returns a value. Panics with `what` after [`WAIT_TIMEOUT`].
 pub async fn eventually<T>(what: &str, mut done: impl AsyncFnMut() -> Option<T>) -> T {
     let started = Instant::now();
     while started.elapsed() < WAIT_TIMEOUT {
@@ -36,41 +36,46 @@
     panic!("{what}: not within {WAIT_TIMEOUT:?}");
 }
 
-/// Ports of a fleet; every host has the same ones at an address of its own.
+/// Ports of a fleet. All processes use the same ports, each at its own address.
 #[derive(Clone, Copy, Debug)]
 pub struct Ports {
+    /// Members: API for operators and targets.
     pub control: u16,
+    /// Members and gateways: connections within the fleet.
     pub peer: u16,
+    /// Gateways: requests of clients.
     pub client: u16,
+    /// Gateways: readiness check.
     pub ready: u16,
 }
 
-/// Addresses of the loopback that nothing else uses.
+/// Allocates loopback addresses in a /24 network that no other test uses.
 pub struct Addresses {
-    high: u8,
-    middle: u8,
-    next: u8,
+    second_byte: u8,
+    third_byte: u8,
+    next_host: u8,
     pub ports: Ports,
 }
 
 impl Addresses {
-    fn claim() -> Self {
+    /// Derives the network from the process id and a counter, and picks ports that are free there.
+    fn allocate() -> Self {
         static FLEETS: AtomicU8 = AtomicU8::new(1);
-        let [low, middle, ..] = std::process::id().to_le_bytes();
+        let [low, third_byte, ..] = std::process::id().to_le_bytes();
         let fleet = FLEETS.fetch_add(1, Ordering::Relaxed);
-        let (high, middle) = (1 + (low ^ fleet) % 250, middle.wrapping_add(fleet));
-        let probe = Ipv4Addr::new(127, high, middle, 254);
-        let free = || TcpListener::bind((probe, 0)).expect("a free port");
-        let held = [free(), free(), free(), free()];
-        let port = |at: usize| held[at].local_addr().expect("bound").port();
+        let (second_byte, third_byte) = (1 + (low ^ fleet) % 250, third_byte.wrapping_add(fleet));
+        let ip = Ipv4Addr::new(127, second_byte, third_byte, 254);
+        let listen = || TcpListener::bind((ip, 0)).expect("a free port");
+        let listeners = [listen(), listen(), listen(), listen()];
+        let port = |at: usize| listeners[at].local_addr().expect("bound").port();
         let ports = Ports { control: port(0), peer: port(1), client: port(2), ready: port(3) };
-        Addresses { high, middle, next: 1, ports }
+        Addresses { second_byte, third_byte, next_host: 1, ports }
     }
 
     /// The address of one more host.
     pub fn host(&mut self) -> IpAddr {
-        let ip = Ipv4Addr::new(127, self.high, self.middle, self.next);
-        self.next += 1;
+        let ip = Ipv4Addr::new(127, self.second_byte, self.third_byte, self.next_host);
+        self.next_host += 1;
         ip.into()
     }
 }
@@ -80,15 +85,17 @@
     env!("CARGO_BIN_EXE_latchmount").into()
 }
 
-/// One process of the fleet; killed when dropped.
+/// A member or gateway with its settings and data, running or not. Killed when dropped.
 pub struct Process {
     pub name: String,
     pub ip: IpAddr,
+    /// Subcommand of the binary: `member` or `gateway`.
     role: &'static str,
+    /// Holds `settings.json`, `log` (the output of the process) and `data`.
     folder: PathBuf,
     settings: Value,
-    /// Settings that its build does not know.
-    without: Vec<String>,
+    /// Names of settings that an earlier build does not accept, left out of its settings file.
+    unsupported: Vec<String>,
     binary: PathBuf,
     child: Option<Child>,
     pausable: Pausable,
@@ -96,22 +103,22 @@
 
 impl Process {
     fn new(name: String, ip: IpAddr, role: &'static str, folder: PathBuf, settings: Value) -> Self {
-        let (without, binary) = (Vec::new(), this_build());
+        let (unsupported, binary) = (Vec::new(), this_build());
         let pausable = Pausable::default();
-        Process { name, ip, role, folder, settings, without, binary, child: None, pausable }
+        Process { name, ip, role, folder, settings, unsupported, binary, child: None, pausable }
     }
 
-    /// Starts the process, which must not run.
+    /// Starts the process. Panics if it is already running.
     pub fn start(&mut self) {
-        assert!(self.child.is_none(), "{} runs already", self.name);
-        std::fs::create_dir_all(&self.folder).expect("a folder");
-        self.write_settings(&self.known_settings().to_string());
+        assert!(self.child.is_none(), "{} is already running", self.name);
+        std::fs::create_dir_all(&self.folder).expect("a directory for the process");
+        self.write_settings(&self.supported_settings().to_string());
         let log = File::options().append(true).create(true).open(self.log_path());
         let log = log.expect("a log file");
         let child = Command::new(&self.binary)
             .args([self.role, "--dialect", "platform", "--settings"])
             .arg(self.folder.join("settings.json"))
-            .stdout(log.try_clone().expect("the same file"))
+            .stdout(log.try_clone().expect("a second handle of the log file"))
             .stderr(log)
             .stdin(Stdio::null())
             .spawn();
@@ -120,54 +127,55 @@
         self.child = Some(child);
     }
 
-    /// Takes the process that runs, to end it or wait for its end; it is paused no more.
+    /// Removes and returns the running child, so that it can be killed or waited for. Ends a pause.
     fn take_child(&mut self) -> Option<Child> {
         self.pausable.runs(None);
         let child = self.child.take()?;
-        // It may be paused now.
+        // It may be paused, and a stopped process does not act on SIGTERM.
         let _ = kill(Pid::from_raw(child.id() as i32), Signal::SIGCONT);
         Some(child)
     }
 
-    /// Has another build run from the next start on, with the settings that it knows.
+    /// Uses another build from the next start on. Its `check` command reports which settings it does not
+    /// support; these are left out of its settings file.
     pub fn use_build(&mut self, binary: &Path) {
         self.binary = binary.to_owned();
-        self.without.clear();
-        std::fs::create_dir_all(&self.folder).expect("a folder");
+        self.unsupported.clear();
+        std::fs::create_dir_all(&self.folder).expect("a directory for the process");
         self.write_settings(&self.settings.to_string());
         let mut check = Command::new(binary);
         check.arg("check").arg(self.folder.join("settings.json"));
         let output = check.output().expect("the binary starts");
-        let said = String::from_utf8_lossy(&output.stderr).into_owned();
-        let unknown = said.lines().filter_map(|line| line.strip_suffix(": unknown field"));
+        let report = String::from_utf8_lossy(&output.stderr).into_owned();
+        let unknown = report.lines().filter_map(|line| line.strip_suffix(": unknown field"));
         let field = |line: &str| line.rsplit(": ").next().map(str::to_owned);
-        self.without = unknown.filter_map(field).collect();
+        self.unsupported = unknown.filter_map(field).collect();
     }
 
-    /// Its settings, but for those that its build does not know.
-    fn known_settings(&self) -> Value {
+    /// The settings without those that the build does not support.
+    fn supported_settings(&self) -> Value {
         let mut settings = self.settings.clone();
         if let Some(fields) = settings.as_object_mut() {
-            fields.retain(|field, _| !self.without.contains(field));
+            fields.retain(|field, _| !self.unsupported.contains(field));
         }
         settings
     }
 
-    /// Puts a copy of a log and the note beside it in the data folder.
+    /// Copies the Raft log and the commit file from `from` into the data directory.
     pub fn copy_data_from(&self, from: &Path) {
         let data = self.folder.join("data");
-        std::fs::create_dir_all(&data).expect("a folder");
+        std::fs::create_dir_all(&data).expect("a data directory");
         for file in ["log", "commit"] {
-            std::fs::copy(from.join(file), data.join(file)).expect("a disk");
+            std::fs::copy(from.join(file), data.join(file)).expect("a copy of the file");
         }
     }
 
-    /// Puts a text in place of the settings file.
+    /// Replaces the content of the settings file.
     pub fn write_settings(&self, text: &str) {
-        std::fs::write(self.folder.join("settings.json"), text).expect("a writable folder");
+        std::fs::write(self.folder.join("settings.json"), text).expect("a writable directory");
     }
 
-    /// Changes a setting for the next start.
+    /// Changes a setting from the next start on.
     pub fn set(&mut self, field: &str, value: Value) {
         self.settings[field] = value;
     }
@@ -181,7 +189,7 @@
         kill(Pid::from_raw(child.id() as i32), signal).expect("a process of this test");
     }
 
-    /// Kills the process, as a crash does.
+    /// Kills the process with SIGKILL, if it is running.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.take_child() {
             let _ = child.kill();
@@ -189,7 +197,7 @@
         }
     }
 
-    /// Waits for a process that was told to end.
+    /// Waits until the process, which was sent a signal to stop, has exited; kills it after [`WAIT_TIMEOUT`].
     pub fn wait_or_kill(&mut self) {
         if let Some(mut child) = self.take_child() {
             let started = Instant::now();
@@ -201,48 +209,48 @@
         }
     }
 
-    /// Leaves half a record at the end of the log, as a loss of power does.
+    /// Appends an incomplete record to the Raft log, as a power loss during a write leaves it.
     pub fn tear_log(&self) {
         use std::io::Write;
         let log = File::options().append(true).open(self.folder.join("data/log"));
         if let Ok(mut log) = log {
-            log.write_all(&[9, 0, 0, 0, 1, 2, 3, 4, 5]).expect("a writable folder");
+            log.write_all(&[9, 0, 0, 0, 1, 2, 3, 4, 5]).expect("a writable directory");
         }
     }
 
-    /// Leaves a half-written new log beside the log, as a loss of power during a snapshot does.
+    /// Writes an incomplete `log.new` next to the Raft log, as a power loss during a snapshot leaves it.
     pub fn leave_partial_snapshot(&self) {
         let log = std::fs::read(self.folder.join("data/log")).unwrap_or_default();
         let half = &log[..log.len() / 2];
-        std::fs::write(self.folder.join("data/log.new"), half).expect("a writable folder");
+        std::fs::write(self.folder.join("data/log.new"), half).expect("a writable directory");
     }
 
-    /// Puts garbage in place of the note of what is committed, which may be lost at any time.
+    /// Overwrites the file that stores the commit index. Members must tolerate the loss of this file.
     pub fn corrupt_commit_file(&self) {
-        std::fs::write(self.folder.join("data/commit"), [0xff; 12]).expect("a writable folder");
+        std::fs::write(self.folder.join("data/commit"), [0xff; 12]).expect("a writable directory");
     }
 
-    /// Waits until the process has ended by itself, and tells whether it did so well.
+    /// Waits until the process has exited by itself; returns whether its exit status is success.
     pub async fn wait_for_exit(&mut self) -> bool {
         let mut child = self.take_child().expect("a running process");
-        let what = format!("{} ends", self.name);
+        let what = format!("{} exits", self.name);
         let status = eventually(&what, async || child.try_wait().expect("a child")).await;
         status.success()
     }
 
-    /// Its number at the system.
+    /// The process id.
     pub fn id(&self) -> u32 {
-        self.child.as_ref().expect("it runs").id()
+        self.child.as_ref().expect("a running process").id()
     }
 
-    /// Whether the process has ended without being told to.
+    /// Whether the process was started and has exited by itself.
     pub fn has_exited(&mut self) -> bool {
         self.child.as_mut().is_some_and(|child| child.try_wait().expect("a child").is_some())
     }
 
-    /// Removes what the process has on disk.
+    /// Deletes the data directory, as the loss of a disk does. After that the process must not found a group.
     pub fn lose_disk(&mut self) {
-        assert!(self.child.is_none(), "{} runs", self.name);
+        assert!(self.child.is_none(), "{} is running", self.name);
         let _ = std::fs::remove_dir_all(self.folder.join("data"));
         self.settings["found"] = json!(false);
     }
@@ -268,26 +276,27 @@
     }
 }
 
-/// Members and gateways.
+/// The members and gateways of a test.
 pub struct Fleet {
     pub members: Vec<Process>,
     pub gateways: Vec<Process>,
     pub addresses: Addresses,
+    /// API addresses of the first three members, which all processes have in their settings.
     seeds: Vec<SocketAddr>,
     folder: TempDir,
-    /// Pauses of its processes, if there are any.
+    /// Pauses processes while it is set.
     pauses: Option<Pauses>,
 }
 
 impl Drop for Fleet {
     fn drop(&mut self) {
-        // Before the processes, whose numbers may then be others'.
+        // Stops the pauses before the processes are killed: their ids may be reused by other processes.
         self.pauses = None;
     }
 }
 
 impl Fleet {
-    /// Starts so many members and gateways, and waits until the group has a leader.
+    /// Starts the given numbers of members and gateways, and waits until the group has a leader.
     pub async fn start(members: usize, gateways: usize) -> Self {
         let mut fleet = Fleet::prepare(members, gateways);
         fleet.members.iter_mut().chain(&mut fleet.gateways).for_each(Process::start);
@@ -295,7 +304,7 @@
         fleet
     }
 
-    /// Pauses its processes from now on, at moments drawn from a seed.
+    /// Pauses processes from now on, at random times drawn from the seed of the plan.
     pub fn pause(&mut self, plan: PausePlan) {
         let members = self.members.iter().filter(|_| plan.paused != Paused::Gateways);
         let gateways = self.gateways.iter().filter(|_| plan.paused != Paused::Members);
@@ -303,14 +312,14 @@
         self.pauses = Some(Pauses::begin(plan, processes.collect()));
     }
 
-    /// Ends the pauses; every process runs.
+    /// Ends the pauses; all processes run again.
     pub fn stop_pauses(&mut self) {
         self.pauses = None;
     }
 
-    /// Lays out the processes without starting them.
+    /// Sets up the processes without starting them.
     pub fn prepare(members: usize, gateways: usize) -> Self {
-        let mut addresses = Addresses::claim();
+        let mut addresses = Addresses::allocate();
         let ips: Vec<IpAddr> = (0..members).map(|_| addresses.host()).collect();
         let control = addresses.ports.control;
         let seeds = ips.iter().take(3).map(|ip| SocketAddr::new(*ip, control)).collect();
@@ -335,7 +344,7 @@
         fleet
     }
 
-    /// Lays out one more member.
+    /// Sets up one more member without starting it. `found`: whether it may found a new group.
     pub fn add_member(&mut self, ip: IpAddr, found: bool) {
         let name = format!("member-{ip}");
         let folder = self.folder.path().join(&name);
@@ -355,7 +364,7 @@
         self.members.push(Process::new(name, ip, role, folder, settings));
     }
 
-    /// Lays out one more gateway.
+    /// Sets up one more gateway without starting it.
     pub fn add_gateway(&mut self) {
         let ip = self.addresses.host();
         let name = format!("gateway-{ip}");
@@ -379,31 +388,31 @@
         self.gateways.push(Process::new(name, ip, role, folder, settings));
     }
 
-    /// Where clients reach a gateway.
+    /// The address at which a gateway accepts requests of clients.
     pub fn gateway_addr(&self, gateway: usize) -> SocketAddr {
         SocketAddr::new(self.gateways[gateway].ip, self.addresses.ports.client)
     }
 
-    /// Where operators and targets reach a member.
+    /// The address at which a member accepts API calls of operators and targets.
     pub fn api_addr(&self, member: usize) -> SocketAddr {
         SocketAddr::new(self.members[member].ip, self.addresses.ports.control)
     }
 
-    /// Doors of all members.
+    /// API addresses of all members.
     pub fn api_addrs(&self) -> Vec<SocketAddr> {
         (0..self.members.len()).map(|member| self.api_addr(member)).collect()
     }
 
-    /// Waits until a member answers reads, be it that there is nothing to read yet.
+    /// Waits until the first member accepts a call that needs a leader.
     pub async fn wait_for_leader(&self) {
         eventually("the group has a leader", async || {
-            let call = call(self.api_addr(0), "DELETE", "/instances/nobody", "").await?;
-            (call.status == 200).then_some(())
+            let answer = call(self.api_addr(0), "DELETE", "/instances/nobody", "").await?;
+            (answer.status == 200).then_some(())
         })
         .await;
     }
 
-    /// Sends a configuration until it is acknowledged, and waits until every gateway is ready.
+    /// Sends a configuration until it is acknowledged, and waits until every gateway uses it.
     pub async fn configure(&self, configuration: &Value) {
         self.submit(0, configuration).await;
         let version = &configuration["version"];
@@ -422,7 +431,7 @@
         .await;
     }
 
-    /// What the gateways logged of a request.
+    /// All log lines of the gateways about a request, with the names of the gateways.
     pub fn log_lines_of(&self, id: &str) -> String {
         let lines = self.gateways.iter().flat_map(|gateway| {
             let log = gateway.log();
@@ -432,7 +441,7 @@
         lines.collect()
     }
 
-    /// Waits until a gateway has a configuration in force.
+    /// Waits until a gateway has logged that it uses this version of the configuration.
     pub async fn wait_for_configuration(&self, gateway: usize, version: u64) {
         let process = &self.gateways[gateway];
         let line = format!("version={version} ");
@@ -444,27 +453,27 @@
         .await;
     }
 
-    /// Waits until a gateway knows so many targets.
+    /// Waits until the last target list that a gateway logged has this number of targets.
     pub async fn wait_for_targets(&self, gateway: usize, targets: usize) {
         let process = &self.gateways[gateway];
-        let word = format!(" targets={targets} ");
+        let expected = format!(" targets={targets} ");
         eventually(&format!("{targets} targets at {}", process.name), async || {
             let log = process.log();
             let last = log.lines().rev().find(|line| line.contains("event=targets"))?;
-            format!(" {last} ").contains(&word).then_some(())
+            format!(" {last} ").contains(&expected).then_some(())
         })
         .await;
     }
 }
 
-/// The value of a field in a line of a log.
+/// The value of a key in a log line.
 pub fn field<'a>(line: &'a str, name: &str) -> Option<&'a str> {
     let start = format!("{name}=");
     let value = line.split_whitespace().find_map(|part| part.strip_prefix(&start))?;
     Some(value.trim_matches('"'))
 }
 
-/// An answer to a call.
+/// Response to an HTTP call.
 #[derive(Debug)]
 pub struct CallResponse {
     pub status: u16,
@@ -478,12 +487,12 @@
     }
 }
 
-/// Calls a process; `None` when no answer came.
+/// Sends an HTTP request to a process; `None` if no complete response arrives within 5 s.
 pub async fn call(addr: SocketAddr, method: &str, path: &str, body: &str) -> Option<CallResponse> {
     let client = reqwest::Client::builder().timeout(Duration::from_secs(5)).build().ok()?;
     let method = reqwest::Method::from_bytes(method.as_bytes()).ok()?;
-    let sent = client.request(method, format!("http://{addr}{path}")).body(body.to_owned());
-    let response = sent.send().await.ok()?;
+    let request = client.request(method, format!("http://{addr}{path}")).body(body.to_owned());
+    let response = request.send().await.ok()?;
     let status = response.status().as_u16();
     let headers = response.headers().clone();
     Some(CallResponse { status, headers, body: response.text().await.ok()? })
--- a/tests/fleet/restarting_target.rs
+++ b/tests/fleet/restarting_target.rs
@@ -63,7 +63,7 @@
         let poison = target.arrivals().iter().filter(|one| one.body.starts_with(POISON)).count();
         drop(target);
         {
-            let mut ledger = ledger.lock().expect("no panic");
+            let mut ledger = ledger.lock().expect("not poisoned");
             ledger.crashes += 1;
             ledger.poison_arrivals += poison;
         }
--- a/tests/fleet/standin.rs
+++ b/tests/fleet/standin.rs
@@ -1,4 +1,5 @@
-//! A target that speaks the platform's dialect, and may misbehave.
+//! A stand-in for a target: an HTTP server in the test process that uses the platform's dialect, sends
+//! heartbeats to members and can be told to misbehave.
 
 use std::collections::HashMap;
 use std::convert::Infallible;
@@ -24,39 +25,39 @@
 
 use crate::harness::{CallResponse, call};
 
-/// Between two heartbeats.
-const HEARTBEAT: Duration = Duration::from_millis(300);
+/// Time between two heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What a target does with a request.
+/// How a target handles requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Behaviour {
-    /// Answers.
+    /// Answers with 200.
     Answer,
-    /// Answers after a while.
+    /// Answers with 200 after this delay.
     Slow(Duration),
-    /// Says that it did not run the request.
+    /// Answers with 503 and the header by which a target says that it did not run the request.
     NotRun,
-    /// Runs the request and closes the connection.
+    /// Runs the request and closes the connection without an answer.
     CloseConnection,
-    /// Runs the request and fails.
+    /// Runs the request and answers with 500.
     Fail,
-    /// Runs the request and answers that it can't be done.
+    /// Runs the request and answers with 409.
     Conflict,
-    /// Answers for another request.
+    /// Answers with the request id and stamp of another request.
     WrongRequestId,
-    /// Answers without a signature.
+    /// Answers without the stamp that shows which target ran the request.
     Unsigned,
-    /// Answers with so many bytes.
+    /// Answers with a body of this many bytes.
     Large(usize),
-    /// Streams so many events.
+    /// Streams this many events, 10 ms apart.
     Stream(u32),
-    /// Streams so many events, a while apart, and breaks off in the middle of the next one.
+    /// Streams this many events, 10 ms apart, and closes the connection in the middle of the next one.
     BreakAfter(u32),
-    /// Streams so many events and then says nothing.
+    /// Streams this many events and then sends nothing, but keeps the connection open.
     StallAfter(u32),
-    /// Streams large events without a pause or an end.
+    /// Streams events of 4 KiB as fast as they are read, without end.
     Flood,
-    /// Runs the request and says nothing.
+    /// Runs the request and never answers.
     NeverAnswer,
 }
 
@@ -70,24 +71,26 @@
     pub body: Bytes,
 }
 
-/// A target; ends when dropped.
+/// A running target. Stops when dropped.
 pub struct Standin {
     pub id: String,
     pub addr: SocketAddr,
     service: String,
     behaviour: Arc<Mutex<Behaviour>>,
-    /// Headers that its answers bear besides.
+    /// Headers added to all answers.
     extra_headers: Arc<Mutex<Vec<(&'static str, &'static str)>>>,
     arrivals: Arc<Mutex<Vec<Arrival>>>,
-    open: Arc<AtomicUsize>,
+    open_connections: Arc<AtomicUsize>,
     replaced: Arc<AtomicBool>,
+    /// The server task, then the heartbeat task.
     tasks: Vec<JoinHandle<()>>,
+    /// State in the heartbeats and sequence number of the last one.
     state: Arc<Mutex<(&'static str, u64)>>,
-    /// How long it says that it stays cold, in milliseconds.
-    cold_left: Arc<AtomicU64>,
-    /// When it says that it started; nothing where 0.
-    born: Arc<AtomicU64>,
-    /// Version of its software.
+    /// Reported remaining time for which the target is cold, in milliseconds.
+    cold_left_ms: Arc<AtomicU64>,
+    /// Reported start time in Unix milliseconds; 0: not reported.
+    born_ms: Arc<AtomicU64>,
+    /// Reported software version.
     version: Arc<Mutex<&'static str>>,
     data_hall: String,
 }
@@ -99,46 +102,47 @@
 }
 
 impl Standin {
-    /// Starts a target that announces itself at `doors`.
-    pub async fn start(id: &str, service: &str, doors: Vec<SocketAddr>) -> Self {
-        Self::start_in("hall-a", id, service, doors).await
+    /// Starts a target in `hall-a` that sends heartbeats to the API addresses `members`, if there are any.
+    pub async fn start(id: &str, service: &str, members: Vec<SocketAddr>) -> Self {
+        Self::start_in("hall-a", id, service, members).await
     }
 
-    /// The same, in a data hall.
+    /// Like [`Standin::start`], in the given data hall.
     pub async fn start_in(
         data_hall: &str,
         id: &str,
         service: &str,
-        doors: Vec<SocketAddr>,
+        members: Vec<SocketAddr>,
     ) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a free port");
-        Self::serve(listener, data_hall, id, service, doors, None)
+        Self::serve(listener, data_hall, id, service, members, None)
     }
 
-    /// Starts a target that answers on `listener`; requests that are poison to it call `ends`.
+    /// Starts a target on `listener`. If `crash` is set, a poison request notifies it.
     pub fn serve(
         listener: TcpListener,
         data_hall: &str,
         id: &str,
         service: &str,
-        doors: Vec<SocketAddr>,
-        ends: Option<Arc<Notify>>,
+        members: Vec<SocketAddr>,
+        crash: Option<Arc<Notify>>,
     ) -> Self {
         let addr = listener.local_addr().expect("bound");
         let behaviour = Arc::new(Mutex::new(Behaviour::Answer));
         let arrivals = Arc::new(Mutex::new(Vec::new()));
         let state = Arc::new(Mutex::new(("ready", 0)));
-        let open = Arc::new(AtomicUsize::new(0));
+        let open_connections = Arc::new(AtomicUsize::new(0));
         let replaced = Arc::new(AtomicBool::new(false));
         let extra_headers: Arc<Mutex<Vec<_>>> = Arc::default();
-        let serving = Serving {
+        let server = Server {
             id: id.to_owned(),
             replaced: replaced.clone(),
             behaviour: behaviour.clone(),
             arrivals: arrivals.clone(),
             extra_headers: extra_headers.clone(),
-            ends,
+            crash,
         };
+
         let mut standin = Standin {
             id: id.to_owned(),
             addr,
@@ -146,83 +150,83 @@
             behaviour,
             extra_headers,
             arrivals,
-            open: open.clone(),
+            open_connections: open_connections.clone(),
             replaced,
-            tasks: vec![tokio::spawn(listen(listener, Arc::new(serving), open))],
+            tasks: vec![tokio::spawn(listen(listener, Arc::new(server), open_connections))],
             state,
-            cold_left: Arc::default(),
-            born: Arc::default(),
+            cold_left_ms: Arc::default(),
+            born_ms: Arc::default(),
             version: Arc::new(Mutex::new("v1")),
             data_hall: data_hall.to_owned(),
         };
-        if !doors.is_empty() {
-            standin.start_heartbeats(doors);
+        if !members.is_empty() {
+            standin.start_heartbeats(members);
         }
         standin
     }
 
-    /// Refuses connections from now on, and goes on announcing itself.
+    /// Refuses new connections from now on, but continues to send heartbeats.
     pub fn stop_listening(&mut self) {
         self.tasks.remove(0).abort();
     }
 
-    /// Announces itself no more.
+    /// Sends no more heartbeats, but continues to serve requests.
     pub fn stop_heartbeats(&mut self) {
         self.tasks.remove(1).abort();
     }
 
-    /// Begins to announce itself at `doors`.
-    pub fn start_heartbeats(&mut self, doors: Vec<SocketAddr>) {
-        let heartbeats = tokio::spawn(self.heartbeats(doors));
+    /// Begins to send heartbeats to the API addresses `members`, one at a time.
+    pub fn start_heartbeats(&mut self, members: Vec<SocketAddr>) {
+        let heartbeats = tokio::spawn(self.heartbeats(members));
         self.tasks.push(heartbeats);
     }
 
     pub fn behave(&self, behaviour: Behaviour) {
-        *self.behaviour.lock().expect("no panic") = behaviour;
+        *self.behaviour.lock().expect("not poisoned") = behaviour;
     }
 
-    /// Has its answers bear a header besides.
+    /// Adds a header to all later answers.
     pub fn add_header(&self, name: &'static str, value: &'static str) {
-        self.extra_headers.lock().expect("no panic").push((name, value));
+        self.extra_headers.lock().expect("not poisoned").push((name, value));
     }
 
-    /// Has its answers bear none of those headers any more.
+    /// Removes the headers added by [`Standin::add_header`].
     pub fn clear_headers(&self) {
-        self.extra_headers.lock().expect("no panic").clear();
+        self.extra_headers.lock().expect("not poisoned").clear();
     }
 
     pub fn arrivals(&self) -> Vec<Arrival> {
-        self.arrivals.lock().expect("no panic").clone()
+        self.arrivals.lock().expect("not poisoned").clone()
     }
 
-    /// Lets another target have the address.
+    /// Answers all later requests with 421, as another target at the same address does.
     pub fn set_replaced(&self) {
         self.replaced.store(true, Ordering::Relaxed);
     }
 
-    /// Has it say that it stays cold for so long.
+    /// Reports in later heartbeats that the target is cold for this much longer.
     pub fn set_cold_left(&self, left_ms: u64) {
-        self.cold_left.store(left_ms, Ordering::Relaxed);
+        self.cold_left_ms.store(left_ms, Ordering::Relaxed);
     }
 
-    /// Has it say that it started then, and count its heartbeats from there.
+    /// Reports this start time in later heartbeats, and numbers them from `sequence` on.
     pub fn set_start_time(&self, born_ms: u64, sequence: u64) {
-        self.born.store(born_ms, Ordering::Relaxed);
-        self.state.lock().expect("no panic").1 = sequence;
+        self.born_ms.store(born_ms, Ordering::Relaxed);
+        self.state.lock().expect("not poisoned").1 = sequence;
     }
 
-    /// Has it say that it runs another version, before it announces itself.
+    /// Sets the software version in its heartbeats. To be called before the first heartbeat.
     pub fn with_version(self, version: &'static str) -> Self {
-        *self.version.lock().expect("no panic") = version;
+        *self.version.lock().expect("not poisoned") = version;
         self
     }
 
-    /// Connections open now.
+    /// Number of open connections.
     pub fn open_connections(&self) -> usize {
-        self.open.load(Ordering::Relaxed)
+        self.open_connections.load(Ordering::Relaxed)
     }
 
-    /// How often each request arrived.
+    /// Number of arrivals of each request, by request id.
     pub fn arrival_counts(&self) -> HashMap<String, usize> {
         let mut counts = HashMap::new();
         for arrival in self.arrivals() {
@@ -231,145 +235,151 @@
         counts
     }
 
-    /// Says that it drains, until that is acknowledged.
-    pub async fn drain(&self, door: SocketAddr) {
-        self.state.lock().expect("no panic").0 = "draining";
+    /// Sends heartbeats with the state `draining` to a member until one is acknowledged.
+    pub async fn drain(&self, member: SocketAddr) {
+        self.state.lock().expect("not poisoned").0 = "draining";
         crate::harness::eventually("the drain is acknowledged", async || {
-            let answer = self.send_heartbeat(door).await?;
+            let answer = self.send_heartbeat(member).await?;
             (answer.status == 200).then_some(())
         })
         .await;
     }
 
-    /// Sends one heartbeat.
-    pub async fn send_heartbeat(&self, door: SocketAddr) -> Option<CallResponse> {
-        send_heartbeat(door, &self.announced(), &self.state).await
+    /// Sends one heartbeat to a member.
+    pub async fn send_heartbeat(&self, member: SocketAddr) -> Option<CallResponse> {
+        send_heartbeat(member, &self.announcement(), &self.state).await
     }
 
-    fn announced(&self) -> Announced {
-        Announced {
+    fn announcement(&self) -> Announcement {
+        Announcement {
             id: self.id.clone(),
             service: self.service.clone(),
             addr: self.addr,
             data_hall: self.data_hall.clone(),
-            cold_left: self.cold_left.clone(),
-            born: self.born.clone(),
+            cold_left_ms: self.cold_left_ms.clone(),
+            born_ms: self.born_ms.clone(),
             version: self.version.clone(),
         }
     }
 
-    fn heartbeats(&self, doors: Vec<SocketAddr>) -> impl Future<Output = ()> + use<> {
-        let announced = self.announced();
+    /// Sends heartbeats to one member, and moves on to the next when one is not acknowledged.
+    fn heartbeats(&self, members: Vec<SocketAddr>) -> impl Future<Output = ()> + use<> {
+        let announcement = self.announcement();
         let state = self.state.clone();
         async move {
             let mut at = 0;
             loop {
-                let door = doors[at % doors.len()];
-                let answered = send_heartbeat(door, &announced, &state).await;
-                if answered.is_none_or(|answer| answer.status != 200) {
+                let member = members[at % members.len()];
+                let response = send_heartbeat(member, &announcement, &state).await;
+                if response.is_none_or(|answer| answer.status != 200) {
                     at += 1;
                     tokio::time::sleep(Duration::from_millis(50)).await;
                     continue;
                 }
-                tokio::time::sleep(HEARTBEAT).await;
+                tokio::time::sleep(HEARTBEAT_INTERVAL).await;
             }
         }
     }
 }
 
-/// What a target always says of itself.
-struct Announced {
+/// What the heartbeats of a target report about it.
+struct Announcement {
     id: String,
     service: String,
     addr: SocketAddr,
     data_hall: String,
-    cold_left: Arc<AtomicU64>,
-    born: Arc<AtomicU64>,
+    cold_left_ms: Arc<AtomicU64>,
+    born_ms: Arc<AtomicU64>,
     version: Arc<Mutex<&'static str>>,
 }
 
 async fn send_heartbeat(
-    door: SocketAddr,
-    announced: &Announced,
+    member: SocketAddr,
+    announcement: &Announcement,
     state: &Mutex<(&'static str, u64)>,
 ) -> Option<CallResponse> {
-    let (word, sequence) = {
-        let mut state = state.lock().expect("no panic");
+    let (reported_state, sequence) = {
+        let mut state = state.lock().expect("not poisoned");
         state.1 += 1;
         *state
     };
     let mut body = json!({
-        "service": announced.service, "address": announced.addr, "zone": announced.data_hall,
-        "version": *announced.version.lock().expect("no panic"), "slots": 8,
-        "state": word, "cold-left-ms": announced.cold_left.load(Ordering::Relaxed), "stage": "both", "sequence": sequence,
+        "service": announcement.service, "address": announcement.addr, "zone": announcement.data_hall,
+        "version": *announcement.version.lock().expect("not poisoned"), "slots": 8,
+        "state": reported_state, "cold-left-ms": announcement.cold_left_ms.load(Ordering::Relaxed), "stage": "both", "sequence": sequence,
     });
-    match announced.born.load(Ordering::Relaxed) {
+    match announcement.born_ms.load(Ordering::Relaxed) {
         0 => {}
         born => body["born"] = born.into(),
     }
-    call(door, "PUT", &format!("/instances/{}", announced.id), &body.to_string()).await
+    call(member, "PUT", &format!("/instances/{}", announcement.id), &body.to_string()).await
 }
 
-struct Serving {
+/// The HTTP server of a target; shares its state with the [`Standin`].
+struct Server {
     replaced: Arc<AtomicBool>,
     id: String,
     behaviour: Arc<Mutex<Behaviour>>,
     arrivals: Arc<Mutex<Vec<Arrival>>>,
     extra_headers: Arc<Mutex<Vec<(&'static str, &'static str)>>>,
-    ends: Option<Arc<Notify>>,
+    crash: Option<Arc<Notify>>,
 }
 
-/// Beginning of the body of a request that ends each mortal target that runs it.
+/// Start of the body of a poison request: each target with a `crash` notification crashes when it runs it.
 pub const POISON: &[u8] = b"poison";
-/// Events that a target makes of such a request before it ends.
-const LAST_EVENTS: u32 = 3;
+/// Events that a target streams of a poison request before it crashes.
+const EVENTS_BEFORE_CRASH: u32 = 3;
 
-/// Makes the library cut the connection.
+/// Returned as an error to make hyper close the connection.
 #[derive(Debug, thiserror::Error)]
-#[error("cut")]
-struct Cut;
+#[error("connection closed by the stand-in")]
+struct CloseConnection;
 
-type Body = BoxBody<Bytes, Cut>;
+type Body = BoxBody<Bytes, CloseConnection>;
 
-async fn listen(listener: TcpListener, serving: Arc<Serving>, open: Arc<AtomicUsize>) {
+async fn listen(listener: TcpListener, server: Arc<Server>, open_connections: Arc<AtomicUsize>) {
     let mut connections = tokio::task::JoinSet::new();
     loop {
         let Ok((stream, _)) = listener.accept().await else {
             continue;
         };
-        let (serving, open) = (serving.clone(), open.clone());
-        open.fetch_add(1, Ordering::Relaxed);
+        let (server, open_connections) = (server.clone(), open_connections.clone());
+        open_connections.fetch_add(1, Ordering::Relaxed);
         connections.spawn(async move {
             let service = service_fn(|request| {
-                let serving = serving.clone();
-                async move { serving.answer(request).await }
+                let server = server.clone();
+                async move { server.answer(request).await }
             });
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
-            open.fetch_sub(1, Ordering::Relaxed);
+            open_connections.fetch_sub(1, Ordering::Relaxed);
         });
     }
 }
 
-fn whole(text: String) -> Body {
+/// A body that is sent in one piece.
+fn full_body(text: String) -> Body {
     Full::new(Bytes::from(text)).map_err(|never: Infallible| match never {}).boxed()
 }
 
-impl Serving {
-    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+impl Server {
+    async fn answer(&self, request: Request<Incoming>) -> Result<Response<Body>, CloseConnection> {
         let (head, body) = request.into_parts();
         let text = |name: &str| {
             head.headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("").to_owned()
         };
         let id = text("x-request-id");
         let expected = text("x-expect-instance");
-        let last: u32 = text("last-event-id").parse().unwrap_or(0);
-        let body = body.collect().await.map_err(|_| Cut)?.to_bytes();
+        let last_event: u32 = text("last-event-id").parse().unwrap_or(0);
+        let body = body.collect().await.map_err(|_| CloseConnection)?.to_bytes();
         if expected != self.id || self.replaced.load(Ordering::Relaxed) {
-            return Ok(Response::builder().status(421).body(whole(String::new())).expect("sound"));
+            return Ok(Response::builder()
+                .status(421)
+                .body(full_body(String::new()))
+                .expect("a valid response"));
         }
-        let behaviour = *self.behaviour.lock().expect("no panic");
+        let behaviour = *self.behaviour.lock().expect("not poisoned");
         let poison = body.starts_with(POISON);
-        self.arrivals.lock().expect("no panic").push(Arrival {
+        self.arrivals.lock().expect("not poisoned").push(Arrival {
             id: id.clone(),
             method: head.method.to_string(),
             path: head.uri.to_string(),
@@ -379,62 +389,66 @@
         let mut answer = Response::builder()
             .header("x-request-id", &id)
             .header("x-server-stamp", format!("stamp-{}-{id}", self.id));
-        let odd = self.extra_headers.lock().expect("no panic").clone();
-        if !odd.iter().any(|(name, _)| *name == "x-server-load") {
+        let extra_headers = self.extra_headers.lock().expect("not poisoned").clone();
+        if !extra_headers.iter().any(|(name, _)| *name == "x-server-load") {
             answer = answer.header("x-server-load", "1,0,8");
         }
-        for (name, value) in odd {
+        for (name, value) in extra_headers {
             answer = answer.header(name, value);
         }
-        if let Some(ends) = self.ends.clone().filter(|_| poison) {
+        if let Some(crash) = self.crash.clone().filter(|_| poison) {
             tokio::spawn(async move {
                 tokio::time::sleep(Duration::from_millis(50)).await;
-                ends.notify_one();
+                crash.notify_one();
             });
             answer = answer.header("content-type", "text/event-stream");
-            return Ok(answer.body(stalled(last, last + LAST_EVENTS)).expect("sound"));
+            return Ok(answer
+                .body(stalled(last_event, last_event + EVENTS_BEFORE_CRASH))
+                .expect("a valid response"));
         }
         let body = match behaviour {
-            Behaviour::Answer => whole(format!("answer to {id}")),
+            Behaviour::Answer => full_body(format!("answer to {id}")),
             Behaviour::Slow(time) => {
                 tokio::time::sleep(time).await;
-                whole(format!("answer to {id}"))
+                full_body(format!("answer to {id}"))
             }
             Behaviour::NotRun => {
                 answer = answer.status(503).header("x-not-run", "1");
-                whole(String::new())
+                full_body(String::new())
             }
-            Behaviour::CloseConnection => return Err(Cut),
+            Behaviour::CloseConnection => return Err(CloseConnection),
             Behaviour::Fail => {
                 answer = answer.status(500);
-                whole("failed".into())
+                full_body("failed".into())
             }
             Behaviour::Conflict => {
                 answer = answer.status(409);
-                whole("denied".into())
+                full_body("denied".into())
             }
             Behaviour::WrongRequestId => {
                 let another = Response::builder()
                     .header("x-request-id", "another")
                     .header("x-server-stamp", "stamp-of-another");
-                return Ok(another.body(whole("for another".into())).expect("sound"));
+                return Ok(another
+                    .body(full_body("for another".into()))
+                    .expect("a valid response"));
             }
             Behaviour::Unsigned => {
                 let unsigned = Response::builder().header("x-request-id", &id);
-                return Ok(unsigned.body(whole("unsigned".into())).expect("sound"));
+                return Ok(unsigned.body(full_body("unsigned".into())).expect("a valid response"));
             }
-            Behaviour::Large(bytes) => whole("x".repeat(bytes)),
+            Behaviour::Large(bytes) => full_body("x".repeat(bytes)),
             Behaviour::Stream(events) => {
                 answer = answer.header("content-type", "text/event-stream");
-                stream(last, events, false)
+                stream(last_event, events, false)
             }
             Behaviour::BreakAfter(events) => {
                 answer = answer.header("content-type", "text/event-stream");
-                stream(last, events, true)
+                stream(last_event, events, true)
             }
             Behaviour::StallAfter(events) => {
                 answer = answer.header("content-type", "text/event-stream");
-                stalled(last, events)
+                stalled(last_event, events)
             }
             Behaviour::Flood => {
                 answer = answer.header("content-type", "text/event-stream");
@@ -445,46 +459,52 @@
             }
             Behaviour::NeverAnswer => std::future::pending().await,
         };
-        Ok(answer.body(body).expect("sound"))
+        Ok(answer.body(body).expect("a valid response"))
     }
 }
 
-/// Events after `last` up to `events`; then the end, or a break in the middle of the next one.
+/// The events after `last` up to `events`, 10 ms apart; then the end of the stream or, with `breaks`, a part
+/// of the next event and a closed connection.
 fn stream(last: u32, events: u32, breaks: bool) -> Body {
-    let whole = (last + 1..=events).map(|at| Ok(event(at)));
+    let complete = (last + 1..=events).map(|at| Ok(event(at)));
     let partial = format!("id: {}\nda", events + 1);
-    let rest = if breaks { vec![Ok(partial), Err(Cut)] } else { Vec::new() };
-    let pieces = futures_util::stream::iter(whole.chain(rest)).then(|piece| async move {
+    let end = if breaks { vec![Ok(partial), Err(CloseConnection)] } else { Vec::new() };
+    let pieces = futures_util::stream::iter(complete.chain(end)).then(|piece| async move {
         tokio::time::sleep(Duration::from_millis(10)).await;
         piece.map(|text| Frame::data(Bytes::from(text)))
     });
     BodyExt::boxed(StreamBody::new(Box::pin(pieces).map(|frame| frame).boxed_sync()))
 }
 
-/// Events after `last` up to `events`, and then nothing, not even the end.
+/// The events after `last` up to `events`; then the stream stays open without further data.
 fn stalled(last: u32, events: u32) -> Body {
     let pieces = (last + 1..=events).map(|at| Ok(Frame::data(Bytes::from(event(at)))));
     let pieces = futures_util::stream::iter(pieces).chain(futures_util::stream::pending());
     BodyExt::boxed(StreamBody::new(pieces.boxed_sync()))
 }
 
-/// The text of one event.
+/// Event `at` in the format of server-sent events.
 pub fn event(at: u32) -> String {
     format!("id: {at}\ndata: event {at}\n\n")
 }
 
-/// Streams that may be shared.
+/// Boxes a stream as `Send + Sync`, which the `boxed` method of `StreamExt` does not.
 trait BoxedSync: Sized {
     fn boxed_sync(self) -> SyncStream;
 }
 
 type SyncStream = std::pin::Pin<
-    Box<dyn futures_util::Stream<Item = Result<Frame<Bytes>, Cut>> + Send + Sync + 'static>,
+    Box<
+        dyn futures_util::Stream<Item = Result<Frame<Bytes>, CloseConnection>>
+            + Send
+            + Sync
+            + 'static,
+    >,
 >;
 
 impl<S> BoxedSync for S
 where
-    S: futures_util::Stream<Item = Result<Frame<Bytes>, Cut>> + Send + Sync + 'static,
+    S: futures_util::Stream<Item = Result<Frame<Bytes>, CloseConnection>> + Send + Sync + 'static,
 {
     fn boxed_sync(self) -> SyncStream {
         Box::pin(self)
