--- a/tests/fleet/cold.rs
+++ b/tests/fleet/cold.rs
@@ -1,4 +1,5 @@
-//! Targets that are slow after a start: all gateways together send them little until they say that they are warm.
+//! Cold targets, which are slow after a start: all gateways together limit the requests to them until they
+//! report that they are warm.
 
 use std::time::Instant;
 
@@ -10,10 +11,12 @@
 use crate::standin::Standin;
 
 const GATEWAYS: usize = 3;
-/// A start takes 4 s, and until then a target bears 2.5 requests in any second, of which the gateways use 0.4:
-/// each sends one in 3 s.
+/// Time between two requests of one gateway to a cold target. The settings below allow 2.5 requests in any
+/// second (rate 2 per s, times `cold_over` 1, plus `cold_slack` 0.5). The gateways use a fraction of 0.4 of that,
+/// 1 request per s, and each of the three sends one in 3 s.
 const GAP_S: f64 = 3.0;
 
+/// A fleet with one warm target, of a service whose targets are cold for 4 s after a start.
 async fn fleet() -> (Fleet, Standin) {
     let mut fleet = Fleet::prepare(1, GATEWAYS);
     for gateway in &mut fleet.gateways {
@@ -30,31 +33,31 @@
     (fleet, warm)
 }
 
-/// Asks a gateway for something about one of many subjects, each of which has its own first home.
-async fn ask_about(fleet: &Fleet, subject: usize) {
-    let prompt = format!("s{subject}:500,p:20");
+/// Sends a request with its own prompt prefix, so that different numbers have different homes.
+async fn ask_with_prompt(fleet: &Fleet, number: usize) {
+    let prompt = format!("s{number}:500,p:20");
     let ask = Ask::new("/sticky/x", "r-2").with("x-prompt-prefix", &prompt);
-    ask.send(fleet.gateway_addr(subject % GATEWAYS)).await.expect("an answer");
+    ask.send(fleet.gateway_addr(number % GATEWAYS)).await.expect("an answer");
 }
 
-/// Waits until so many requests have reached a target, which is asked for as any other.
-async fn gets_its_part(fleet: &Fleet, what: &str, target: &Standin, arrivals: usize) {
-    let mut subject = 0;
+/// Sends requests with different prompts until `arrivals` requests in all have reached the target.
+async fn send_until_reached(fleet: &Fleet, what: &str, target: &Standin, arrivals: usize) {
+    let mut number = 0;
     eventually(what, async || {
-        subject += 1;
-        ask_about(fleet, subject).await;
+        number += 1;
+        ask_with_prompt(fleet, number).await;
         (target.arrivals().len() >= arrivals).then_some(())
     })
     .await;
 }
 
-/// Most requests that may reach a cold target in so long.
-fn most(since: Instant) -> usize {
+/// Maximum number of requests that may reach a cold target in the time since `since`.
+fn max_arrivals(since: Instant) -> usize {
     GATEWAYS * (1 + (since.elapsed().as_secs_f64() / GAP_S) as usize)
 }
 
 #[tokio::test]
-async fn a_cold_target_gets_little_until_it_says_that_it_is_warm() {
+async fn a_cold_target_gets_few_requests_until_it_reports_that_it_is_warm() {
     let (fleet, warm) = fleet().await;
     let mut cold = Standin::start_in("hall-b", "i-cold", "s", vec![]).await;
     cold.set_cold_left(60_000);
@@ -68,18 +71,24 @@
         let ask = Ask::new(path, "r-1").with("x-prompt-prefix", "aa:500,bb:20");
         let answer = ask.send(fleet.gateway_addr(round % GATEWAYS)).await.expect("an answer");
         assert_eq!(answer.status, 200, "{answer:?}");
-        assert!(cold.arrivals().len() <= most(since), "{} arrivals", cold.arrivals().len());
+        assert!(cold.arrivals().len() <= max_arrivals(since), "{} arrivals", cold.arrivals().len());
     }
-    assert!(warm.arrivals().len() >= 300 - most(since));
+    assert!(warm.arrivals().len() >= 300 - max_arrivals(since));
     cold.set_cold_left(0);
     let before = cold.arrivals().len();
-    gets_its_part(&fleet, "the warm target gets its part", &cold, before + 20).await;
+    send_until_reached(
+        &fleet,
+        "the target, now warm, gets its share of requests",
+        &cold,
+        before + 20,
+    )
+    .await;
 }
 
 #[tokio::test]
 async fn targets_of_a_hall_that_returns_count_as_cold_for_a_start() {
     let (fleet, warm) = fleet().await;
-    let back = Standin::start_in("hall-b", "i-back", "s", fleet.api_addrs()).await;
+    let returned = Standin::start_in("hall-b", "i-back", "s", fleet.api_addrs()).await;
     for gateway in 0..GATEWAYS {
         fleet.wait_for_targets(gateway, 2).await;
     }
@@ -88,69 +97,88 @@
         assert_eq!(answer.expect("an answer").status, 200);
     }
     for gateway in &fleet.gateways {
-        eventually("the withdrawal is obeyed", async || {
+        eventually("the gateway applies the withdrawal", async || {
             let log = gateway.log();
             let revisions = log.lines().filter(|line| line.contains("event=evacuations")).count();
             (revisions >= 2).then_some(())
         })
         .await;
     }
-    // Its heartbeats say all the while that it is warm, but those may be older than the withdrawal.
+    // The heartbeats of the target always report that it is warm. Gateways must not rely on that, since a
+    // heartbeat may be older than the withdrawal.
     let since = Instant::now();
-    let before = back.arrivals().len();
+    let before = returned.arrivals().len();
     let mut asked = 0;
     while since.elapsed().as_secs_f64() < 2.0 {
         asked += 1;
-        ask_about(&fleet, asked).await;
-        assert!(back.arrivals().len() - before <= most(since), "{}", back.arrivals().len());
+        ask_with_prompt(&fleet, asked).await;
+        assert!(
+            returned.arrivals().len() - before <= max_arrivals(since),
+            "{}",
+            returned.arrivals().len()
+        );
     }
-    assert!(warm.arrivals().len() + most(since) >= asked);
-    gets_its_part(&fleet, "the hall gets its part", &back, before + 30).await;
+    assert!(warm.arrivals().len() + max_arrivals(since) >= asked);
+    send_until_reached(
+        &fleet,
+        "the target of the hall gets its share of requests",
+        &returned,
+        before + 30,
+    )
+    .await;
 }
 
 #[tokio::test]
-async fn with_cold_targets_only_what_they_cannot_bear_is_refused_at_once() {
+async fn with_cold_targets_only_requests_above_their_limit_are_refused_at_once() {
     let (fleet, warm) = fleet().await;
     warm.set_cold_left(60_000);
-    eventually("the gateway takes it as cold", async || {
+    eventually("the gateway refuses a request since the target is cold", async || {
         let answer = Ask::new("/unsafe/x", "r-1").send(fleet.gateway_addr(0)).await.ok()?;
         (answer.status == 503 && code(&answer) == "cold").then_some(answer)
     })
     .await
     .header("retry-after")
-    .expect("a time to come back");
+    .expect("a time to retry after");
 }
 
 #[tokio::test]
 async fn a_target_that_was_silent_counts_as_cold_for_a_start() {
     let (fleet, warm) = fleet().await;
-    let mut back = Standin::start_in("hall-b", "i-back", "s", fleet.api_addrs()).await;
+    let mut returned = Standin::start_in("hall-b", "i-back", "s", fleet.api_addrs()).await;
     for gateway in 0..GATEWAYS {
         fleet.wait_for_targets(gateway, 2).await;
     }
     let changes = |gateway: &Process| gateway.log().matches("msg=\"targets changed\"").count();
     let before: Vec<usize> = fleet.gateways.iter().map(changes).collect();
-    let told = async |times: usize| {
+    let wait_for_changes = async |times: usize| {
         for (gateway, before) in fleet.gateways.iter().zip(&before) {
-            eventually("word of it", async || (changes(gateway) >= before + times).then_some(()))
-                .await;
+            eventually("a change of targets", async || {
+                (changes(gateway) >= before + times).then_some(())
+            })
+            .await;
         }
     };
-    back.stop_heartbeats();
-    told(1).await;
-    back.start_heartbeats(fleet.api_addrs());
-    told(2).await;
+    returned.stop_heartbeats();
+    wait_for_changes(1).await;
+    returned.start_heartbeats(fleet.api_addrs());
+    wait_for_changes(2).await;
     let since = Instant::now();
-    let before = back.arrivals().len();
-    for subject in 0..150 {
-        ask_about(&fleet, subject).await;
-        assert!(back.arrivals().len() - before <= most(since), "{}", back.arrivals().len());
+    let before = returned.arrivals().len();
+    for number in 0..150 {
+        ask_with_prompt(&fleet, number).await;
+        assert!(
+            returned.arrivals().len() - before <= max_arrivals(since),
+            "{}",
+            returned.arrivals().len()
+        );
     }
     assert!(!warm.arrivals().is_empty());
-    gets_its_part(&fleet, "it gets its part", &back, before + 30).await;
+    send_until_reached(&fleet, "the target gets its share of requests", &returned, before + 30)
+        .await;
 }
 
-/// A member that starts knows no time from before, but it knows which halls returned long ago.
+/// A member that restarts does not know how long ago a hall returned, but the Raft log records which halls
+/// returned so long ago that their targets are warm. These must not be treated as cold again.
 #[tokio::test]
 async fn targets_of_a_hall_that_returned_long_ago_are_warm_after_the_loss_of_all_processes() {
     let (mut fleet, warm) = fleet().await;
@@ -171,8 +199,8 @@
     assert_eq!(warm.arrivals().len(), before + 1);
 }
 
-/// A target ends and starts again under its identity, at its address, and no word of that reaches the gateways yet. Those
-/// that met nobody there meanwhile take it as cold.
+/// A target restarts with the same id and address, and the members are down, so that no update about it reaches
+/// the gateways. Gateways whose connections were refused in between must treat it as cold.
 #[tokio::test]
 async fn a_target_that_refused_connections_counts_as_cold_for_a_start() {
     let (mut fleet, warm) = fleet().await;
@@ -180,22 +208,24 @@
     for gateway in 0..GATEWAYS {
         fleet.wait_for_targets(gateway, 2).await;
     }
-    gets_its_part(&fleet, "it is warm and gets its part", &target, 10).await;
+    send_until_reached(&fleet, "the target is warm and gets its share of requests", &target, 10)
+        .await;
     let addr = target.addr;
     target.stop_heartbeats();
     target.stop_listening();
     fleet.members[0].kill();
     let mut number = 0;
-    eventually("each gateway met nobody there", async || {
+    eventually("each gateway was refused a connection", async || {
         number += 1;
         let ask = Ask::new("/safe/x", "r-3");
         ask.send(fleet.gateway_addr(number % GATEWAYS)).await.ok()?;
-        let met = |log: String| log.contains("error=\"NotSent(Refused)\"");
-        fleet.gateways.iter().all(|gateway| met(gateway.log())).then_some(())
+        let refused = |log: String| log.contains("error=\"NotSent(Refused)\"");
+        fleet.gateways.iter().all(|gateway| refused(gateway.log())).then_some(())
     })
     .await;
     drop(target);
-    // Longer than a start takes: what counts is when somebody is met again.
+    // Longer than a target stays cold: that time counts from the first connection that succeeds again, not
+    // from the refused one.
     tokio::time::sleep(std::time::Duration::from_millis(4_500)).await;
     let listener =
         eventually("its address is free", async || tokio::net::TcpListener::bind(addr).await.ok())
@@ -205,7 +235,11 @@
     for round in 0..300 {
         let answer = Ask::new("/safe/x", "r-4").send(fleet.gateway_addr(round % GATEWAYS)).await;
         assert_eq!(answer.expect("an answer").status, 200);
-        assert!(again.arrivals().len() <= most(since), "{} arrivals", again.arrivals().len());
+        assert!(
+            again.arrivals().len() <= max_arrivals(since),
+            "{} arrivals",
+            again.arrivals().len()
+        );
     }
-    assert!(warm.arrivals().len() >= 300 - most(since));
+    assert!(warm.arrivals().len() >= 300 - max_arrivals(since));
 }
