--- a/tests/fleet/headers.rs
+++ b/tests/fleet/headers.rs
@@ -25,7 +25,7 @@
 /// The value that the client sends in each of these headers.
 const FORGED: &str = "127.0.0.1:9/7";
 
-/// Sends a request that has each of the headers twice, in different case, and returns the whole answer.
+/// Sends a request with each of the headers twice, as listed and in lower case, and returns the whole answer.
 async fn send_forged(gateway: SocketAddr, path: &str, id: &str) -> String {
     let mut head = format!(
         "POST {path} HTTP/1.1\r\nhost: h.example\r\nx-request-id: {id}\r\nx-credential: key-a\r\n\
