--- a/tests/rollout/judging.rs
+++ b/tests/rollout/judging.rs
@@ -3,9 +3,9 @@
 use std::time::Duration;
 
 use latchmount::rollout::Stage;
-use latchmount::rollout::division::{Mix, RouteShare};
 use latchmount::rollout::judge::{judge, proven_healthy, suspected};
-use latchmount::rollout::steps::{Progress, Why, next};
+use latchmount::rollout::route_mix::{RouteMix, RouteShare};
+use latchmount::rollout::steps::{Progress, StepReason, next_step};
 use latchmount::rollout::tally::{Compared, Outcomes, RouteKey, Side, Subject, Tallies};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -271,8 +271,8 @@
 #[test]
 fn a_route_of_few_requests_a_second_shows_enough_in_time() {
     let mut slice = Compared::default();
-    (0..4).for_each(|_| slice.old.times.note(Duration::from_millis(50)));
-    (0..3).for_each(|_| slice.new.times.note(Duration::from_millis(50)));
+    (0..4).for_each(|_| slice.old.latencies.record(Duration::from_millis(50)));
+    (0..3).for_each(|_| slice.new.latencies.record(Duration::from_millis(50)));
     let slices = vec![slice; 12];
     assert!(proven_healthy(&slices));
     assert!(!suspected(&slices));
@@ -305,12 +305,13 @@
             route: key(at),
             share: (weight / all) as f32,
         };
-        let mix = Mix(weights.iter().enumerate().map(share).collect());
+        let mix = RouteMix(weights.iter().enumerate().map(share).collect());
         let part = rng.random_range(0.005..0.6);
-        let given = |(at, weight): (usize, &f64)| mix.part(key(at), part) * weight / all;
+        let given =
+            |(at, weight): (usize, &f64)| mix.fraction_of_route(key(at), part) * weight / all;
         let sum: f64 = weights.iter().enumerate().map(given).sum();
         assert!(sum <= part + 1e-6, "{sum} of {part}, {weights:?}");
-        assert_eq!(mix.part(RouteKey::of("unseen"), part), part);
+        assert_eq!(mix.fraction_of_route(RouteKey::of("unseen"), part), part);
     }
 }
 
@@ -359,10 +360,10 @@
         compared.new.failed = failed;
         compared.old.failed = old_failed;
         for _ in failed..of {
-            compared.new.times.note(Duration::from_millis(50));
+            compared.new.latencies.record(Duration::from_millis(50));
         }
         for _ in old_failed..old_of {
-            compared.old.times.note(Duration::from_millis(50));
+            compared.old.latencies.record(Duration::from_millis(50));
         }
         let rate = (f64::from(old_failed) / f64::from(old_of)).max(0.02);
         let chance = tail(failed, of, rate);
@@ -378,9 +379,9 @@
     let mut compared = Compared::default();
     for number in 0..1_000 {
         let slow = if number % 3 == 0 { 400 } else { 50 };
-        compared.old.times.note(Duration::from_millis(slow));
+        compared.old.latencies.record(Duration::from_millis(slow));
         if number % 10 == 0 {
-            compared.new.times.note(Duration::from_millis(slow));
+            compared.new.latencies.record(Duration::from_millis(slow));
         }
     }
     compared.old.failed = 400;
@@ -395,15 +396,15 @@
     let mut all = Tallies::default();
     for route in 0..1_000 {
         let mut word = Tallies::default();
-        word.note_failed(subject(route, Side::New));
-        word.note_answered(subject(route, Side::Old), Duration::from_millis(20));
+        word.record_failure(subject(route, Side::New));
+        word.record_answer(subject(route, Side::Old), Duration::from_millis(20));
         all.add(&word);
     }
-    let by_route = all.of_rollout(7);
+    let by_route = all.by_route(7);
     assert!(by_route.len() <= 64);
     let first = &by_route[&RouteKey::of("0")];
     assert_eq!((first.new.failed, first.old.count()), (1, 1));
-    assert!(all.of_rollout(8).is_empty());
+    assert!(all.by_route(8).is_empty());
     all.keep_only(&[8]);
     assert!(all.is_empty());
 }
@@ -413,7 +414,7 @@
     let mut compared = Compared::default();
     let fill = |outcomes: &mut Outcomes, (failed, of): (u32, u32)| {
         outcomes.failed = failed;
-        (failed..of).for_each(|_| outcomes.times.note(Duration::from_millis(50)));
+        (failed..of).for_each(|_| outcomes.latencies.record(Duration::from_millis(50)));
     };
     fill(&mut compared.old, old);
     fill(&mut compared.new, new);
@@ -457,7 +458,7 @@
         let passes = (0..LOOKS).any(|_| {
             match rng.random_bool(0.27) {
                 true => seen.new.failed += 1,
-                false => seen.new.times.note(Duration::from_millis(50)),
+                false => seen.new.latencies.record(Duration::from_millis(50)),
             }
             proven_healthy(std::slice::from_ref(&seen))
         });
@@ -482,11 +483,11 @@
             answers_before: 0,
             old_in_flight: 0,
         };
-        next(&progress).map(|step| (step.stage, step.why))
+        next_step(&progress).map(|step| (step.stage, step.why))
     };
-    assert_eq!(next_at(0.6, false), Some((Stage::Part(175), Why::NoWorse)));
+    assert_eq!(next_at(0.6, false), Some((Stage::Part(175), StepReason::NoWorse)));
     assert_eq!(next_at(0.6, true), None);
-    assert_eq!(next_at(0.91, true), Some((Stage::RolledBack, Why::Unproven)));
+    assert_eq!(next_at(0.91, true), Some((Stage::RolledBack, StepReason::Unproven)));
 }
 
 #[test]
@@ -496,7 +497,7 @@
         assert_eq!(tallies.full(), route >= 32, "{route} routes");
         for side in [Side::Old, Side::New] {
             let route = RouteKey::of(&route.to_string());
-            tallies.note_failed(Subject { rollout: 7, route, side });
+            tallies.record_failure(Subject { rollout: 7, route, side });
         }
     }
     assert!(tallies.rollouts().all(|rollout| rollout == 7));
