--- a/tests/fleet/cold.rs
+++ b/tests/fleet/cold.rs
@@ -6,7 +6,7 @@
 
 use crate::doors::configuration;
 use crate::harness::{Fleet, Process, call, eventually};
-use crate::refusals::{Ask, code};
+use crate::refusals::{ClientRequest, error_code};
 use crate::standin::Standin;
 
 const GATEWAYS: usize = 3;
@@ -33,7 +33,7 @@
 /// Asks a gateway for something about one of many subjects, each of which has its own first home.
 async fn ask_about(fleet: &Fleet, subject: usize) {
     let prompt = format!("s{subject}:500,p:20");
-    let ask = Ask::new("/sticky/x", "r-2").with("x-prompt-prefix", &prompt);
+    let ask = ClientRequest::new("/sticky/x", "r-2").with("x-prompt-prefix", &prompt);
     ask.send(fleet.front(subject % GATEWAYS)).await.expect("an answer");
 }
 
@@ -65,7 +65,7 @@
     let since = Instant::now();
     for round in 0..300 {
         let path = ["/safe/x", "/unsafe/x", "/sticky/x"][round % 3];
-        let ask = Ask::new(path, "r-1").with("x-prompt-prefix", "aa:500,bb:20");
+        let ask = ClientRequest::new(path, "r-1").with("x-prompt-prefix", "aa:500,bb:20");
         let answer = ask.send(fleet.front(round % GATEWAYS)).await.expect("an answer");
         assert_eq!(answer.status, 200, "{answer:?}");
         assert!(cold.arrivals().len() <= most(since), "{} arrivals", cold.arrivals().len());
@@ -113,8 +113,8 @@
     let (fleet, warm) = fleet().await;
     warm.stay_cold(60_000);
     eventually("the gateway takes it as cold", async || {
-        let answer = Ask::new("/unsafe/x", "r-1").send(fleet.front(0)).await.ok()?;
-        (answer.status == 503 && code(&answer) == "cold").then_some(answer)
+        let answer = ClientRequest::new("/unsafe/x", "r-1").send(fleet.front(0)).await.ok()?;
+        (answer.status == 503 && error_code(&answer) == "cold").then_some(answer)
     })
     .await
     .header("retry-after")
@@ -164,8 +164,8 @@
     fleet.members.iter_mut().chain(&mut fleet.gateways).for_each(Process::start);
     let before = warm.arrivals().len();
     let served = eventually("a gateway that knows its targets answers", async || {
-        let answer = Ask::new("/unsafe/x", "r-1").send(fleet.front(0)).await.ok()?;
-        (answer.status == 200 || code(&answer) == "cold").then_some(answer)
+        let answer = ClientRequest::new("/unsafe/x", "r-1").send(fleet.front(0)).await.ok()?;
+        (answer.status == 200 || error_code(&answer) == "cold").then_some(answer)
     });
     assert_eq!(served.await.status, 200);
     assert_eq!(warm.arrivals().len(), before + 1);
@@ -188,7 +188,7 @@
     let mut number = 0;
     eventually("each gateway met nobody there", async || {
         number += 1;
-        let ask = Ask::new("/safe/x", "r-3");
+        let ask = ClientRequest::new("/safe/x", "r-3");
         ask.send(fleet.front(number % GATEWAYS)).await.ok()?;
         let met = |log: String| log.contains("error=\"NotSent(Refused)\"");
         fleet.gateways.iter().all(|gateway| met(gateway.log())).then_some(())
@@ -203,7 +203,7 @@
     let again = Standin::serve(listener, "hall-a", "i-1", "s", Vec::new(), None);
     let since = Instant::now();
     for round in 0..300 {
-        let answer = Ask::new("/safe/x", "r-4").send(fleet.front(round % GATEWAYS)).await;
+        let answer = ClientRequest::new("/safe/x", "r-4").send(fleet.front(round % GATEWAYS)).await;
         assert_eq!(answer.expect("an answer").status, 200);
         assert!(again.arrivals().len() <= most(since), "{} arrivals", again.arrivals().len());
     }
--- a/tests/fleet/evacuations.rs
+++ b/tests/fleet/evacuations.rs
@@ -7,7 +7,7 @@
 
 use crate::doors::configuration;
 use crate::harness::{Fleet, Process, call, eventually, field};
-use crate::refusals::{Ask, code};
+use crate::refusals::{ClientRequest, error_code};
 use crate::standin::{Behaviour, Standin};
 
 /// A fleet with a target in each of two halls.
@@ -45,8 +45,8 @@
 }
 
 async fn ask(fleet: &Fleet, gateway: usize, path: &str, id: &str) -> (u16, String) {
-    let answer = Ask::new(path, id).send(fleet.front(gateway)).await.expect("an answer");
-    let reason = if answer.status == 200 { String::new() } else { code(&answer) };
+    let answer = ClientRequest::new(path, id).send(fleet.front(gateway)).await.expect("an answer");
+    let reason = if answer.status == 200 { String::new() } else { error_code(&answer) };
     (answer.status, reason)
 }
 
@@ -86,7 +86,8 @@
     obeys(&fleet.gateways[0], "hall-b").await;
     here.behave(Behaviour::Stream(40));
     let front = fleet.front(0);
-    let whole = tokio::spawn(async move { Ask::new("/stream/x", "r-1").send(front).await });
+    let whole =
+        tokio::spawn(async move { ClientRequest::new("/stream/x", "r-1").send(front).await });
     eventually("the stream runs", async || (here.arrivals().len() == 1).then_some(())).await;
     order(&fleet, 0, "DELETE", "hall-b").await;
     order(&fleet, 0, "POST", "hall-a").await;
@@ -99,7 +100,8 @@
     obeys(&fleet.gateways[0], "hall-b").await;
     here.behave(Behaviour::BreakAfter(30));
     there.behave(Behaviour::Stream(40));
-    let broken = tokio::spawn(async move { Ask::new("/resumable/x", "r-2").send(front).await });
+    let broken =
+        tokio::spawn(async move { ClientRequest::new("/resumable/x", "r-2").send(front).await });
     eventually("the stream runs", async || (here.arrivals().len() == 2).then_some(())).await;
     order(&fleet, 0, "DELETE", "hall-b").await;
     order(&fleet, 0, "POST", "hall-a").await;
@@ -115,8 +117,9 @@
     order(&fleet, 0, "POST", "hall-a").await;
     order(&fleet, 0, "POST", "hall-b").await;
     obeys(&fleet.gateways[0], "hall-a,hall-b").await;
-    let answer = Ask::new("/safe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
-    assert_eq!((answer.status, code(&answer).as_str()), (503, "evacuated"));
+    let answer =
+        ClientRequest::new("/safe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
+    assert_eq!((answer.status, error_code(&answer).as_str()), (503, "evacuated"));
     assert!(answer.header("retry-after").is_some());
 }
 
@@ -133,7 +136,8 @@
     fleet.members.iter_mut().chain(&mut fleet.gateways).for_each(Process::start);
     for gateway in 0..2 {
         eventually("the gateway serves", async || {
-            let answer = Ask::new("/safe/x", "r-1").send(fleet.front(gateway)).await.ok()?;
+            let answer =
+                ClientRequest::new("/safe/x", "r-1").send(fleet.front(gateway)).await.ok()?;
             (answer.status == 200).then_some(())
         })
         .await;
--- a/tests/fleet/group.rs
+++ b/tests/fleet/group.rs
@@ -5,7 +5,7 @@
 
 use crate::doors::configuration;
 use crate::harness::{Fleet, Process, call, eventually};
-use crate::refusals::Ask;
+use crate::refusals::ClientRequest;
 use crate::standin::Standin;
 
 /// Waits until the members' log shows so many voters at one of them.
@@ -103,14 +103,15 @@
     fleet.knows_targets(1, 1).await;
     fleet.members.iter_mut().for_each(Process::kill);
     fleet.gateways[1].kill();
-    let answer = Ask::new("/safe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
+    let answer =
+        ClientRequest::new("/safe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
     assert_eq!(answer.status, 200);
     // One member of five elects nobody, but knows what was committed.
     fleet.members[2].start();
     fleet.gateways[1].start();
     let front = fleet.front(1);
     eventually("the new gateway serves", async || {
-        let answer = Ask::new("/safe/x", "r-2").send(front).await.ok()?;
+        let answer = ClientRequest::new("/safe/x", "r-2").send(front).await.ok()?;
         (answer.status == 200).then_some(())
     })
     .await;
@@ -131,7 +132,7 @@
     let front = fleet.front(0);
     let answered = async |id: &str, status: u16| {
         eventually("the answer", async || {
-            let answer = Ask::new("/safe/x", id).send(front).await.ok()?;
+            let answer = ClientRequest::new("/safe/x", id).send(front).await.ok()?;
             (answer.status == status).then_some(())
         })
         .await;
@@ -158,8 +159,8 @@
     let _target = Standin::start("i-1", "s", fleet.doors()).await;
     fleet.configure(&configuration(6)).await;
     fleet.knows_targets(0, 1).await;
-    Ask::new("/safe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
-    Ask::new("/none/x", "r-2").send(fleet.front(0)).await.expect("an answer");
+    ClientRequest::new("/safe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
+    ClientRequest::new("/none/x", "r-2").send(fleet.front(0)).await.expect("an answer");
     let member = std::net::SocketAddr::new(member, port);
     fleet.configure(&configuration(7)).await;
     let text = eventually("the gateway's word that version 7 is in force", async || {
--- a/tests/fleet/harness.rs
+++ b/tests/fleet/harness.rs
@@ -17,7 +17,7 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-use pauses::{Pausable, PausePlan, Paused, Pauses};
+use pauses::{Pausable, PauseInjector, PausePlan, Paused};
 
 /// Longest wait for anything that must happen.
 pub const PATIENCE: Duration = Duration::from_secs(60);
@@ -122,13 +122,13 @@
             .stdin(Stdio::null())
             .spawn();
         let child = child.expect("the binary starts");
-        self.pausable.runs(Some(child.id()));
+        self.pausable.set_running(Some(child.id()));
         self.child = Some(child);
     }
 
     /// Takes the process that runs, to end it or wait for its end; it is paused no more.
     fn take_child(&mut self) -> Option<Child> {
-        self.pausable.runs(None);
+        self.pausable.set_running(None);
         let child = self.child.take()?;
         // It may be paused now.
         let _ = kill(Pid::from_raw(child.id() as i32), Signal::SIGCONT);
@@ -282,7 +282,7 @@
     seeds: Vec<SocketAddr>,
     folder: TempDir,
     /// Pauses of its processes, if there are any.
-    pauses: Option<Pauses>,
+    pauses: Option<PauseInjector>,
 }
 
 impl Drop for Fleet {
@@ -306,7 +306,7 @@
         let members = self.members.iter().filter(|_| plan.paused != Paused::Gateways);
         let gateways = self.gateways.iter().filter(|_| plan.paused != Paused::Members);
         let processes = members.chain(gateways).map(|process| process.pausable.clone());
-        self.pauses = Some(Pauses::begin(plan, processes.collect()));
+        self.pauses = Some(PauseInjector::start(plan, processes.collect()));
     }
 
     /// Ends the pauses; every process runs.
--- a/tests/fleet/kept.rs
+++ b/tests/fleet/kept.rs
@@ -117,8 +117,8 @@
     #[case] paused: Paused,
     #[case] seed: u64,
 ) {
-    let longest = Duration::from_millis(2_500);
-    restarts_in_turn_lose_nothing(Some(PausePlan { seed, paused, longest })).await;
+    let max_pause = Duration::from_millis(2_500);
+    restarts_in_turn_lose_nothing(Some(PausePlan { seed, paused, max_pause })).await;
 }
 
 async fn restarts_in_turn_lose_nothing(pauses: Option<PausePlan>) {
--- a/tests/fleet/leaving.rs
+++ b/tests/fleet/leaving.rs
@@ -14,8 +14,8 @@
 
 use crate::doors::configuration;
 use crate::harness::{Fleet, eventually};
-use crate::refusals::{Ask, code};
-use crate::requests::fleet_with_two;
+use crate::refusals::{ClientRequest, error_code};
+use crate::requests::fleet_with_two_targets;
 use crate::standin::{Behaviour, Standin};
 
 /// The header by which an answer says that its target leaves.
@@ -31,7 +31,7 @@
         asked += 1;
         let id = format!("{mark}-{asked}");
         // An answer that breaks off tells enough, too.
-        let _ = Ask::new(path, &id).send(fleet.front(0)).await;
+        let _ = ClientRequest::new(path, &id).send(fleet.front(0)).await;
         (target.arrivals().len() > before).then_some(())
     })
     .await;
@@ -42,7 +42,8 @@
     let before = target.arrivals().len();
     for number in 0..LATER {
         let id = format!("{mark}-{number}");
-        let answer = Ask::new("/safe/x", &id).send(fleet.front(0)).await.expect("an answer");
+        let answer =
+            ClientRequest::new("/safe/x", &id).send(fleet.front(0)).await.expect("an answer");
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     target.arrivals().len() - before
@@ -63,7 +64,7 @@
     #[case] behaviour: Behaviour,
     #[case] path: &str,
 ) {
-    let (fleet, leaving, _other) = fleet_with_two().await;
+    let (fleet, leaving, _other) = fleet_with_two_targets().await;
     leaving.say(LEAVING.0, LEAVING.1);
     leaving.behave(behaviour);
     ask_until_reached(&fleet, &leaving, path, "first").await;
@@ -74,7 +75,7 @@
 /// Answers overtake each other, and the members' word may be an old one.
 #[tokio::test]
 async fn what_a_target_has_said_is_not_undone_by_answers_or_members_without_the_word() {
-    let (fleet, leaving, _other) = fleet_with_two().await;
+    let (fleet, leaving, _other) = fleet_with_two_targets().await;
     leaving.say(LEAVING.0, LEAVING.1);
     ask_until_reached(&fleet, &leaving, "/safe/x", "first").await;
     leaving.say_no_more();
@@ -94,7 +95,7 @@
 
 #[tokio::test]
 async fn a_gateway_without_members_obeys_it_too() {
-    let (mut fleet, leaving, _other) = fleet_with_two().await;
+    let (mut fleet, leaving, _other) = fleet_with_two_targets().await;
     fleet.members[0].kill();
     leaving.say(LEAVING.0, LEAVING.1);
     ask_until_reached(&fleet, &leaving, "/safe/x", "first").await;
@@ -121,12 +122,13 @@
 
 #[tokio::test]
 async fn a_service_whose_targets_all_leave_refuses_at_once_as_not_run() {
-    let (fleet, one, other) = fleet_with_two().await;
+    let (fleet, one, other) = fleet_with_two_targets().await;
     for target in [&one, &other] {
         target.say(LEAVING.0, LEAVING.1);
         ask_until_reached(&fleet, target, "/safe/x", &target.id).await;
     }
-    let answer = Ask::new("/unsafe/x", "later").send(fleet.front(0)).await.expect("an answer");
-    assert_eq!((answer.status, code(&answer).as_str()), (503, "no_target"));
+    let answer =
+        ClientRequest::new("/unsafe/x", "later").send(fleet.front(0)).await.expect("an answer");
+    assert_eq!((answer.status, error_code(&answer).as_str()), (503, "no_target"));
     assert!(answer.header("retry-after").is_some());
 }
--- a/tests/fleet/writers.rs
+++ b/tests/fleet/malformed_input.rs
@@ -7,7 +7,7 @@
 
 use crate::doors::configuration;
 use crate::harness::{Fleet, call, eventually};
-use crate::refusals::Ask;
+use crate::refusals::ClientRequest;
 use crate::standin::{Behaviour, Standin};
 
 /// Announcements that one test sends.
@@ -24,7 +24,7 @@
 }
 
 async fn is_served(fleet: &Fleet, id: &str) {
-    let answer = Ask::new("/safe/x", id).send(fleet.front(0)).await.expect("an answer");
+    let answer = ClientRequest::new("/safe/x", id).send(fleet.front(0)).await.expect("an answer");
     assert_eq!(answer.status, 200, "{}", answer.body);
 }
 
@@ -192,13 +192,14 @@
     let (fleet, target) = fleet_with_target().await;
     target.behave(Behaviour::Stream(3));
     for path in ["/sticky/x", "/resumable/x"] {
-        let answer = Ask::new(path, "r-1").with(name, value).send(fleet.front(0)).await;
+        let answer = ClientRequest::new(path, "r-1").with(name, value).send(fleet.front(0)).await;
         assert!(answer.is_ok_and(|answer| [200, 400].contains(&answer.status)), "{path}");
     }
     is_served_stream(&fleet).await;
 }
 
 async fn is_served_stream(fleet: &Fleet) {
-    let answer = Ask::new("/resumable/x", "r-2").send(fleet.front(0)).await.expect("whole");
+    let answer =
+        ClientRequest::new("/resumable/x", "r-2").send(fleet.front(0)).await.expect("whole");
     assert_eq!(answer.status, 200);
 }
--- a/tests/fleet/pauses.rs
+++ b/tests/fleet/pauses.rs
@@ -24,7 +24,7 @@
 
 impl Pausable {
     /// Sets which process runs now, if any.
-    pub fn runs(&self, pid: Option<u32>) {
+    pub fn set_running(&self, pid: Option<u32>) {
         *self.0.lock().expect("no panic") = pid.map(|pid| Pid::from_raw(pid as i32));
     }
 
@@ -57,7 +57,7 @@
 pub struct PausePlan {
     pub seed: u64,
     pub paused: Paused,
-    pub longest: Duration,
+    pub max_pause: Duration,
 }
 
 impl PausePlan {
@@ -77,20 +77,20 @@
             "all" => Paused::All,
             _ => return None,
         };
-        let longest = Duration::from_millis(parts.next()?.parse().ok()?);
-        Some(PausePlan { seed, paused, longest })
+        let max_pause = Duration::from_millis(parts.next()?.parse().ok()?);
+        Some(PausePlan { seed, paused, max_pause })
     }
 }
 
 /// Pauses processes in turn until dropped.
-pub struct Pauses {
+pub struct PauseInjector {
     over: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
-impl Pauses {
+impl PauseInjector {
     /// Begins, one process at a time.
-    pub fn begin(plan: PausePlan, processes: Vec<Pausable>) -> Self {
+    pub fn start(plan: PausePlan, processes: Vec<Pausable>) -> Self {
         eprintln!("{plan:?}");
         let over = Arc::new(AtomicBool::new(processes.is_empty()));
         let until = over.clone();
@@ -99,14 +99,14 @@
             while !until.load(Ordering::Relaxed) {
                 std::thread::sleep(rng.random_range(Duration::ZERO..LONGEST_GAP));
                 let process = &processes[rng.random_range(0..processes.len())];
-                process.pause(rng.random_range(SHORTEST..=plan.longest));
+                process.pause(rng.random_range(SHORTEST..=plan.max_pause));
             }
         });
-        Pauses { over, thread: Some(thread) }
+        PauseInjector { over, thread: Some(thread) }
     }
 }
 
-impl Drop for Pauses {
+impl Drop for PauseInjector {
     fn drop(&mut self) {
         self.over.store(true, Ordering::Relaxed);
         // No process stays stopped.
--- a/tests/fleet/poison.rs
+++ b/tests/fleet/poison.rs
@@ -17,7 +17,7 @@
 use crate::doors::configuration;
 use crate::harness::{Called, Fleet, call, eventually};
 use crate::mortal::{Ledger, Place};
-use crate::refusals::{Ask, code};
+use crate::refusals::{ClientRequest, error_code};
 use crate::standin::{Behaviour, Standin};
 
 /// Places of the service.
@@ -30,12 +30,12 @@
 /// Between two tries.
 const PAUSE: Duration = Duration::from_millis(150);
 
-fn poison(id: &str) -> Ask<'_> {
-    Ask { body: b"poison 1".to_vec(), ..Ask::new("/resumable/x", id) }
+fn poison(id: &str) -> ClientRequest<'_> {
+    ClientRequest { body: b"poison 1".to_vec(), ..ClientRequest::new("/resumable/x", id) }
 }
 
 fn blocked(answer: &Result<Called, reqwest::Error>) -> bool {
-    answer.as_ref().is_ok_and(|answer| answer.status == 500 && code(answer) == "ends_targets")
+    answer.as_ref().is_ok_and(|answer| answer.status == 500 && error_code(answer) == "ends_targets")
 }
 
 /// A fleet with places of mortal targets, and what happens at them.
@@ -99,7 +99,7 @@
     let ended = deadly.ended();
     for gateway in 0..GATEWAYS {
         let answer = poison("again").send(deadly.fleet.front(gateway)).await.expect("an answer");
-        assert_eq!((answer.status, code(&answer).as_str()), (500, "ends_targets"));
+        assert_eq!((answer.status, error_code(&answer).as_str()), (500, "ends_targets"));
         assert!(answer.body.contains("\"not_run\":true"), "{}", answer.body);
         assert_eq!(answer.header("retry-after"), None, "it is not to come back");
         assert_eq!(answer.header("x-server-stamp"), None, "no target answered");
@@ -173,7 +173,7 @@
         })
         .await;
         let answer = poison("after").send(fleet.front(gateway)).await.expect("an answer");
-        assert_eq!((answer.status, code(&answer).as_str()), (500, "ends_targets"));
+        assert_eq!((answer.status, error_code(&answer).as_str()), (500, "ends_targets"));
     }
     assert_eq!(deadly.ended(), ended, "nothing was sent");
 }
@@ -192,10 +192,11 @@
     fleet.knows_targets(0, standins.len()).await;
     for number in 0..6 {
         let id = format!("l-{number}");
-        let _ = Ask::new("/resumable/x", &id).send(fleet.front(0)).await;
+        let _ = ClientRequest::new("/resumable/x", &id).send(fleet.front(0)).await;
     }
     standins.iter().for_each(|standin| standin.behave(Behaviour::Stream(4)));
-    let answer = Ask::new("/resumable/x", "w-1").send(fleet.front(0)).await.expect("whole");
+    let answer =
+        ClientRequest::new("/resumable/x", "w-1").send(fleet.front(0)).await.expect("whole");
     assert_eq!(answer.status, 200);
     let log = fleet.gateways[0].log();
     assert!(log.contains("found=Lives") && !log.contains("found=Ended"));
@@ -205,11 +206,11 @@
 /// Another team, another path or another body is another request.
 async fn innocent_requests_are_served(fleet: &Fleet) {
     let others = [
-        Ask { body: b"harmless".to_vec(), ..Ask::new("/resumable/x", "o-1") },
-        Ask { body: b"harmless".to_vec(), ..Ask::new("/resumable/x", "o-2") }
+        ClientRequest { body: b"harmless".to_vec(), ..ClientRequest::new("/resumable/x", "o-1") },
+        ClientRequest { body: b"harmless".to_vec(), ..ClientRequest::new("/resumable/x", "o-2") }
             .with("x-credential", "key-b"),
-        Ask::new("/resumable/y", "o-3"),
-        Ask::new("/stream/x", "o-4"),
+        ClientRequest::new("/resumable/y", "o-3"),
+        ClientRequest::new("/stream/x", "o-4"),
     ];
     for gateway in 0..GATEWAYS {
         for other in &others {
--- a/tests/fleet/paused.rs
+++ b/tests/fleet/process_pauses.rs
@@ -7,8 +7,8 @@
 use tokio::net::{TcpSocket, TcpStream};
 
 use crate::harness::{Process, eventually, field};
-use crate::refusals::Ask;
-use crate::slow::fleet;
+use crate::refusals::ClientRequest;
+use crate::slow_clients::fleet;
 use crate::standin::{Behaviour, event};
 
 /// Stops a process for so long.
@@ -29,7 +29,7 @@
     target.behave(Behaviour::Stream(100));
     let front = fleet.front(0);
     let ask = tokio::spawn(async move {
-        Ask::new("/stream/x", "r-1").with("x-deadline-ms", "2500").send(front).await
+        ClientRequest::new("/stream/x", "r-1").with("x-deadline-ms", "2500").send(front).await
     });
     eventually("the stream runs", async || (target.arrivals().len() == 1).then_some(())).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
@@ -48,7 +48,7 @@
     target.behave(Behaviour::Slow(Duration::from_millis(600)));
     let front = fleet.front(0);
     let ask = tokio::spawn(async move {
-        Ask::new("/unsafe/x", "r-1").with("x-deadline-ms", "1200").send(front).await
+        ClientRequest::new("/unsafe/x", "r-1").with("x-deadline-ms", "1200").send(front).await
     });
     eventually("it is asked", async || (target.arrivals().len() == 1).then_some(())).await;
     pause(&fleet.gateways[0], Duration::from_millis(1_500)).await;
@@ -130,7 +130,7 @@
     }
     fleet.members[0].signal(Signal::SIGCONT);
     let answer = eventually("the gateway listens", async || {
-        Ask::new("/safe/x", "r-1").send(front).await.ok()
+        ClientRequest::new("/safe/x", "r-1").send(front).await.ok()
     });
     assert_eq!(answer.await.status, 200);
 }
--- a/tests/fleet/refusals.rs
+++ b/tests/fleet/refusals.rs
@@ -11,14 +11,14 @@
 use crate::standin::{Behaviour, Standin};
 
 /// A request of a client.
-pub struct Ask<'a> {
+pub struct ClientRequest<'a> {
     pub method: &'a str,
     pub path: &'a str,
     pub headers: Vec<(&'a str, &'a str)>,
     pub body: Vec<u8>,
 }
 
-impl<'a> Ask<'a> {
+impl<'a> ClientRequest<'a> {
     /// A proper request on a path, with this id.
     pub fn new(path: &'a str, id: &'a str) -> Self {
         let headers = vec![
@@ -27,7 +27,7 @@
             ("x-credential", "key-a"),
             ("x-deadline-ms", "3000"),
         ];
-        Ask { method: "POST", path, headers, body: b"body".to_vec() }
+        ClientRequest { method: "POST", path, headers, body: b"body".to_vec() }
     }
 
     pub fn without(mut self, name: &str) -> Self {
@@ -58,7 +58,7 @@
 }
 
 /// Code of a refusal.
-pub fn code(answer: &Called) -> String {
+pub fn error_code(answer: &Called) -> String {
     let body: Value = serde_json::from_str(&answer.body).expect("JSON");
     body["error"]["code"].as_str().expect("a code").to_owned()
 }
@@ -69,10 +69,10 @@
     fleet.gateways[0].start();
     let front = fleet.front(0);
     let answer = eventually("the gateway listens", async || {
-        Ask::new("/safe/x", "r-1").send(front).await.ok()
+        ClientRequest::new("/safe/x", "r-1").send(front).await.ok()
     });
     let answer = answer.await;
-    assert_eq!((answer.status, code(&answer).as_str()), (503, "no_configuration"));
+    assert_eq!((answer.status, error_code(&answer).as_str()), (503, "no_configuration"));
     let wait: f64 = answer.header("retry-after").expect("a time").parse().expect("seconds");
     assert!(wait > 0.0 && wait < 5.0);
     let ready = SocketAddr::new(fleet.gateways[0].ip, fleet.addresses.ports.ready);
@@ -87,21 +87,21 @@
     fleet.configure(&configuration(1)).await;
     fleet.knows_targets(0, 1).await;
     let big = "x".repeat(6_000);
-    let mut long = Ask::new("/safe/x", "r-7");
+    let mut long = ClientRequest::new("/safe/x", "r-7");
     long.body = vec![b'x'; 20_000];
     let cases = [
-        (Ask::new("/elsewhere/x", "r-1"), 404, "no_route"),
-        (Ask::new("/safe/x", "r-2").with("host", "other.example"), 404, "no_route"),
-        (Ask::new("/safe/x", "r-3").without("x-credential"), 401, "unknown_key"),
-        (Ask::new("/safe/x", "r-4").with("x-credential", "key-z"), 401, "unknown_key"),
-        (Ask::new("/safe/x", "r-5").without("x-request-id"), 400, "bad_request"),
-        (Ask::new("/safe/x", "r-6").with("x-deadline-ms", "soon"), 400, "bad_request"),
+        (ClientRequest::new("/elsewhere/x", "r-1"), 404, "no_route"),
+        (ClientRequest::new("/safe/x", "r-2").with("host", "other.example"), 404, "no_route"),
+        (ClientRequest::new("/safe/x", "r-3").without("x-credential"), 401, "unknown_key"),
+        (ClientRequest::new("/safe/x", "r-4").with("x-credential", "key-z"), 401, "unknown_key"),
+        (ClientRequest::new("/safe/x", "r-5").without("x-request-id"), 400, "bad_request"),
+        (ClientRequest::new("/safe/x", "r-6").with("x-deadline-ms", "soon"), 400, "bad_request"),
         (long, 413, "body_too_large"),
-        (Ask::new("/safe/x", "r-8").with("x-large", &big), 431, "head_too_large"),
+        (ClientRequest::new("/safe/x", "r-8").with("x-large", &big), 431, "head_too_large"),
     ];
     for (ask, status, reason) in cases {
         let answer = ask.send(fleet.front(0)).await.expect("an answer");
-        assert_eq!((answer.status, code(&answer).as_str()), (status, reason), "{}", ask.path);
+        assert_eq!((answer.status, error_code(&answer).as_str()), (status, reason), "{}", ask.path);
         assert_eq!(answer.header("x-server-stamp"), None);
     }
     assert!(target.arrivals().is_empty(), "{:?}", target.arrivals());
@@ -112,18 +112,21 @@
 async fn a_request_that_no_target_took_is_answered_503_at_once_with_a_time() {
     let fleet = Fleet::start(1, 1).await;
     fleet.configure(&configuration(1)).await;
-    let answer = Ask::new("/safe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
-    assert_eq!((answer.status, code(&answer).as_str()), (503, "no_target"));
+    let answer =
+        ClientRequest::new("/safe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
+    assert_eq!((answer.status, error_code(&answer).as_str()), (503, "no_target"));
     assert!(answer.header("retry-after").is_some());
     let target = Standin::start("i-1", "s", fleet.doors()).await;
     target.behave(Behaviour::TurnAway);
     fleet.knows_targets(0, 1).await;
-    let answer = Ask::new("/unsafe/x", "r-2").send(fleet.front(0)).await.expect("an answer");
-    assert_eq!((answer.status, code(&answer).as_str()), (503, "not_run"));
+    let answer =
+        ClientRequest::new("/unsafe/x", "r-2").send(fleet.front(0)).await.expect("an answer");
+    assert_eq!((answer.status, error_code(&answer).as_str()), (503, "not_run"));
     assert!(answer.header("retry-after").is_some());
     drop(target);
-    let answer = Ask::new("/unsafe/x", "r-3").send(fleet.front(0)).await.expect("an answer");
-    assert_eq!((answer.status, code(&answer).as_str()), (503, "connect_failed"));
+    let answer =
+        ClientRequest::new("/unsafe/x", "r-3").send(fleet.front(0)).await.expect("an answer");
+    assert_eq!((answer.status, error_code(&answer).as_str()), (503, "connect_failed"));
 }
 
 #[tokio::test]
--- a/tests/fleet/requests.rs
+++ b/tests/fleet/requests.rs
@@ -6,7 +6,7 @@
 
 use crate::doors::configuration;
 use crate::harness::Fleet;
-use crate::refusals::{Ask, code};
+use crate::refusals::{ClientRequest, error_code};
 use crate::standin::{Behaviour, Standin};
 
 async fn fleet_with(targets: usize) -> (Fleet, Vec<Standin>) {
@@ -21,7 +21,7 @@
 }
 
 /// A fleet with one gateway and two targets.
-pub async fn fleet_with_two() -> (Fleet, Standin, Standin) {
+pub async fn fleet_with_two_targets() -> (Fleet, Standin, Standin) {
     let (fleet, mut standins) = fleet_with(2).await;
     let other = standins.pop().expect("two targets");
     let one = standins.pop().expect("two targets");
@@ -35,7 +35,7 @@
 #[tokio::test]
 async fn a_request_reaches_its_target_unchanged_but_for_what_the_gateway_sets() {
     let (fleet, standins) = fleet_with(1).await;
-    let ask = Ask::new("/safe/a%20b?c=d&e", "r-1")
+    let ask = ClientRequest::new("/safe/a%20b?c=d&e", "r-1")
         .with("x-other", "kept")
         .with("x-tenant", "forged")
         .with("connection", "x-hop")
@@ -69,8 +69,9 @@
         (Behaviour::Unsigned, "r-3", "wrong_answer"),
     ] {
         standins.iter().for_each(|standin| standin.behave(behaviour));
-        let answer = Ask::new("/retried/x", id).send(fleet.front(0)).await.expect("an answer");
-        assert_eq!((answer.status, code(&answer).as_str()), (502, reason));
+        let answer =
+            ClientRequest::new("/retried/x", id).send(fleet.front(0)).await.expect("an answer");
+        assert_eq!((answer.status, error_code(&answer).as_str()), (502, reason));
         assert_eq!(arrivals(&standins, id), 1);
         assert_eq!(answer.header("x-server-stamp"), None);
     }
@@ -85,7 +86,8 @@
             standins[round % 2].behave(fault);
             standins[(round + 1) % 2].behave(Behaviour::Answer);
             let id = format!("r-{at}-{round}");
-            let answer = Ask::new("/safe/x", &id).send(fleet.front(0)).await.expect("an answer");
+            let answer =
+                ClientRequest::new("/safe/x", &id).send(fleet.front(0)).await.expect("an answer");
             assert_eq!(answer.status, 200, "{fault:?}: {}", answer.body);
             assert_eq!(answer.body, format!("answer to {id}"));
         }
@@ -96,11 +98,13 @@
 async fn a_failure_of_every_target_is_passed_on_and_attempts_are_bounded() {
     let (fleet, standins) = fleet_with(5).await;
     standins.iter().for_each(|standin| standin.behave(Behaviour::Fail));
-    let answer = Ask::new("/safe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
+    let answer =
+        ClientRequest::new("/safe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
     assert_eq!((answer.status, answer.body.as_str()), (500, "failed"));
     assert!(answer.header("x-server-stamp").is_some());
     assert_eq!(arrivals(&standins, "r-1"), 3, "the route allows three attempts");
-    let answer = Ask::new("/unsafe/x", "r-2").send(fleet.front(0)).await.expect("an answer");
+    let answer =
+        ClientRequest::new("/unsafe/x", "r-2").send(fleet.front(0)).await.expect("an answer");
     assert_eq!(answer.status, 500);
     assert_eq!(arrivals(&standins, "r-2"), 1);
 }
@@ -111,7 +115,8 @@
     standins[0].behave(Behaviour::TurnAway);
     for round in 0..6 {
         let id = format!("r-{round}");
-        let answer = Ask::new("/retried/x", &id).send(fleet.front(0)).await.expect("an answer");
+        let answer =
+            ClientRequest::new("/retried/x", &id).send(fleet.front(0)).await.expect("an answer");
         assert_eq!(answer.status, 200);
     }
 }
@@ -123,7 +128,8 @@
     standins[0].become_another();
     for round in 0..10 {
         let id = format!("r-{round}");
-        let answer = Ask::new("/unsafe/x", &id).send(fleet.front(0)).await.expect("an answer");
+        let answer =
+            ClientRequest::new("/unsafe/x", &id).send(fleet.front(0)).await.expect("an answer");
         assert_eq!((answer.status, answer.body), (200, format!("answer to {id}")));
     }
     let log = fleet.gateways[0].log();
@@ -135,9 +141,9 @@
 async fn a_request_without_an_answer_ends_at_its_deadline_and_is_not_called_not_run() {
     let (fleet, standins) = fleet_with(1).await;
     standins[0].behave(Behaviour::Mute);
-    let ask = Ask::new("/unsafe/x", "r-1").with("x-deadline-ms", "400");
+    let ask = ClientRequest::new("/unsafe/x", "r-1").with("x-deadline-ms", "400");
     let answer = ask.send(fleet.front(0)).await.expect("an answer");
-    assert_eq!((answer.status, code(&answer).as_str()), (504, "answer_late"));
+    assert_eq!((answer.status, error_code(&answer).as_str()), (504, "answer_late"));
 }
 
 #[tokio::test]
@@ -146,7 +152,8 @@
     standins[0].behave(Behaviour::Mute);
     for round in 0..6 {
         let id = format!("r-{round}");
-        let answer = Ask::new("/safe/x", &id).send(fleet.front(0)).await.expect("an answer");
+        let answer =
+            ClientRequest::new("/safe/x", &id).send(fleet.front(0)).await.expect("an answer");
         assert_eq!((answer.status, answer.body), (200, format!("answer to {id}")));
     }
 }
@@ -157,7 +164,7 @@
     standins[0].behave(Behaviour::Mute);
     crate::harness::eventually("the silent target is left alone", async || {
         let id = format!("r-{}", rand::random::<u32>());
-        let ask = Ask::new("/unsafe/x", &id).with("x-deadline-ms", "3900");
+        let ask = ClientRequest::new("/unsafe/x", &id).with("x-deadline-ms", "3900");
         // The route's goal is 300 ms, and the caller leaves well after it.
         let asking = ask.send(fleet.front(0));
         let _ = tokio::time::timeout(Duration::from_millis(1_200), asking).await;
@@ -176,7 +183,7 @@
     let asks: Vec<_> = (0..8)
         .map(|at| {
             let id = format!("before-{at}");
-            tokio::spawn(async move { Ask::new("/unsafe/x", &id).send(front).await })
+            tokio::spawn(async move { ClientRequest::new("/unsafe/x", &id).send(front).await })
         })
         .collect();
     tokio::time::sleep(Duration::from_millis(300)).await;
@@ -190,7 +197,7 @@
     let before = standins[0].arrivals().len();
     for at in 0..10 {
         let id = format!("after-{at}");
-        let answer = Ask::new("/unsafe/x", &id).send(front).await.expect("an answer");
+        let answer = ClientRequest::new("/unsafe/x", &id).send(front).await.expect("an answer");
         assert_eq!(answer.status, 200);
     }
     assert_eq!(standins[0].arrivals().len(), before);
@@ -204,8 +211,9 @@
 #[tokio::test]
 async fn a_target_that_loses_one_answer_keeps_its_chats() {
     let (fleet, standins) = fleet_with(3).await;
-    let sticky =
-        |id: &'static str| Ask::new("/sticky/x", id).with("x-prompt-prefix", "aa:900,bb:10");
+    let sticky = |id: &'static str| {
+        ClientRequest::new("/sticky/x", id).with("x-prompt-prefix", "aa:900,bb:10")
+    };
     let home_of = |id: &str| standins.iter().position(|standin| standin.counts().contains_key(id));
     standins.iter().for_each(|standin| standin.behave(Behaviour::Stream(2)));
     for id in ["r-1", "r-2", "r-3"] {
@@ -238,14 +246,16 @@
     for round in 0..30 {
         for path in ["/safe/x", "/unsafe/x", "/sticky/x"] {
             let id = format!("r-{round}");
-            let answer = Ask::new(path, &id).send(fleet.front(0)).await.expect("an answer");
+            let answer =
+                ClientRequest::new(path, &id).send(fleet.front(0)).await.expect("an answer");
             assert_eq!(answer.status, 200, "{path}: {answer:?}");
         }
     }
     assert_eq!(south.arrivals().len(), 90);
     assert!(north.arrivals().is_empty() && nowhere.arrivals().is_empty());
-    let answer = Ask::new("/retried/x", "r-none").send(fleet.front(0)).await.expect("an answer");
-    assert_eq!((answer.status, code(&answer).as_str()), (503, "no_target"));
+    let answer =
+        ClientRequest::new("/retried/x", "r-none").send(fleet.front(0)).await.expect("an answer");
+    assert_eq!((answer.status, error_code(&answer).as_str()), (503, "no_target"));
 }
 
 /// Connections that are refused cost a request next to nothing, however many targets are down at once.
@@ -262,7 +272,7 @@
     }
     standins[1..].iter_mut().for_each(Standin::stop_listening);
     for gateway in 0..4 {
-        let answer = Ask::new("/unsafe/x", "r-1").send(fleet.front(gateway)).await;
+        let answer = ClientRequest::new("/unsafe/x", "r-1").send(fleet.front(gateway)).await;
         assert_eq!(answer.expect("an answer").status, 200);
     }
 }
--- a/tests/fleet/rests.rs
+++ b/tests/fleet/retry_after.rs
@@ -13,8 +13,8 @@
 use rstest::rstest;
 
 use crate::harness::{Fleet, eventually};
-use crate::refusals::{Ask, code};
-use crate::requests::fleet_with_two;
+use crate::refusals::{ClientRequest, error_code};
+use crate::requests::fleet_with_two_targets;
 use crate::standin::{Behaviour, Standin};
 
 /// Requests that are sent once the word was heard: each of two targets would get many of them.
@@ -26,7 +26,7 @@
     eventually("the target gets a request", async || {
         asked += 1;
         let id = format!("first-{asked}");
-        let _ = Ask::new("/retried/x", &id).send(fleet.front(0)).await;
+        let _ = ClientRequest::new("/retried/x", &id).send(fleet.front(0)).await;
         (!target.arrivals().is_empty()).then_some(())
     })
     .await;
@@ -38,14 +38,15 @@
 #[case::fractions("600.5")]
 #[tokio::test]
 async fn a_target_that_asks_for_rest_gets_it(#[case] seconds: &'static str) {
-    let (fleet, resting, _other) = fleet_with_two().await;
+    let (fleet, resting, _other) = fleet_with_two_targets().await;
     resting.say("retry-after", seconds);
     resting.behave(Behaviour::TurnAway);
     ask_until_turned_away(&fleet, &resting).await;
     resting.behave(Behaviour::Answer);
     for number in 0..LATER {
         let id = format!("later-{number}");
-        let answer = Ask::new("/unsafe/x", &id).send(fleet.front(0)).await.expect("an answer");
+        let answer =
+            ClientRequest::new("/unsafe/x", &id).send(fleet.front(0)).await.expect("an answer");
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     assert_eq!(resting.arrivals().len(), 1, "of {LATER} more");
@@ -59,7 +60,7 @@
 #[case::nothing_to_read("later")]
 #[tokio::test]
 async fn a_target_is_used_again_after_its_rest(#[case] value: &'static str) {
-    let (fleet, resting, _other) = fleet_with_two().await;
+    let (fleet, resting, _other) = fleet_with_two_targets().await;
     resting.say("retry-after", value);
     resting.behave(Behaviour::TurnAway);
     ask_until_turned_away(&fleet, &resting).await;
@@ -69,7 +70,7 @@
     eventually("the target is used again", async || {
         asked += 1;
         let id = format!("later-{asked}");
-        let answer = Ask::new("/unsafe/x", &id).send(fleet.front(0)).await.ok()?;
+        let answer = ClientRequest::new("/unsafe/x", &id).send(fleet.front(0)).await.ok()?;
         assert_eq!(answer.status, 200, "{}", answer.body);
         (resting.arrivals().len() > 1).then_some(())
     })
@@ -79,7 +80,7 @@
 /// Where all rest, callers learn at once that nothing ran, and when the first of them can be asked again.
 #[tokio::test]
 async fn a_service_whose_targets_all_rest_refuses_at_once_with_the_earliest_end() {
-    let (fleet, one, other) = fleet_with_two().await;
+    let (fleet, one, other) = fleet_with_two_targets().await;
     for (target, seconds) in [(&one, "900"), (&other, "600")] {
         target.say("retry-after", seconds);
         target.behave(Behaviour::TurnAway);
@@ -87,8 +88,9 @@
     for target in [&one, &other] {
         ask_until_turned_away(&fleet, target).await;
     }
-    let answer = Ask::new("/safe/x", "later").send(fleet.front(0)).await.expect("an answer");
-    assert_eq!((answer.status, code(&answer).as_str()), (503, "resting"));
+    let answer =
+        ClientRequest::new("/safe/x", "later").send(fleet.front(0)).await.expect("an answer");
+    assert_eq!((answer.status, error_code(&answer).as_str()), (503, "resting"));
     let wait: f64 = answer.header("retry-after").expect("a time").parse().expect("seconds");
     assert!((500.0..601.0).contains(&wait), "{wait}");
     assert_eq!(one.arrivals().len() + other.arrivals().len(), 2);
--- a/tests/fleet/rollouts.rs
+++ b/tests/fleet/rollouts.rs
@@ -14,7 +14,7 @@
 use crate::doors::configuration;
 use crate::harness::pauses::{PausePlan, Paused};
 use crate::harness::{Called, Fleet, Process, call, eventually, field};
-use crate::refusals::Ask;
+use crate::refusals::ClientRequest;
 use crate::standin::{Behaviour, Standin};
 
 /// Part of the requests that a bad version may get here: large, since the fleets here serve few.
@@ -202,8 +202,8 @@
 async fn a_version_that_was_rolled_back_gets_nothing_from_gateways_that_stood_still(
     #[case] seed: u64,
 ) {
-    let longest = Duration::from_millis(2_500);
-    let plan = PausePlan { seed, paused: Paused::Gateways, longest };
+    let max_pause = Duration::from_millis(2_500);
+    let plan = PausePlan { seed, paused: Paused::Gateways, max_pause };
     let slow = Behaviour::Slow(Duration::from_millis(400));
     rolled_back_while_members_are_lost(slow, Some(plan)).await;
 }
@@ -232,12 +232,15 @@
     fleet.gateways[3].kill();
     fleet.gateways[3].start();
     eventually("it serves again", async || {
-        let answer = Ask::new("/safe/x", "r-again").send(fleet.front(3)).await.ok()?;
+        let answer = ClientRequest::new("/safe/x", "r-again").send(fleet.front(3)).await.ok()?;
         (answer.status == 200).then_some(())
     })
     .await;
     for round in 0..30 {
-        Ask::new("/safe/x", &format!("r-{round}")).send(fleet.front(3)).await.expect("an answer");
+        ClientRequest::new("/safe/x", &format!("r-{round}"))
+            .send(fleet.front(3))
+            .await
+            .expect("an answer");
     }
     assert_eq!(asked(&new), at_new);
 }
--- a/tests/fleet/slow.rs
+++ b/tests/fleet/slow_clients.rs
@@ -9,7 +9,7 @@
 
 use crate::doors::configuration;
 use crate::harness::{Fleet, Process, eventually, field};
-use crate::refusals::{Ask, code};
+use crate::refusals::{ClientRequest, error_code};
 use crate::standin::{Behaviour, Standin};
 
 /// Connections of slow clients.
@@ -62,7 +62,7 @@
 async fn served(front: SocketAddr) -> usize {
     let mut served = 0;
     for number in 0..QUICK {
-        let answer = Ask::new("/safe/x", &format!("q-{number}")).send(front).await;
+        let answer = ClientRequest::new("/safe/x", &format!("q-{number}")).send(front).await;
         served += usize::from(answer.is_ok_and(|answer| answer.status == 200));
     }
     served
@@ -145,7 +145,8 @@
     let log = fleet.gateways[0].log();
     assert!(!log.contains("event=target_paused"), "{log}");
     target.behave(Behaviour::Answer);
-    let answer = Ask::new("/safe/x", "r-2").send(fleet.front(0)).await.expect("an answer");
+    let answer =
+        ClientRequest::new("/safe/x", "r-2").send(fleet.front(0)).await.expect("an answer");
     assert_eq!(answer.status, 200);
 }
 
@@ -179,14 +180,14 @@
     target.behave(Behaviour::Slow(Duration::from_secs(2)));
     let front = fleet.front(0);
     let large = |id: String| async move {
-        let mut ask = Ask::new("/unsafe/x", &id);
+        let mut ask = ClientRequest::new("/unsafe/x", &id);
         ask.body = vec![b'x'; 100_000];
         ask.send(front).await.expect("an answer")
     };
     let first = tokio::spawn(large("r-1".into()));
     eventually("the first is there", async || (target.arrivals().len() == 1).then_some(())).await;
     let second = large("r-2".into()).await;
-    assert_eq!((second.status, code(&second).as_str()), (503, "no_room"));
+    assert_eq!((second.status, error_code(&second).as_str()), (503, "no_room"));
     assert!(second.body.contains("\"not_run\":true"), "{second:?}");
     assert!(second.header("retry-after").is_some());
     assert_eq!(first.await.expect("no panic").status, 200);
--- a/tests/fleet/starts.rs
+++ b/tests/fleet/starts.rs
@@ -7,7 +7,7 @@
 
 use crate::doors::configuration;
 use crate::harness::{Fleet, Process, eventually};
-use crate::refusals::Ask;
+use crate::refusals::ClientRequest;
 use crate::standin::Standin;
 
 /// Members that are up but say nothing, as a frozen one does.
@@ -54,7 +54,7 @@
     fleet.gateways[0].start();
     let front = fleet.front(0);
     let asked = eventually("the gateway listens", async || {
-        Ask::new("/safe/x", "r-1").with("x-deadline-ms", "60000").send(front).await.ok()
+        ClientRequest::new("/safe/x", "r-1").with("x-deadline-ms", "60000").send(front).await.ok()
     });
     let member = async {
         tokio::time::sleep(ASKED_BEFORE).await;
--- a/tests/fleet/stops.rs
+++ b/tests/fleet/stops.rs
@@ -10,7 +10,7 @@
 
 use crate::doors::configuration;
 use crate::harness::{Fleet, Process, eventually};
-use crate::refusals::Ask;
+use crate::refusals::ClientRequest;
 use crate::standin::{Behaviour, Standin};
 
 #[tokio::test]
@@ -23,7 +23,7 @@
     let front = fleet.front(0);
     let asking = |at: usize| async move {
         let id = format!("r-{at}");
-        (id.clone(), Ask::new("/unsafe/x", &id).send(front).await)
+        (id.clone(), ClientRequest::new("/unsafe/x", &id).send(front).await)
     };
     let mut asks = tokio::task::JoinSet::new();
     for at in 0..10 {
--- a/tests/fleet/streams.rs
+++ b/tests/fleet/streams.rs
@@ -9,7 +9,7 @@
 
 use crate::doors::configuration;
 use crate::harness::{Fleet, Process, eventually};
-use crate::refusals::{Ask, code};
+use crate::refusals::{ClientRequest, error_code};
 use crate::standin::{Behaviour, Standin, event};
 
 /// Requests that a target works on at once.
@@ -36,7 +36,8 @@
 async fn a_stream_arrives_whole() {
     let (fleet, _standins) = fleet_with(&[Behaviour::Stream(30)]).await;
     for path in ["/stream/x", "/resumable/x"] {
-        let answer = Ask::new(path, "r-1").send(fleet.front(0)).await.expect("a whole answer");
+        let answer =
+            ClientRequest::new(path, "r-1").send(fleet.front(0)).await.expect("a whole answer");
         assert_eq!(answer.status, 200);
         assert_eq!(answer.body, events(30));
     }
@@ -47,7 +48,8 @@
     let fleet = [Behaviour::BreakAfter(7), Behaviour::BreakAfter(7)];
     let (fleet, standins) = fleet_with(&fleet).await;
     let front = fleet.front(0);
-    let ask = tokio::spawn(async move { Ask::new("/resumable/x", "r-1").send(front).await });
+    let ask =
+        tokio::spawn(async move { ClientRequest::new("/resumable/x", "r-1").send(front).await });
     eventually("the first attempt", async || {
         let began = standins.iter().any(|standin| !standin.arrivals().is_empty());
         began.then_some(())
@@ -70,7 +72,8 @@
 async fn a_resumable_stream_that_falls_silent_goes_on_at_another_target() {
     let (fleet, standins) = fleet_with(&[Behaviour::StallAfter(4), Behaviour::StallAfter(4)]).await;
     let front = fleet.front(0);
-    let ask = tokio::spawn(async move { Ask::new("/resumable/x", "r-1").send(front).await });
+    let ask =
+        tokio::spawn(async move { ClientRequest::new("/resumable/x", "r-1").send(front).await });
     eventually("the first attempt", async || {
         let began = standins.iter().any(|standin| !standin.arrivals().is_empty());
         began.then_some(())
@@ -84,7 +87,7 @@
 #[tokio::test]
 async fn a_stream_that_may_not_be_resumed_and_breaks_never_looks_complete_and_runs_once() {
     let (fleet, standins) = fleet_with(&[Behaviour::BreakAfter(5), Behaviour::BreakAfter(5)]).await;
-    let answer = Ask::new("/stream/x", "r-1").send(fleet.front(0)).await;
+    let answer = ClientRequest::new("/stream/x", "r-1").send(fleet.front(0)).await;
     assert!(answer.is_err(), "{answer:?}");
     let runs: usize = standins.iter().map(|standin| standin.arrivals().len()).sum();
     assert_eq!(runs, 1);
@@ -93,8 +96,9 @@
 #[tokio::test]
 async fn a_stream_that_breaks_before_its_first_event_is_answered_502() {
     let (fleet, _standins) = fleet_with(&[Behaviour::BreakAfter(0)]).await;
-    let answer = Ask::new("/stream/x", "r-1").send(fleet.front(0)).await.expect("an answer");
-    assert_eq!((answer.status, code(&answer).as_str()), (502, "answer_lost"));
+    let answer =
+        ClientRequest::new("/stream/x", "r-1").send(fleet.front(0)).await.expect("an answer");
+    assert_eq!((answer.status, error_code(&answer).as_str()), (502, "answer_lost"));
 }
 
 #[tokio::test]
@@ -131,7 +135,8 @@
     // A service that has just had its first target gives newcomers homes at once; later ones wait
     // for a home that somebody leaves.
     tokio::time::sleep(FORMING).await;
-    let ask = |id| Ask::new("/sticky/x", id).with("x-prompt-prefix", "aa:900,bb:3000,cc:40");
+    let ask =
+        |id| ClientRequest::new("/sticky/x", id).with("x-prompt-prefix", "aa:900,bb:3000,cc:40");
     ask("r-1").send(fleet.front(0)).await.expect("a whole answer");
     assert!(!standins[0].arrivals()[0].headers.contains_key("kv-fetch"), "nobody else is there");
     let newcomer = Standin::start("i-new", "s", fleet.doors()).await;
@@ -141,7 +146,7 @@
     standins[0].drain(fleet.door(0)).await;
     eventually("the newcomer serves", async || {
         let id = format!("r-{}", rand::random::<u32>());
-        Ask::new("/sticky/x", &id)
+        ClientRequest::new("/sticky/x", &id)
             .with("x-prompt-prefix", "aa:900,bb:3000,dd:50")
             .send(fleet.front(0))
             .await
@@ -159,8 +164,8 @@
 /// How long a client waits for the home that answers nobody.
 const GIVES_UP: Duration = Duration::from_millis(300);
 
-fn asks_with_prompt(id: &str) -> Ask<'_> {
-    Ask::new("/sticky/x", id).with("x-prompt-prefix", PROMPT)
+fn asks_with_prompt(id: &str) -> ClientRequest<'_> {
+    ClientRequest::new("/sticky/x", id).with("x-prompt-prefix", PROMPT)
 }
 
 /// A prompt's first home was full for a moment, so that another target read it too. A second gateway, which saw none
--- a/tests/fleet/words.rs
+++ b/tests/fleet/target_headers.rs
@@ -4,7 +4,7 @@
 
 use crate::doors::configuration;
 use crate::harness::{Fleet, eventually, field};
-use crate::refusals::Ask;
+use crate::refusals::ClientRequest;
 use crate::standin::{Behaviour, Standin};
 
 #[rstest]
@@ -25,7 +25,8 @@
     target.say(header.0, header.1);
     fleet.configure(&configuration(1)).await;
     fleet.knows_targets(0, 1).await;
-    let answer = Ask::new("/unsafe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
+    let answer =
+        ClientRequest::new("/unsafe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
     if behaviour == Behaviour::Answer {
         assert_eq!(answer.header(header.0), Some(header.1), "it is passed on");
     }
--- a/tests/fleet/returns.rs
+++ b/tests/fleet/target_restarts.rs
@@ -4,7 +4,7 @@
 
 use crate::doors::configuration;
 use crate::harness::{Fleet, call, eventually};
-use crate::refusals::Ask;
+use crate::refusals::ClientRequest;
 use crate::standin::{Behaviour, Standin};
 
 /// Starts of targets, in Unix milliseconds, and a count of heartbeats that is soon reached by none.
@@ -23,7 +23,7 @@
 async fn serves(fleet: &Fleet, standin: &Standin) {
     eventually("the target is used", async || {
         let id = format!("r-{}", rand::random::<u32>());
-        let answer = Ask::new("/safe/x", &id).send(fleet.front(0)).await.ok()?;
+        let answer = ClientRequest::new("/safe/x", &id).send(fleet.front(0)).await.ok()?;
         (answer.status == 200 && standin.counts().contains_key(&id)).then_some(())
     })
     .await;
@@ -92,7 +92,8 @@
     }
     for number in 0..20 {
         let id = format!("a-{number}");
-        let answer = Ask::new("/safe/x", &id).send(fleet.front(0)).await.expect("an answer");
+        let answer =
+            ClientRequest::new("/safe/x", &id).send(fleet.front(0)).await.expect("an answer");
         assert_eq!(answer.status, 200);
     }
     assert!(late.arrivals().is_empty());
--- a/tests/fleet/stories.rs
+++ b/tests/fleet/timelines.rs
@@ -7,7 +7,7 @@
 
 use crate::doors::configuration;
 use crate::harness::{Fleet, eventually};
-use crate::refusals::Ask;
+use crate::refusals::ClientRequest;
 use crate::standin::{Behaviour, Standin};
 
 /// The story of a request once its last step is there.
@@ -26,12 +26,12 @@
 }
 
 #[rstest]
-#[case::unknown_key(Ask::new("/safe/x", "r-1").with("x-credential", "z"), "unknown_key")]
-#[case::no_route(Ask::new("/elsewhere/x", "r-1"), "no_route")]
-#[case::bad_request(Ask::new("/safe/x", "r-1").with("x-deadline-ms", "soon"), "bad_request")]
+#[case::unknown_key(ClientRequest::new("/safe/x", "r-1").with("x-credential", "z"), "unknown_key")]
+#[case::no_route(ClientRequest::new("/elsewhere/x", "r-1"), "no_route")]
+#[case::bad_request(ClientRequest::new("/safe/x", "r-1").with("x-deadline-ms", "soon"), "bad_request")]
 #[tokio::test]
 async fn a_refusal_tells_its_reason_and_the_configuration(
-    #[case] ask: Ask<'static>,
+    #[case] ask: ClientRequest<'static>,
     #[case] reason: &str,
 ) {
     let fleet = Fleet::start(1, 1).await;
@@ -61,7 +61,7 @@
     target.behave(behaviour);
     fleet.configure(&configuration(4)).await;
     fleet.knows_targets(0, 1).await;
-    let ask = Ask::new(path, "r-1").with("x-deadline-ms", "500");
+    let ask = ClientRequest::new(path, "r-1").with("x-deadline-ms", "500");
     ask.send(fleet.front(0)).await.expect("an answer");
     let story = story(&fleet, "r-1", "given_up").await;
     let [attempt, given_up] = &story.steps[..] else {
@@ -88,18 +88,21 @@
     let behave = |behaviour| targets.iter().for_each(|target| target.behave(behaviour));
 
     behave(Behaviour::Fail);
-    Ask::new("/safe/x", "retried").send(front).await.expect("an answer");
+    ClientRequest::new("/safe/x", "retried").send(front).await.expect("an answer");
     let retried = story(&fleet, "retried", "answered").await;
     assert_eq!(retried.steps.len(), 3, "two attempts and the answer: {retried}");
 
     behave(Behaviour::BreakAfter(3));
-    assert!(Ask::new("/stream/x", "cut").send(front).await.is_err());
+    assert!(ClientRequest::new("/stream/x", "cut").send(front).await.is_err());
     let cut = story(&fleet, "cut", "stream_cut").await;
     let events: Vec<&str> = cut.steps.iter().map(|step| step.event.as_str()).collect();
     assert_eq!(events, ["attempt", "answered", "broke_off", "stream_cut"]);
     assert_eq!(detail(&cut.steps[2], "last_event"), "3");
 
-    let asking = tokio::spawn(async move { Ask::new("/resumable/x", "resumed").send(front).await });
+    let asking =
+        tokio::spawn(
+            async move { ClientRequest::new("/resumable/x", "resumed").send(front).await },
+        );
     eventually("the first attempt", async || {
         let began = targets.iter().any(|target| target.counts().contains_key("resumed"));
         began.then_some(())
@@ -120,7 +123,7 @@
     fleet.members[0].start();
     fleet.gateways[0].start();
     fleet.configure(&configuration(4)).await;
-    let late = Ask::new("/safe/x", "late").with("x-deadline-ms", "0");
+    let late = ClientRequest::new("/safe/x", "late").with("x-deadline-ms", "0");
     eventually("the request is too late", async || {
         late.send(fleet.front(0)).await.ok()?;
         let log = fleet.gateways[0].log();
@@ -131,7 +134,7 @@
     .await;
     fleet.members[0].kill();
     eventually("the request is refused", async || {
-        Ask::new("/safe/x", "stale").send(fleet.front(0)).await.ok()?;
+        ClientRequest::new("/safe/x", "stale").send(fleet.front(0)).await.ok()?;
         let log = fleet.gateways[0].log();
         let story = Timeline::of("stale", log.lines());
         let refused = story.steps.iter().find(|step| step.event == "refused")?;
@@ -149,7 +152,7 @@
     fleet.configure(&configuration(4)).await;
     fleet.knows_targets(0, 1).await;
     let front = fleet.front(0);
-    let asking = Ask::new("/unsafe/x", "r-1");
+    let asking = ClientRequest::new("/unsafe/x", "r-1");
     let left = tokio::time::timeout(Duration::from_millis(300), asking.send(front)).await;
     assert!(left.is_err(), "the client left before an answer");
     let story = story(&fleet, "r-1", "client_left").await;
