--- a/tests/fleet/pauses.rs
+++ b/tests/fleet/pauses.rs
@@ -1,7 +1,7 @@
-//! Pauses of processes at moments drawn from a seed, as a starved or suspended host makes them.
+//! Pauses processes with SIGSTOP at seeded random moments, as an overloaded or suspended host would.
 //!
-//! Every fleet test runs under them when `LATCHMOUNT_PAUSES` names a seed, which processes are paused (`gateways`,
-//! `members` or `all`) and the longest pause, for example `11:gateways:2500`.
+//! If `LATCHMOUNT_PAUSES` is set, all fleet tests run with such pauses. Its value gives the seed, the processes to pause
+//! (`gateways`, `members` or `all`) and the longest pause in milliseconds, for example `11:gateways:2500`.
 
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
@@ -13,22 +13,21 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// Shortest pause.
-const SHORTEST: Duration = Duration::from_millis(50);
-/// Longest time between two pauses.
-const LONGEST_GAP: Duration = Duration::from_millis(1_500);
+const MIN_PAUSE: Duration = Duration::from_millis(50);
+/// Longest time between the end of one pause and the next.
+const MAX_GAP: Duration = Duration::from_millis(1_500);
 
-/// A process that may be paused while it runs.
+/// The pid of a process while it runs; shared with the thread that pauses it.
 #[derive(Clone, Debug, Default)]
 pub struct Pausable(Arc<Mutex<Option<Pid>>>);
 
 impl Pausable {
-    /// Sets which process runs now, if any.
+    /// Sets the running process; `None` once it is about to end.
     pub fn set_running(&self, pid: Option<u32>) {
         *self.0.lock().expect("no panic") = pid.map(|pid| Pid::from_raw(pid as i32));
     }
 
-    /// Stops the process for so long, unless it ends meanwhile; tells whether it ran.
+    /// Stops the process for `length`; returns false if it was not running.
     fn pause(&self, length: Duration) -> bool {
         let stopped = self.signal(Signal::SIGSTOP);
         if stopped {
@@ -52,7 +51,7 @@
     All,
 }
 
-/// What is to be paused, for how long at most, at moments drawn from a seed.
+/// Which processes to pause, and for how long at most; `seed` determines the moments and lengths.
 #[derive(Clone, Copy, Debug)]
 pub struct PausePlan {
     pub seed: u64,
@@ -61,14 +60,18 @@
 }
 
 impl PausePlan {
-    /// The plan that the environment names, if it names one.
+    /// Reads the plan from `LATCHMOUNT_PAUSES`, if that is set.
+    ///
+    /// # Panics
+    ///
+    /// If the value does not parse.
     pub fn from_env() -> Option<Self> {
         let text = std::env::var("LATCHMOUNT_PAUSES").ok()?;
-        let plan = Self::read(&text);
+        let plan = Self::parse(&text);
         Some(plan.unwrap_or_else(|| panic!("LATCHMOUNT_PAUSES={text}: not SEED:WHO:LONGEST_MS")))
     }
 
-    fn read(text: &str) -> Option<Self> {
+    fn parse(text: &str) -> Option<Self> {
         let mut parts = text.split(':');
         let seed = parts.next()?.parse().ok()?;
         let paused = match parts.next()? {
@@ -82,34 +85,34 @@
     }
 }
 
-/// Pauses processes in turn until dropped.
+/// Pauses random processes, one at a time, until dropped.
 pub struct PauseInjector {
-    over: Arc<AtomicBool>,
+    stop: Arc<AtomicBool>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl PauseInjector {
-    /// Begins, one process at a time.
+    /// Starts the thread that pauses the processes.
     pub fn start(plan: PausePlan, processes: Vec<Pausable>) -> Self {
         eprintln!("{plan:?}");
-        let over = Arc::new(AtomicBool::new(processes.is_empty()));
-        let until = over.clone();
+        let stop = Arc::new(AtomicBool::new(processes.is_empty()));
+        let stopped = stop.clone();
         let thread = std::thread::spawn(move || {
             let mut rng = StdRng::seed_from_u64(plan.seed);
-            while !until.load(Ordering::Relaxed) {
-                std::thread::sleep(rng.random_range(Duration::ZERO..LONGEST_GAP));
+            while !stopped.load(Ordering::Relaxed) {
+                std::thread::sleep(rng.random_range(Duration::ZERO..MAX_GAP));
                 let process = &processes[rng.random_range(0..processes.len())];
-                process.pause(rng.random_range(SHORTEST..=plan.max_pause));
+                process.pause(rng.random_range(MIN_PAUSE..=plan.max_pause));
             }
         });
-        PauseInjector { over, thread: Some(thread) }
+        PauseInjector { stop, thread: Some(thread) }
     }
 }
 
 impl Drop for PauseInjector {
     fn drop(&mut self) {
-        self.over.store(true, Ordering::Relaxed);
-        // No process stays stopped.
+        self.stop.store(true, Ordering::Relaxed);
+        // The thread ends its last pause with SIGCONT, so that no process stays stopped.
         let _ = self.thread.take().map(JoinHandle::join);
     }
 }
--- a/tests/fleet/process_pauses.rs
+++ b/tests/fleet/process_pauses.rs
@@ -1,4 +1,5 @@
-//! Processes that stand still for a while: what others did meanwhile is neither lost nor held against them.
+//! Processes that are paused for a while: answers that arrived meanwhile are delivered, and the others are not
+//! considered unresponsive for the time of the pause.
 
 use std::time::Duration;
 
@@ -11,7 +12,7 @@
 use crate::slow_clients::fleet;
 use crate::standin::{Behaviour, event};
 
-/// Stops a process for so long.
+/// Stops a process for `length`.
 async fn pause(process: &Process, length: Duration) {
     process.signal(Signal::SIGSTOP);
     tokio::time::sleep(length).await;
@@ -22,56 +23,61 @@
     log.lines().filter(move |line| field(line, "event") == Some(event))
 }
 
-/// A gateway cut streams whose rest lay ready, since their deadline had passed while it stood still.
+/// After a pause, a gateway cut streams whose deadline had passed meanwhile, although the remaining events were already
+/// in its receive buffer.
 #[tokio::test]
 async fn a_stream_that_lies_ready_after_a_pause_of_its_gateway_arrives_whole() {
     let (fleet, target) = fleet(&[]).await;
     target.behave(Behaviour::Stream(100));
     let front = fleet.front(0);
-    let ask = tokio::spawn(async move {
+    let request = tokio::spawn(async move {
         ClientRequest::new("/stream/x", "r-1").with("x-deadline-ms", "2500").send(front).await
     });
     eventually("the stream runs", async || (target.arrivals().len() == 1).then_some(())).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     pause(&fleet.gateways[0], Duration::from_millis(3_000)).await;
-    let answer = ask.await.expect("no panic").expect("a whole answer");
+    let answer = request.await.expect("no panic").expect("a whole answer");
     assert_eq!(answer.status, 200, "{answer:?}");
     assert_eq!(answer.body, (1..=100).map(event).collect::<String>());
     let log = fleet.gateways[0].log();
     assert_eq!(events_of(&log, "target_silent").count(), 0, "{log}");
 }
 
-/// A gateway gave up on answers that lay ready, since their deadline had passed while it stood still.
+/// After a pause, a gateway gave up on requests whose deadline had passed meanwhile, although the answer was already in
+/// its receive buffer.
 #[tokio::test]
 async fn an_answer_that_lies_ready_after_a_pause_of_its_gateway_is_delivered() {
     let (fleet, target) = fleet(&[]).await;
     target.behave(Behaviour::Slow(Duration::from_millis(600)));
     let front = fleet.front(0);
-    let ask = tokio::spawn(async move {
+    let request = tokio::spawn(async move {
         ClientRequest::new("/unsafe/x", "r-1").with("x-deadline-ms", "1200").send(front).await
     });
-    eventually("it is asked", async || (target.arrivals().len() == 1).then_some(())).await;
+    eventually("the target gets the request", async || {
+        (target.arrivals().len() == 1).then_some(())
+    })
+    .await;
     pause(&fleet.gateways[0], Duration::from_millis(1_500)).await;
-    let answer = ask.await.expect("no panic").expect("a whole answer");
+    let answer = request.await.expect("no panic").expect("a whole answer");
     assert_eq!(answer.status, 200, "{answer:?}");
     let log = fleet.gateways[0].log();
     assert_eq!(events_of(&log, "target_silent").count(), 0, "{log}");
 }
 
-/// A gateway counted its own pauses as time in which the client read nothing, and cut it.
+/// A gateway counted its own pauses as time in which the client read nothing, and cut the client off.
 #[tokio::test]
 async fn a_client_that_reads_slowly_is_not_cut_for_pauses_of_its_gateway() {
     const BYTES: usize = 4_500_000;
     const STEP: usize = 20_000;
     let (fleet, target) = fleet(&[]).await;
     target.behave(Behaviour::Large(BYTES));
-    // Small enough that the gateway's own buffer is full while it stands still.
+    // Small enough that the gateway's own buffer for this client is full while the gateway is paused.
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(200_000).expect("a size");
     let mut client: TcpStream = socket.connect(fleet.front(0)).await.expect("a connection");
     let head = "POST /safe/x HTTP/1.1\r\nhost: h.example\r\nx-request-id: r-1\r\n\
          x-credential: key-a\r\nx-deadline-ms: 60000\r\ncontent-length: 0\r\n\r\n";
-    client.write_all(head.as_bytes()).await.expect("it takes bytes");
+    client.write_all(head.as_bytes()).await.expect("sent");
     let reading = tokio::spawn(async move {
         let mut bytes = vec![0; STEP];
         let mut read = 0;
@@ -92,7 +98,7 @@
     assert_eq!(events_of(&log, "client_cut").count(), 0, "{log}");
 }
 
-/// A gateway left its member as silent when it was itself that had stood still.
+/// After a pause of its own, a gateway took its member for unresponsive and disconnected from it.
 #[tokio::test]
 async fn a_gateway_does_not_leave_its_member_for_its_own_pauses() {
     let (fleet, _target) = fleet(&[]).await;
@@ -104,7 +110,7 @@
     assert_eq!(events_of(&log, "member_left").count(), 0, "{log}");
 }
 
-/// A leader that had stood still took all targets for silent before it read their heartbeats.
+/// After a pause, a leader marked all targets as unresponsive before it read the heartbeats that had arrived meanwhile.
 #[tokio::test]
 async fn a_member_does_not_take_targets_for_silent_for_its_own_pauses() {
     let (fleet, _target) = fleet(&[]).await;
@@ -116,9 +122,10 @@
     assert_eq!(events_of(&log, "targets_silent").count(), 0, "{log}");
 }
 
-/// A gateway that started while its member stood still refused clients that another gateway would have served.
+/// A gateway that started while its member was paused refused clients that another gateway would have served. It must
+/// not listen before the member has sent its first update.
 #[tokio::test]
-async fn a_gateway_that_starts_takes_no_connections_before_a_member_that_lives_told_it_anything() {
+async fn a_gateway_that_starts_takes_no_connections_before_a_member_sent_it_an_update() {
     let (mut fleet, _target) = fleet(&[]).await;
     fleet.gateways[0].kill();
     fleet.members[0].signal(Signal::SIGSTOP);
@@ -126,7 +133,10 @@
     let front = fleet.front(0);
     for _ in 0..25 {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        assert!(TcpStream::connect(front).await.is_err(), "it takes connections");
+        assert!(
+            TcpStream::connect(front).await.is_err(),
+            "the gateway takes connections before its first update"
+        );
     }
     fleet.members[0].signal(Signal::SIGCONT);
     let answer = eventually("the gateway listens", async || {
--- a/tests/fleet/refusals.rs
+++ b/tests/fleet/refusals.rs
@@ -1,4 +1,4 @@
-//! Requests that a gateway refuses: each with its status, its code and, where it helps, a time.
+//! Requests that a gateway refuses: the status, error code and, where a retry makes sense, Retry-After of each.
 
 use std::net::SocketAddr;
 
@@ -10,7 +10,7 @@
 use crate::harness::{Called, Fleet, eventually};
 use crate::standin::{Behaviour, Standin};
 
-/// A request of a client.
+/// A client's request to a gateway.
 pub struct ClientRequest<'a> {
     pub method: &'a str,
     pub path: &'a str,
@@ -19,7 +19,7 @@
 }
 
 impl<'a> ClientRequest<'a> {
-    /// A proper request on a path, with this id.
+    /// A valid POST request.
     pub fn new(path: &'a str, id: &'a str) -> Self {
         let headers = vec![
             ("host", "h.example"),
@@ -41,7 +41,7 @@
         self
     }
 
-    /// Sends the request; an error when the answer is not whole.
+    /// Sends the request; fails if the answer does not arrive whole.
     pub async fn send(&self, front: SocketAddr) -> Result<Called, reqwest::Error> {
         let client = reqwest::Client::builder().timeout(std::time::Duration::from_secs(20));
         let client = client.build().expect("a client");
@@ -57,14 +57,14 @@
     }
 }
 
-/// Code of a refusal.
+/// The error code in the body of a refusal.
 pub fn error_code(answer: &Called) -> String {
     let body: Value = serde_json::from_str(&answer.body).expect("JSON");
     body["error"]["code"].as_str().expect("a code").to_owned()
 }
 
 #[tokio::test]
-async fn a_gateway_that_knows_nothing_says_come_back_and_is_not_ready() {
+async fn a_gateway_without_configuration_answers_503_with_retry_after_and_is_not_ready() {
     let mut fleet = Fleet::prepare(1, 1);
     fleet.gateways[0].start();
     let front = fleet.front(0);
@@ -73,8 +73,9 @@
     });
     let answer = answer.await;
     assert_eq!((answer.status, error_code(&answer).as_str()), (503, "no_configuration"));
-    let wait: f64 = answer.header("retry-after").expect("a time").parse().expect("seconds");
-    assert!(wait > 0.0 && wait < 5.0);
+    let retry_after_s: f64 =
+        answer.header("retry-after").expect("a time").parse().expect("seconds");
+    assert!(retry_after_s > 0.0 && retry_after_s < 5.0);
     let ready = SocketAddr::new(fleet.gateways[0].ip, fleet.addresses.ports.ready);
     let answer = crate::harness::call(ready, "GET", "/ready", "").await.expect("an answer");
     assert_eq!(answer.status, 503);
@@ -99,9 +100,14 @@
         (long, 413, "body_too_large"),
         (ClientRequest::new("/safe/x", "r-8").with("x-large", &big), 431, "head_too_large"),
     ];
-    for (ask, status, reason) in cases {
-        let answer = ask.send(fleet.front(0)).await.expect("an answer");
-        assert_eq!((answer.status, error_code(&answer).as_str()), (status, reason), "{}", ask.path);
+    for (request, status, reason) in cases {
+        let answer = request.send(fleet.front(0)).await.expect("an answer");
+        assert_eq!(
+            (answer.status, error_code(&answer).as_str()),
+            (status, reason),
+            "{}",
+            request.path
+        );
         assert_eq!(answer.header("x-server-stamp"), None);
     }
     assert!(target.arrivals().is_empty(), "{:?}", target.arrivals());
