--- a/tests/fleet/rollouts.rs
+++ b/tests/fleet/rollouts.rs
@@ -1,5 +1,5 @@
-//! Roll-outs: good versions take the place of the old ones, bad ones are rolled back everywhere, whatever happens to
-//! members meanwhile.
+//! Roll-outs: a good version replaces the old one, and a bad one is rolled back at all gateways, also if members fail
+//! meanwhile.
 
 use std::net::SocketAddr;
 use std::process::Command;
@@ -17,10 +17,10 @@
 use crate::refusals::ClientRequest;
 use crate::standin::{Behaviour, Standin};
 
-/// Part of the requests that a bad version may get here: large, since the fleets here serve few.
+/// Share of the requests that an unproven version may get; large, because these fleets serve few requests.
 const EXPOSE_SHARE: f64 = 0.6;
-/// Callers that ask without a pause.
-const CALLERS: usize = 12;
+/// Clients that send requests without a pause.
+const CLIENTS: usize = 12;
 
 /// A fleet with two targets of the first version.
 async fn fleet(members: usize, gateways: usize) -> (Fleet, Vec<Standin>) {
@@ -41,8 +41,12 @@
     (fleet, old)
 }
 
-/// Two targets of another version.
-async fn newcomers(fleet: &Fleet, version: &'static str, behaviour: Behaviour) -> Vec<Standin> {
+/// Starts two targets of another version.
+async fn start_new_targets(
+    fleet: &Fleet,
+    version: &'static str,
+    behaviour: Behaviour,
+) -> Vec<Standin> {
     let mut new = Vec::new();
     for id in ["new-1", "new-2"] {
         let mut standin = Standin::start(id, "s", Vec::new()).await.of_version(version);
@@ -53,46 +57,46 @@
     new
 }
 
-async fn start(fleet: &Fleet, member: usize, version: &str, duration_s: f64) -> Called {
+async fn start_rollout(fleet: &Fleet, member: usize, version: &str, duration_s: f64) -> Called {
     let order = json!({ "service": "s", "target-version": version, "duration-s": duration_s });
-    eventually("the roll-out is answered", async || {
+    eventually("the member accepts or refuses the roll-out", async || {
         let answer = call(fleet.door(member), "POST", "/rollouts", &order.to_string()).await?;
         (answer.status != 503).then_some(answer)
     })
     .await
 }
 
-/// Waits until a member says that the roll-out is in this state.
-async fn reaches(fleet: &Fleet, member: usize, state: &str) {
+/// Waits until a member reports that the roll-out is in this state.
+async fn wait_for_state(fleet: &Fleet, member: usize, state: &str) {
     eventually(&format!("the roll-out is {state}"), async || {
         let answer = call(fleet.door(member), "GET", "/rollouts/s", "").await?;
-        let told: Value = serde_json::from_str(&answer.body).ok()?;
-        (told["state"] == state).then_some(())
+        let reported: Value = serde_json::from_str(&answer.body).ok()?;
+        (reported["state"] == state).then_some(())
     })
     .await;
 }
 
-/// A request that was not served, though not by the new version's fault.
+/// A request that was not served, though no target of the new version answered it.
 struct Lost {
     id: String,
     front: SocketAddr,
     took: Duration,
-    /// Status and body of the refusal, or why there was no answer.
-    came: String,
+    /// Status and body of the refusal, or the error of the connection.
+    outcome: String,
 }
 
-/// Callers that ask all gateways until they are stopped.
-struct Callers {
+/// Clients that send requests to the gateways in turn until they are stopped.
+struct Clients {
     tasks: JoinSet<()>,
     stop: Arc<AtomicBool>,
     lost: Arc<Mutex<Vec<Lost>>>,
 }
 
-impl Callers {
+impl Clients {
     fn start(fronts: Vec<SocketAddr>, path: &'static str) -> Self {
         let (stop, lost) = (Arc::new(AtomicBool::new(false)), Arc::<Mutex<Vec<Lost>>>::default());
         let mut tasks = JoinSet::new();
-        for caller in 0..CALLERS {
+        for client_number in 0..CLIENTS {
             let (stop, lost, fronts) = (stop.clone(), lost.clone(), fronts.clone());
             tasks.spawn(async move {
                 let client = reqwest::Client::new();
@@ -100,33 +104,34 @@
                     if stop.load(Ordering::Relaxed) {
                         return;
                     }
-                    let front = fronts[(caller + number) % fronts.len()];
-                    let (id, asked_at) = (format!("r-{caller}-{number}"), Instant::now());
-                    if let Err(came) = ask(&client, front, path, &id).await {
-                        let took = asked_at.elapsed();
-                        lost.lock().expect("no panic").push(Lost { id, front, took, came });
+                    let front = fronts[(client_number + number) % fronts.len()];
+                    let (id, sent_at) = (format!("r-{client_number}-{number}"), Instant::now());
+                    if let Err(outcome) = send_request(&client, front, path, &id).await {
+                        let took = sent_at.elapsed();
+                        lost.lock().expect("no panic").push(Lost { id, front, took, outcome });
                     }
                 }
             });
         }
-        Callers { tasks, stop, lost }
+        Clients { tasks, stop, lost }
     }
 
-    /// Stops them. No request may be lost; of each that was, this tells what came and what gateways logged.
+    /// Stops the clients and asserts that no request was lost; a failure shows the outcome and the gateways' log lines of
+    /// each lost request.
     async fn stop_without_loss(mut self, fleet: &Fleet) {
         self.stop.store(true, Ordering::Relaxed);
         while self.tasks.join_next().await.is_some() {}
         let lost = std::mem::take(&mut *self.lost.lock().expect("no panic"));
-        let stories = lost.iter().map(|Lost { id, front, took, came }| {
-            format!("{id} at {front} after {took:?}: {came}\n{}", fleet.logged_of(id))
+        let reports = lost.iter().map(|Lost { id, front, took, outcome }| {
+            format!("{id} at {front} after {took:?}: {outcome}\n{}", fleet.logged_of(id))
         });
-        let stories: Vec<String> = stories.collect();
-        assert!(lost.is_empty(), "{} requests were lost:\n{}", lost.len(), stories.join("\n"));
+        let reports: Vec<String> = reports.collect();
+        assert!(lost.is_empty(), "{} requests were lost:\n{}", lost.len(), reports.join("\n"));
     }
 }
 
-/// Asks; an error unless the answer is good or a target of the new version gave it.
-async fn ask(
+/// Sends a request; fails unless the status is 200 or a target of the new version answered.
+async fn send_request(
     client: &reqwest::Client,
     front: SocketAddr,
     path: &str,
@@ -148,33 +153,36 @@
     Err(format!("{status}: {}", answer.text().await.unwrap_or_else(|error| format!("{error:?}"))))
 }
 
-fn asked(standins: &[Standin]) -> usize {
+fn count_arrivals(standins: &[Standin]) -> usize {
     standins.iter().map(|standin| standin.arrivals().len()).sum()
 }
 
 #[tokio::test]
 async fn a_good_version_gets_all_and_then_nothing_reaches_the_old_one() {
     let (fleet, old) = fleet(3, 2).await;
-    assert_eq!(start(&fleet, 1, "v2", 20.0).await.status, 200);
-    let new = newcomers(&fleet, "v2", Behaviour::Answer).await;
-    let callers = Callers::start(vec![fleet.front(0), fleet.front(1)], "/unsafe/x");
-    reaches(&fleet, 0, "completed").await;
+    assert_eq!(start_rollout(&fleet, 1, "v2", 20.0).await.status, 200);
+    let new = start_new_targets(&fleet, "v2", Behaviour::Answer).await;
+    let clients = Clients::start(vec![fleet.front(0), fleet.front(1)], "/unsafe/x");
+    wait_for_state(&fleet, 0, "completed").await;
     for gateway in &fleet.gateways {
-        knows(gateway, "s:v2:completed:1").await;
+        wait_for_rollouts(gateway, "s:v2:completed:1").await;
     }
-    let before = asked(&old);
-    assert!(before > 0);
-    let at_new = asked(&new);
-    eventually("the new version serves", async || (asked(&new) > at_new + 50).then_some(())).await;
-    assert_eq!(asked(&old), before);
-    callers.stop_without_loss(&fleet).await;
+    let old_before = count_arrivals(&old);
+    assert!(old_before > 0);
+    let new_before = count_arrivals(&new);
+    eventually("the new version serves", async || {
+        (count_arrivals(&new) > new_before + 50).then_some(())
+    })
+    .await;
+    assert_eq!(count_arrivals(&old), old_before);
+    clients.stop_without_loss(&fleet).await;
     let log: String = fleet.members.iter().map(Process::log).collect();
     assert!(log.lines().any(|line| field(line, "event") == Some("rollout_step")));
 }
 
-/// Waits until the last word of a process about roll-outs is this one.
-async fn knows(process: &Process, rollouts: &str) {
-    eventually(&format!("{} knows {rollouts:?}", process.name), async || {
+/// Waits until the newest log line of a process about roll-outs shows `rollouts`.
+async fn wait_for_rollouts(process: &Process, rollouts: &str) {
+    eventually(&format!("{} logs rollouts={rollouts:?}", process.name), async || {
         let log = process.log();
         let mut newest_first = log.lines().rev();
         let last = newest_first.find(|line| field(line, "event") == Some("rollouts"))?;
@@ -183,7 +191,7 @@
     .await;
 }
 
-/// Eight gateways and three members, of which one is killed and one freezes while the version is found out.
+/// A bad version must be rolled back at all eight gateways although a member crashes while it is under test.
 #[rstest]
 #[case::fails(Behaviour::Fail)]
 #[case::slow(Behaviour::Slow(Duration::from_millis(400)))]
@@ -194,7 +202,8 @@
     rolled_back_while_members_are_lost(behaviour, None).await;
 }
 
-/// A request chosen before its gateway stood still reached the new version after that gateway knew of the roll-back.
+/// A gateway that was paused between the choice of a target and the sending of the request sent it to the new version
+/// even after it had received the roll-back.
 #[rstest]
 #[case(11)]
 #[case(14)]
@@ -211,27 +220,31 @@
 async fn rolled_back_while_members_are_lost(behaviour: Behaviour, pauses: Option<PausePlan>) {
     let (mut fleet, old) = fleet(3, 8).await;
     pauses.into_iter().for_each(|plan| fleet.pause(plan));
-    assert_eq!(start(&fleet, 2, "v2", 600.0).await.status, 200);
+    assert_eq!(start_rollout(&fleet, 2, "v2", 600.0).await.status, 200);
     let fronts = (0..8).map(|gateway| fleet.front(gateway)).collect();
-    let callers = Callers::start(fronts, "/unsafe/x");
-    eventually("the old version serves", async || (asked(&old) > 100).then_some(())).await;
-    let new = newcomers(&fleet, "v2", behaviour).await;
-    eventually("the new version is asked", async || (asked(&new) > 0).then_some(())).await;
+    let clients = Clients::start(fronts, "/unsafe/x");
+    eventually("the old version serves", async || (count_arrivals(&old) > 100).then_some(())).await;
+    let new = start_new_targets(&fleet, "v2", behaviour).await;
+    eventually("the new version gets requests", async || (count_arrivals(&new) > 0).then_some(()))
+        .await;
     fleet.members[0].kill();
     fleet.members[0].start();
-    reaches(&fleet, 1, "rolled_back").await;
+    wait_for_state(&fleet, 1, "rolled_back").await;
     for gateway in &fleet.gateways {
-        knows(gateway, "s:v2:rolled_back:0").await;
+        wait_for_rollouts(gateway, "s:v2:rolled_back:0").await;
     }
-    let at_new = asked(&new);
-    let at_old = asked(&old);
-    eventually("the old version serves", async || (asked(&old) > at_old + 200).then_some(())).await;
-    assert_eq!(asked(&new), at_new);
-    callers.stop_without_loss(&fleet).await;
-    // A gateway that starts now knows of the roll-back before it knows of targets.
+    let new_before = count_arrivals(&new);
+    let old_before = count_arrivals(&old);
+    eventually("the old version serves", async || {
+        (count_arrivals(&old) > old_before + 200).then_some(())
+    })
+    .await;
+    assert_eq!(count_arrivals(&new), new_before);
+    clients.stop_without_loss(&fleet).await;
+    // A gateway that restarts now receives the roll-back before the targets.
     fleet.gateways[3].kill();
     fleet.gateways[3].start();
-    eventually("it serves again", async || {
+    eventually("the restarted gateway serves", async || {
         let answer = ClientRequest::new("/safe/x", "r-again").send(fleet.front(3)).await.ok()?;
         (answer.status == 200).then_some(())
     })
@@ -242,26 +255,26 @@
             .await
             .expect("an answer");
     }
-    assert_eq!(asked(&new), at_new);
+    assert_eq!(count_arrivals(&new), new_before);
 }
 
 #[tokio::test]
-async fn an_order_outlives_the_loss_of_all_processes_and_is_taken_again() {
+async fn an_order_survives_a_crash_of_all_members_and_may_be_repeated() {
     let (mut fleet, _old) = fleet(3, 1).await;
-    assert_eq!(start(&fleet, 0, "v2", 900.0).await.status, 200);
-    assert_eq!(start(&fleet, 1, "v2", 900.0).await.status, 200);
-    let other = start(&fleet, 2, "v3", 900.0).await;
+    assert_eq!(start_rollout(&fleet, 0, "v2", 900.0).await.status, 200);
+    assert_eq!(start_rollout(&fleet, 1, "v2", 900.0).await.status, 200);
+    let other = start_rollout(&fleet, 2, "v3", 900.0).await;
     assert_eq!(other.status, 409, "{other:?}");
     assert!(other.body.contains("service"), "{other:?}");
     fleet.members.iter_mut().for_each(Process::kill);
     fleet.members.iter_mut().for_each(Process::start);
-    let told = eventually("a member tells", async || {
+    let reported = eventually("a member reports the roll-out", async || {
         let answer = call(fleet.door(1), "GET", "/rollouts/s", "").await?;
         (answer.status == 200).then_some(answer)
     })
     .await;
-    let told: Value = serde_json::from_str(&told.body).expect("JSON");
-    assert_eq!(told, json!({ "state": "running", "target-version": "v2" }));
+    let reported: Value = serde_json::from_str(&reported.body).expect("JSON");
+    assert_eq!(reported, json!({ "state": "running", "target-version": "v2" }));
 }
 
 #[rstest]
@@ -286,9 +299,9 @@
 async fn operators_start_show_list_and_withdraw_roll_outs() {
     let (fleet, _old) = fleet(1, 0).await;
     let door = fleet.door(0).to_string();
-    let run = async |words: &[&str]| {
+    let run = async |args: &[&str]| {
         let mut command = Command::new(env!("CARGO_BIN_EXE_latchmount"));
-        command.arg("rollout").args(words).args(["--dialect", "platform", "--member", &door]);
+        command.arg("rollout").args(args).args(["--dialect", "platform", "--member", &door]);
         let run = tokio::task::spawn_blocking(move || command.output().expect("it starts"));
         let output = run.await.expect("no panic");
         let text = String::from_utf8_lossy(&output.stdout).into_owned();
@@ -300,8 +313,8 @@
     assert_eq!((code, text.trim()), (Some(0), "s moves to v2"));
     let (code, text) = run(&["show", "s"]).await;
     assert_eq!(code, Some(0));
-    let told: Value = serde_json::from_str(&text).expect("JSON");
-    assert_eq!(told, json!({ "state": "running", "target-version": "v2" }));
+    let reported: Value = serde_json::from_str(&text).expect("JSON");
+    assert_eq!(reported, json!({ "state": "running", "target-version": "v2" }));
     let (code, text) = run(&["start", "--within-s", "0", "s", "v3"]).await;
     assert_eq!(code, Some(2), "{text}");
     let (code, text) = run(&["withdraw", "s"]).await;
--- a/tests/fleet/slow_clients.rs
+++ b/tests/fleet/slow_clients.rs
@@ -1,4 +1,5 @@
-//! Clients that send and read slowly: what is held for them stays bounded, and others do not notice.
+//! Clients that send or read slowly: the memory that a gateway uses for them is bounded, and other clients are served
+//! as before.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,12 +13,12 @@
 use crate::refusals::{ClientRequest, error_code};
 use crate::standin::{Behaviour, Standin};
 
-/// Connections of slow clients.
-const SLOW: usize = 300;
-/// Requests of quick ones.
-const QUICK: usize = 200;
+/// Slow clients that send part of a head, and as many that send part of a body.
+const SLOW_CLIENTS: usize = 300;
+/// Requests of a fast client.
+const FAST_REQUESTS: usize = 200;
 
-/// A gateway with one target, whose routes leave requests a minute.
+/// A fleet of one member and one gateway with these settings, one target and a timeout of a minute on all routes.
 pub async fn fleet(settings: &[(&str, serde_json::Value)]) -> (Fleet, Standin) {
     let mut fleet = Fleet::prepare(1, 1);
     for (field, value) in settings {
@@ -36,7 +37,7 @@
     (fleet, target)
 }
 
-/// The head of a request with a body of so many bytes.
+/// The head of a request with a body of `length` bytes.
 fn head(path: &str, id: &str, length: usize) -> String {
     format!(
         "POST {path} HTTP/1.1\r\nhost: h.example\r\nx-request-id: {id}\r\nx-credential: key-a\r\n\
@@ -44,9 +45,9 @@
     )
 }
 
-async fn send(front: SocketAddr, text: &[u8]) -> TcpStream {
+async fn send(front: SocketAddr, bytes: &[u8]) -> TcpStream {
     let mut stream = TcpStream::connect(front).await.expect("a connection");
-    stream.write_all(text).await.expect("it takes bytes");
+    stream.write_all(bytes).await.expect("sent");
     stream
 }
 
@@ -59,55 +60,58 @@
     kib / 1_024.0
 }
 
-async fn served(front: SocketAddr) -> usize {
+/// Sends `FAST_REQUESTS` requests one by one and counts those that are served.
+async fn count_served(front: SocketAddr) -> usize {
     let mut served = 0;
-    for number in 0..QUICK {
+    for number in 0..FAST_REQUESTS {
         let answer = ClientRequest::new("/safe/x", &format!("q-{number}")).send(front).await;
         served += usize::from(answer.is_ok_and(|answer| answer.status == 200));
     }
     served
 }
 
-/// Hundreds of connections send parts of heads and of large bodies and then nothing more.
+/// Hundreds of connections that send only part of a head or of a large body must not fill the gateway's memory or keep
+/// it from serving others.
 #[tokio::test]
 async fn slow_senders_cost_others_nothing_and_stay_within_memory() {
     let (fleet, _target) = fleet(&[]).await;
     let front = fleet.front(0);
     let mut slow = Vec::new();
-    for number in 0..SLOW {
+    for number in 0..SLOW_CLIENTS {
         slow.push(send(front, b"POST /safe/x HTTP/1.1\r\nhost: h.exa").await);
-        let mut begun = head("/safe/x", &format!("s-{number}"), 3_000_000).into_bytes();
-        begun.resize(begun.len() + 400_000, b'x');
+        let mut partial = head("/safe/x", &format!("s-{number}"), 3_000_000).into_bytes();
+        partial.resize(partial.len() + 400_000, b'x');
         let mut stream = TcpStream::connect(front).await.expect("a connection");
-        // It may have been cut meanwhile, as it may be.
-        let sending = tokio::time::timeout(Duration::from_secs(2), stream.write_all(&begun));
+        // The gateway may have closed the connection already to free memory.
+        let sending = tokio::time::timeout(Duration::from_secs(2), stream.write_all(&partial));
         let _ = sending.await;
         slow.push(stream);
     }
-    let served = served(front).await;
-    assert!(served * 100 >= QUICK * 95, "{served} of {QUICK}");
+    let served = count_served(front).await;
+    assert!(served * 100 >= FAST_REQUESTS * 95, "{served} of {FAST_REQUESTS}");
     let memory = memory_mib(&fleet.gateways[0]);
     assert!(memory < 160.0, "{memory} MiB");
     drop(slow);
 }
 
-/// A client that is cut while it sends is told so, and truly: its request reached nobody.
+/// A client that the gateway cuts off while it sends, to free memory, gets 408 with `not_run`, and no target gets the
+/// request.
 #[tokio::test]
 async fn a_slow_sender_that_makes_room_is_told_408_and_its_request_reaches_nobody() {
     let (fleet, target) = fleet(&[("memory_mb", json!(32))]).await;
     let front = fleet.front(0);
-    // 13 MB may be held; each of these has 3 MB, and may be cut a second after it came.
+    // The gateway may hold 13 MB of bodies; each client sends 3 MB, and may be cut off a second after it connected.
     let mut slow = Vec::new();
     for number in 0..6 {
         tokio::time::sleep(Duration::from_millis(400)).await;
-        let mut begun = head("/safe/x", &format!("s-{number}"), 3_500_000).into_bytes();
-        begun.resize(begun.len() + 3_000_000, b'x');
+        let mut partial = head("/safe/x", &format!("s-{number}"), 3_500_000).into_bytes();
+        partial.resize(partial.len() + 3_000_000, b'x');
         let mut stream = TcpStream::connect(front).await.expect("a connection");
-        let _ = tokio::time::timeout(Duration::from_secs(2), stream.write_all(&begun)).await;
+        let _ = tokio::time::timeout(Duration::from_secs(2), stream.write_all(&partial)).await;
         slow.push(stream);
     }
     let mut answer = String::new();
-    eventually("the first is told", async || {
+    eventually("the first client gets an answer", async || {
         let mut bytes = [0; 1_024];
         let read = tokio::time::timeout(Duration::from_millis(200), slow[0].read(&mut bytes));
         let read = read.await.ok()?.ok()?;
@@ -123,25 +127,26 @@
     assert!(log.lines().any(|line| field(line, "event") == Some("client_cut")), "{log}");
 }
 
-/// A client that never reads: its target is done or let go, is not blamed, and the connection ends.
+/// If a client never reads, the gateway closes its connection and ends the request at the target, and does not eject
+/// the target for it.
 #[tokio::test]
 async fn a_client_that_reads_nothing_is_cut_and_its_target_is_neither_held_nor_blamed() {
     let settings = [("client_buffer_kb", json!(16)), ("client_unread_ms", json!(500))];
     let (fleet, target) = fleet(&settings).await;
     target.behave(Behaviour::Flood);
-    // The system must not keep megabytes for the client.
+    // Otherwise the kernel would buffer megabytes for the client.
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(4_096).expect("a size");
     let mut stuck = socket.connect(fleet.front(0)).await.expect("a connection");
-    stuck.write_all(head("/stream/x", "r-stuck", 0).as_bytes()).await.expect("it takes bytes");
+    stuck.write_all(head("/stream/x", "r-stuck", 0).as_bytes()).await.expect("sent");
     eventually("the stream runs", async || (target.arrivals().len() == 1).then_some(())).await;
-    let cut = eventually("the client is cut", async || {
+    let cut = eventually("the gateway closes the client's connection", async || {
         let log = fleet.gateways[0].log();
         let cut = |line: &&str| field(line, "event") == Some("client_cut");
         log.lines().find(cut).and_then(|line| field(line, "why")).map(str::to_owned)
     });
     assert_eq!(cut.await, "unread");
-    eventually("the target is let go", async || (target.open() == 0).then_some(())).await;
+    eventually("the request ends at the target", async || (target.open() == 0).then_some(())).await;
     let log = fleet.gateways[0].log();
     assert!(!log.contains("event=target_paused"), "{log}");
     target.behave(Behaviour::Answer);
@@ -150,14 +155,15 @@
     assert_eq!(answer.status, 200);
 }
 
-/// A client that reads late gets all of an answer that fits its buffer, whose target was done long before.
+/// A client that starts to read only after the target has finished gets the whole answer, if that fits the gateway's
+/// buffer.
 #[tokio::test]
 async fn a_client_that_reads_late_gets_its_whole_answer() {
     let (fleet, target) = fleet(&[]).await;
     target.behave(Behaviour::Stream(2_000));
     let head = head("/stream/x", "r-late", 0);
     let mut late = send(fleet.front(0), head.as_bytes()).await;
-    eventually("the target is done", async || {
+    eventually("the target has finished", async || {
         let log = fleet.gateways[0].log();
         let _ = log;
         (target.arrivals().len() == 1 && target.open() <= 1).then_some(())
@@ -173,19 +179,23 @@
     .await;
 }
 
-/// Bodies at one target are bounded, one alone may always go, and what finds no room has not run.
+/// The total size of the request bodies in flight at a target is bounded (`target_bodies_kb`). A single body may exceed
+/// the bound; a request that finds no room is refused as not run.
 #[tokio::test]
 async fn bodies_at_a_target_are_bounded() {
     let (fleet, target) = fleet(&[("target_bodies_kb", json!(64))]).await;
     target.behave(Behaviour::Slow(Duration::from_secs(2)));
     let front = fleet.front(0);
     let large = |id: String| async move {
-        let mut ask = ClientRequest::new("/unsafe/x", &id);
-        ask.body = vec![b'x'; 100_000];
-        ask.send(front).await.expect("an answer")
+        let mut request = ClientRequest::new("/unsafe/x", &id);
+        request.body = vec![b'x'; 100_000];
+        request.send(front).await.expect("an answer")
     };
     let first = tokio::spawn(large("r-1".into()));
-    eventually("the first is there", async || (target.arrivals().len() == 1).then_some(())).await;
+    eventually("the target gets the first request", async || {
+        (target.arrivals().len() == 1).then_some(())
+    })
+    .await;
     let second = large("r-2".into()).await;
     assert_eq!((second.status, error_code(&second).as_str()), (503, "no_room"));
     assert!(second.body.contains("\"not_run\":true"), "{second:?}");
@@ -194,7 +204,7 @@
     assert_eq!(target.arrivals().len(), 1);
 }
 
-/// It takes 400 KB a second for longer than the system's buffers last.
+/// A client that reads 400 KB/s must get its whole answer, although the answer is larger than all socket buffers.
 #[tokio::test]
 async fn a_client_that_reads_slowly_and_steadily_gets_its_whole_answer() {
     const BYTES: usize = 4_500_000;
--- a/tests/fleet/stops.rs
+++ b/tests/fleet/stops.rs
@@ -1,4 +1,4 @@
-//! Planned stops, and settings that change while a process runs.
+//! Planned stops (SIGTERM), and settings that are reloaded while a process runs (SIGHUP).
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -21,34 +21,34 @@
     fleet.configure(&configuration(1)).await;
     fleet.knows_targets(0, 1).await;
     let front = fleet.front(0);
-    let asking = |at: usize| async move {
-        let id = format!("r-{at}");
+    let send = |number: usize| async move {
+        let id = format!("r-{number}");
         (id.clone(), ClientRequest::new("/unsafe/x", &id).send(front).await)
     };
-    let mut asks = tokio::task::JoinSet::new();
-    for at in 0..10 {
-        asks.spawn(asking(at));
+    let mut requests = tokio::task::JoinSet::new();
+    for number in 0..10 {
+        requests.spawn(send(number));
     }
     tokio::time::sleep(Duration::from_millis(100)).await;
     fleet.gateways[0].signal(Signal::SIGTERM);
-    for at in 10..40 {
-        asks.spawn(asking(at));
+    for number in 10..40 {
+        requests.spawn(send(number));
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    while let Some(asked) = asks.join_next().await {
-        let (id, answer) = asked.expect("no panic");
+    while let Some(joined) = requests.join_next().await {
+        let (id, answer) = joined.expect("no panic");
         match answer {
             Ok(answer) if answer.status == 200 => {
                 assert_eq!(answer.body, format!("answer to {id}"))
             }
             Ok(answer) => assert_eq!(answer.status, 503, "{id}: {}", answer.body),
-            Err(error) => assert!(error.is_connect(), "{id} was taken and lost: {error}"),
+            Err(error) => assert!(error.is_connect(), "{id} was accepted and lost: {error}"),
         }
     }
     assert!(fleet.gateways[0].ended().await);
 }
 
-/// Reads an answer at some 900 KB/s to its end; gives the length of its body and the length that its head states.
+/// Reads an answer to its end at about 900 KB/s; returns the length of its body and its Content-Length.
 async fn read_slowly(front: SocketAddr, id: &str) -> (usize, usize) {
     const READ: usize = 64 * 1024;
     let socket = TcpSocket::new_v4().expect("a socket");
@@ -59,19 +59,20 @@
          x-deadline-ms: 30000\r\nconnection: close\r\ncontent-length: 4\r\n\r\nbody"
     );
     stream.write_all(head.as_bytes()).await.expect("sent");
-    let (mut answer, mut piece) = (Vec::new(), vec![0; READ]);
-    while let Ok(read @ 1..) = stream.read(&mut piece).await {
-        answer.extend(&piece[..read]);
+    let (mut answer, mut buffer) = (Vec::new(), vec![0; READ]);
+    while let Ok(read @ 1..) = stream.read(&mut buffer).await {
+        answer.extend(&buffer[..read]);
         tokio::time::sleep(Duration::from_millis(70) * read as u32 / READ as u32).await;
     }
-    let end = answer.windows(4).position(|four| four == b"\r\n\r\n").expect("a head");
+    let end = answer.windows(4).position(|window| window == b"\r\n\r\n").expect("a head");
     let head = String::from_utf8_lossy(&answer[..end]).to_lowercase();
-    let stated = head.lines().find_map(|line| line.strip_prefix("content-length: ")?.parse().ok());
-    (answer.len() - end - 4, stated.expect("a length"))
+    let content_length =
+        head.lines().find_map(|line| line.strip_prefix("content-length: ")?.parse().ok());
+    (answer.len() - end - 4, content_length.expect("a length"))
 }
 
-/// A gateway ended as soon as the last piece of an answer was on its way to the connection: what the connection had not
-/// taken yet was lost, and the answer broke off.
+/// A stopping gateway exited as soon as it had queued the last part of an answer for the connection; the bytes that were
+/// not written yet were lost, and the client got a truncated answer.
 #[tokio::test]
 async fn a_planned_stop_waits_until_a_slow_client_has_all_of_its_answer() {
     const BYTES: usize = 6_300_000;
@@ -81,15 +82,15 @@
     fleet.settled().await;
     let target = Standin::start("i-1", "s", fleet.doors()).await;
     target.behave(Behaviour::Large(BYTES));
-    let mut patient = configuration(1);
-    for route in patient["routes"].as_array_mut().expect("routes") {
+    let mut configuration = configuration(1);
+    for route in configuration["routes"].as_array_mut().expect("routes") {
         route["timeout-ms"] = json!(60_000);
     }
-    fleet.configure(&patient).await;
+    fleet.configure(&configuration).await;
     fleet.knows_targets(0, 1).await;
     let front = fleet.front(0);
     let reading = tokio::spawn(async move { read_slowly(front, "r-slow").await });
-    eventually("the request is under way", async || target.arrivals().first().map(|_| ())).await;
+    eventually("the target gets the request", async || target.arrivals().first().map(|_| ())).await;
     fleet.gateways[0].signal(Signal::SIGTERM);
     assert!(fleet.gateways[0].ended().await);
     assert_eq!(reading.await.expect("no panic"), (BYTES, BYTES), "{}", fleet.logged_of("r-slow"));
@@ -126,7 +127,7 @@
     settings["members"] = json!(["127.0.0.1:9"]);
     gateway.write_settings(&settings.to_string());
     gateway.signal(Signal::SIGHUP);
-    eventually("the sound file is taken", async || {
+    eventually("the valid file is applied", async || {
         let log = gateway.log();
         let line = log.lines().find(|line| line.contains("event=settings_in_force"))?;
         line.contains("restart_needed=false").then_some(())
--- a/tests/fleet/timelines.rs
+++ b/tests/fleet/timelines.rs
@@ -1,4 +1,5 @@
-//! Whatever became of a request, the logs tell by its id why, and on what it was decided.
+//! The timeline that `explain` builds from log lines shows for each request id how it ended, why, and what the gateway
+//! knew when it decided.
 
 use std::time::Duration;
 
@@ -10,13 +11,13 @@
 use crate::refusals::ClientRequest;
 use crate::standin::{Behaviour, Standin};
 
-/// The story of a request once its last step is there.
-async fn story(fleet: &Fleet, id: &str, last_event: &str) -> Timeline {
+/// The timeline of a request, once its last step is `last_event`.
+async fn wait_for_timeline(fleet: &Fleet, id: &str, last_event: &str) -> Timeline {
     eventually(&format!("{last_event} of {id} is logged"), async || {
         let log = fleet.gateways[0].log();
-        let story = Timeline::of(id, log.lines());
-        let last = story.steps.last()?;
-        (last.event == last_event).then_some(story)
+        let timeline = Timeline::of(id, log.lines());
+        let last = timeline.steps.last()?;
+        (last.event == last_event).then_some(timeline)
     })
     .await
 }
@@ -30,19 +31,19 @@
 #[case::no_route(ClientRequest::new("/elsewhere/x", "r-1"), "no_route")]
 #[case::bad_request(ClientRequest::new("/safe/x", "r-1").with("x-deadline-ms", "soon"), "bad_request")]
 #[tokio::test]
-async fn a_refusal_tells_its_reason_and_the_configuration(
-    #[case] ask: ClientRequest<'static>,
+async fn a_refusal_shows_its_reason_and_the_configuration(
+    #[case] request: ClientRequest<'static>,
     #[case] reason: &str,
 ) {
     let fleet = Fleet::start(1, 1).await;
     fleet.configure(&configuration(4)).await;
-    ask.send(fleet.front(0)).await.expect("an answer");
-    let story = story(&fleet, "r-1", "refused").await;
-    let step = &story.steps[0];
+    request.send(fleet.front(0)).await.expect("an answer");
+    let timeline = wait_for_timeline(&fleet, "r-1", "refused").await;
+    let step = &timeline.steps[0];
     assert_eq!((detail(step, "reason"), detail(step, "version")), (reason, "4"));
     assert!(detail(step, "news_age_ms").parse::<i64>().is_ok());
-    let matters: Vec<&str> = step.known_state.iter().map(|belief| belief.topic).collect();
-    assert!(matters.contains(&"configuration"), "{matters:?}");
+    let topics: Vec<&str> = step.known_state.iter().map(|state| state.topic).collect();
+    assert!(topics.contains(&"configuration"), "{topics:?}");
 }
 
 #[rstest]
@@ -51,7 +52,7 @@
 #[case::for_another("/unsafe/x", Behaviour::AnswerAnother, "wrong_answer")]
 #[case::late("/unsafe/x", Behaviour::Mute, "answer_late")]
 #[tokio::test]
-async fn a_request_given_up_on_tells_each_attempt_and_the_reason(
+async fn a_request_given_up_shows_each_attempt_and_the_reason(
     #[case] path: &str,
     #[case] behaviour: Behaviour,
     #[case] reason: &str,
@@ -61,11 +62,11 @@
     target.behave(behaviour);
     fleet.configure(&configuration(4)).await;
     fleet.knows_targets(0, 1).await;
-    let ask = ClientRequest::new(path, "r-1").with("x-deadline-ms", "500");
-    ask.send(fleet.front(0)).await.expect("an answer");
-    let story = story(&fleet, "r-1", "given_up").await;
-    let [attempt, given_up] = &story.steps[..] else {
-        panic!("{story}");
+    let request = ClientRequest::new(path, "r-1").with("x-deadline-ms", "500");
+    request.send(fleet.front(0)).await.expect("an answer");
+    let timeline = wait_for_timeline(&fleet, "r-1", "given_up").await;
+    let [attempt, given_up] = &timeline.steps[..] else {
+        panic!("{timeline}");
     };
     assert_eq!((detail(attempt, "outcome"), detail(attempt, "target")), (reason, "i-1"));
     for input in ["load", "in_flight", "candidates", "list", "version", "budget_left", "left_ms"] {
@@ -76,7 +77,7 @@
 }
 
 #[tokio::test]
-async fn a_retry_a_resumption_and_a_cut_are_told() {
+async fn a_retry_a_resumption_and_a_cut_are_shown() {
     let fleet = Fleet::start(1, 1).await;
     let targets = [
         Standin::start("i-1", "s", fleet.doors()).await,
@@ -89,17 +90,17 @@
 
     behave(Behaviour::Fail);
     ClientRequest::new("/safe/x", "retried").send(front).await.expect("an answer");
-    let retried = story(&fleet, "retried", "answered").await;
+    let retried = wait_for_timeline(&fleet, "retried", "answered").await;
     assert_eq!(retried.steps.len(), 3, "two attempts and the answer: {retried}");
 
     behave(Behaviour::BreakAfter(3));
     assert!(ClientRequest::new("/stream/x", "cut").send(front).await.is_err());
-    let cut = story(&fleet, "cut", "stream_cut").await;
+    let cut = wait_for_timeline(&fleet, "cut", "stream_cut").await;
     let events: Vec<&str> = cut.steps.iter().map(|step| step.event.as_str()).collect();
     assert_eq!(events, ["attempt", "answered", "broke_off", "stream_cut"]);
     assert_eq!(detail(&cut.steps[2], "last_event"), "3");
 
-    let asking =
+    let request =
         tokio::spawn(
             async move { ClientRequest::new("/resumable/x", "resumed").send(front).await },
         );
@@ -109,14 +110,14 @@
     })
     .await;
     behave(Behaviour::Stream(6));
-    asking.await.expect("no panic").expect("a whole answer");
-    let resumed = story(&fleet, "resumed", "resumed").await;
+    request.await.expect("no panic").expect("a whole answer");
+    let resumed = wait_for_timeline(&fleet, "resumed", "resumed").await;
     let last = resumed.steps.last().expect("steps");
     assert_eq!((detail(last, "last_event"), detail(last, "sends")), ("3", "2"));
 }
 
 #[tokio::test]
-async fn requests_refused_for_stale_news_or_whose_time_is_over_tell_so() {
+async fn requests_refused_for_a_stale_configuration_or_a_passed_deadline_show_so() {
     let mut fleet = Fleet::prepare(1, 1);
     fleet.gateways[0].set("on_stale", serde_json::json!("refuse"));
     fleet.gateways[0].set("stale_after_ms", serde_json::json!(400));
@@ -124,11 +125,11 @@
     fleet.gateways[0].start();
     fleet.configure(&configuration(4)).await;
     let late = ClientRequest::new("/safe/x", "late").with("x-deadline-ms", "0");
-    eventually("the request is too late", async || {
+    eventually("the request is given up as too late", async || {
         late.send(fleet.front(0)).await.ok()?;
         let log = fleet.gateways[0].log();
-        let story = Timeline::of("late", log.lines());
-        let given_up = story.steps.iter().find(|step| step.event == "given_up")?;
+        let timeline = Timeline::of("late", log.lines());
+        let given_up = timeline.steps.iter().find(|step| step.event == "given_up")?;
         (detail(given_up, "reason") == "too_late").then_some(())
     })
     .await;
@@ -136,8 +137,8 @@
     eventually("the request is refused", async || {
         ClientRequest::new("/safe/x", "stale").send(fleet.front(0)).await.ok()?;
         let log = fleet.gateways[0].log();
-        let story = Timeline::of("stale", log.lines());
-        let refused = story.steps.iter().find(|step| step.event == "refused")?;
+        let timeline = Timeline::of("stale", log.lines());
+        let refused = timeline.steps.iter().find(|step| step.event == "refused")?;
         let age: i64 = detail(refused, "news_age_ms").parse().ok()?;
         (detail(refused, "reason") == "stale_configuration" && age >= 400).then_some(())
     })
@@ -145,16 +146,16 @@
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_is_told() {
+async fn a_client_that_disconnects_is_shown() {
     let fleet = Fleet::start(1, 1).await;
     let target = Standin::start("i-1", "s", fleet.doors()).await;
     target.behave(Behaviour::Mute);
     fleet.configure(&configuration(4)).await;
     fleet.knows_targets(0, 1).await;
     let front = fleet.front(0);
-    let asking = ClientRequest::new("/unsafe/x", "r-1");
-    let left = tokio::time::timeout(Duration::from_millis(300), asking.send(front)).await;
-    assert!(left.is_err(), "the client left before an answer");
-    let story = story(&fleet, "r-1", "client_left").await;
-    assert!(detail(&story.steps[0], "elapsed_ms").parse::<u64>().is_ok());
+    let request = ClientRequest::new("/unsafe/x", "r-1");
+    let sent = tokio::time::timeout(Duration::from_millis(300), request.send(front)).await;
+    assert!(sent.is_err(), "the client got an answer before it disconnected");
+    let timeline = wait_for_timeline(&fleet, "r-1", "client_left").await;
+    assert!(detail(&timeline.steps[0], "elapsed_ms").parse::<u64>().is_ok());
 }
