--- a/tests/fleet/malformed_input.rs
+++ b/tests/fleet/malformed_input.rs
@@ -1,4 +1,5 @@
-//! Announcements that others write, and headers that say what can't be: they name no target to use, and harm none.
+//! Malformed announcements, and headers with impossible values: they are refused or ignored, add no target and harm no
+//! known one.
 
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -10,10 +11,10 @@
 use crate::refusals::ClientRequest;
 use crate::standin::{Behaviour, Standin};
 
-/// Announcements that one test sends.
+/// Malformed announcements that the test sends.
 const CASES: usize = 150;
-/// A body that no announcement needs.
-const LARGE: usize = 10 * 1024 * 1024;
+/// Size of a body far larger than any announcement, in bytes.
+const HUGE_BODY: usize = 10 * 1024 * 1024;
 
 async fn fleet_with_target() -> (Fleet, Standin) {
     let fleet = Fleet::start(3, 1).await;
@@ -23,12 +24,12 @@
     (fleet, target)
 }
 
-async fn is_served(fleet: &Fleet, id: &str) {
+async fn assert_served(fleet: &Fleet, id: &str) {
     let answer = ClientRequest::new("/safe/x", id).send(fleet.front(0)).await.expect("an answer");
     assert_eq!(answer.status, 200, "{}", answer.body);
 }
 
-/// An announcement as targets make them.
+/// A valid announcement.
 fn announcement() -> Value {
     json!({
         "service": "s", "address": "127.0.0.1:9", "zone": "hall-a", "version": "v1", "slots": 8,
@@ -38,25 +39,25 @@
     })
 }
 
-/// Fields that every announcement has.
-const NEEDED: [&str; 8] =
+/// Fields that an announcement must have.
+const REQUIRED_FIELDS: [&str; 8] =
     ["service", "address", "zone", "version", "slots", "state", "cold-left-ms", "sequence"];
 
-/// Makes of an announcement one by another writer; tells the field that is wrong, if it is one.
-fn spoil(rng: &mut StdRng) -> (Vec<u8>, Option<String>) {
+/// Returns a malformed announcement, and the faulty field if there is a single one.
+fn malformed(rng: &mut StdRng) -> (Vec<u8>, Option<String>) {
     let mut body = announcement();
-    let typed = ["born", "models", "stage"];
-    let fields: Vec<&str> = NEEDED.iter().chain(&typed).copied().collect();
+    let optional = ["born", "models", "stage"];
+    let fields: Vec<&str> = REQUIRED_FIELDS.iter().chain(&optional).copied().collect();
     let field = fields[rng.random_range(0..fields.len())].to_owned();
     match rng.random_range(0..7) {
         0 => {
-            let field = NEEDED[rng.random_range(0..NEEDED.len())];
+            let field = REQUIRED_FIELDS[rng.random_range(0..REQUIRED_FIELDS.len())];
             body.as_object_mut().expect("an object").remove(field);
             (body.to_string().into_bytes(), Some(field.to_owned()))
         }
         1 => {
-            let others = [json!(true), json!(-1.5), json!({"a": [1]}), json!([[], {}])];
-            body[&field] = others[rng.random_range(0..others.len())].clone();
+            let wrong_values = [json!(true), json!(-1.5), json!({"a": [1]}), json!([[], {}])];
+            body[&field] = wrong_values[rng.random_range(0..wrong_values.len())].clone();
             (body.to_string().into_bytes(), Some(field))
         }
         2 => {
@@ -86,7 +87,7 @@
     }
 }
 
-/// Status and body of the answer, if one came before the connection ended.
+/// Puts an announcement; returns status and body of the answer if one came before the connection was closed.
 async fn try_put(fleet: &Fleet, at: usize, id: &str, body: Vec<u8>) -> Option<(u16, String)> {
     let url = format!("http://{}/instances/{id}", fleet.door(at % 3));
     let sent = reqwest::Client::new().put(url).body(body).send().await.ok()?;
@@ -98,12 +99,12 @@
 }
 
 #[tokio::test]
-async fn announcements_by_another_writer_are_refused_by_their_field_and_harm_no_target() {
+async fn malformed_announcements_are_refused_naming_the_field_and_harm_no_target() {
     let (fleet, _target) = fleet_with_target().await;
     let seed = crate::seeds::seed();
     let mut rng = StdRng::seed_from_u64(seed);
     for case in 0..CASES {
-        let (body, field) = spoil(&mut rng);
+        let (body, field) = malformed(&mut rng);
         let id = if rng.random_bool(0.5) { "i-known" } else { "i-other" };
         let shown = String::from_utf8_lossy(&body[..body.len().min(300)]).into_owned();
         let (status, answer) = put(&fleet, case, id, body).await;
@@ -114,16 +115,16 @@
         }
     }
     for number in 0..10 {
-        is_served(&fleet, &format!("r-{number}")).await;
+        assert_served(&fleet, &format!("r-{number}")).await;
     }
     let log = fleet.gateways[0].log();
-    assert!(!log.contains("targets=2 "), "no target came of them");
+    assert!(!log.contains("targets=2 "), "a malformed announcement added a target");
     let refused = |log: String| log.matches("event=heartbeat_refused").count();
     let lines: usize = fleet.members.iter().map(|member| refused(member.log())).sum();
     assert!(lines > 0 && lines <= CASES, "{lines}");
 }
 
-/// Whoever writes under a known target's id, well-formed but of another service, is not that target.
+/// A well-formed announcement under a known target's id, but with another service, must be refused.
 #[tokio::test]
 async fn a_known_target_is_not_moved_to_another_service() {
     let (fleet, _target) = fleet_with_target().await;
@@ -137,14 +138,14 @@
             assert!(answer.contains("service"), "{answer}");
         }
     }
-    is_served(&fleet, "r-1").await;
+    assert_served(&fleet, "r-1").await;
 }
 
 #[tokio::test]
 async fn a_huge_body_or_id_is_refused_and_the_member_goes_on() {
     let (fleet, _target) = fleet_with_target().await;
-    // The member may end the connection while the rest is still on its way.
-    let answer = try_put(&fleet, 0, "i-known", vec![b'['; LARGE]).await;
+    // The member may close the connection before it has read the whole body.
+    let answer = try_put(&fleet, 0, "i-known", vec![b'['; HUGE_BODY]).await;
     assert!(answer.is_none_or(|(status, _)| status == 413));
     let (status, _) = put(&fleet, 0, "i-known", vec![b'['; 100_000]).await;
     assert_eq!(status, 413);
@@ -152,7 +153,7 @@
     let (status, answer) = put(&fleet, 0, &"i".repeat(5_000), body).await;
     assert_eq!(status, 400);
     assert!(answer.contains("id"), "{answer}");
-    is_served(&fleet, "r-1").await;
+    assert_served(&fleet, "r-1").await;
     for door in fleet.doors() {
         eventually("the member answers", async || {
             let answer = call(door, "GET", "/config", "").await?;
@@ -168,24 +169,24 @@
 #[case::kept_for_ever("keep-alive", "timeout=18446744073709551615")]
 #[case::kept_for_no_number("keep-alive", "timeout=1e99, max=-3")]
 #[tokio::test]
-async fn headers_of_targets_that_say_what_can_not_be_change_nothing(
+async fn impossible_headers_of_targets_change_nothing(
     #[case] name: &'static str,
     #[case] value: &'static str,
 ) {
     let (fleet, target) = fleet_with_target().await;
     target.say(name, value);
     for number in 0..6 {
-        is_served(&fleet, &format!("r-{number}")).await;
+        assert_served(&fleet, &format!("r-{number}")).await;
     }
 }
 
-/// A caller's own word of its prompt, and of how long it waits.
+/// Impossible values in the headers in which clients describe their prompt and deadline.
 #[rstest]
 #[case("x-prompt-prefix", "aa:18446744073709551615,bb:18446744073709551615,cc:1")]
 #[case("x-prompt-prefix", ":,,x,a:b:c")]
 #[case("x-deadline-ms", "18446744073709551615")]
 #[tokio::test]
-async fn headers_of_callers_that_say_what_can_not_be_end_nothing(
+async fn impossible_headers_of_clients_crash_nothing(
     #[case] name: &'static str,
     #[case] value: &'static str,
 ) {
@@ -195,11 +196,13 @@
         let answer = ClientRequest::new(path, "r-1").with(name, value).send(fleet.front(0)).await;
         assert!(answer.is_ok_and(|answer| [200, 400].contains(&answer.status)), "{path}");
     }
-    is_served_stream(&fleet).await;
+    assert_stream_served(&fleet).await;
 }
 
-async fn is_served_stream(fleet: &Fleet) {
-    let answer =
-        ClientRequest::new("/resumable/x", "r-2").send(fleet.front(0)).await.expect("whole");
+async fn assert_stream_served(fleet: &Fleet) {
+    let answer = ClientRequest::new("/resumable/x", "r-2")
+        .send(fleet.front(0))
+        .await
+        .expect("a whole answer");
     assert_eq!(answer.status, 200);
 }
--- a/tests/fleet/streams.rs
+++ b/tests/fleet/streams.rs
@@ -1,4 +1,4 @@
-//! Streams: whole events only, each once and in order, and never complete before their end.
+//! Streamed answers: clients get whole events, each once and in order, and never a complete answer from a broken stream.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 use crate::refusals::{ClientRequest, error_code};
 use crate::standin::{Behaviour, Standin, event};
 
-/// Requests that a target works on at once.
+/// Requests that a target runs at the same time.
 const SLOTS: usize = 8;
 
 fn events(up_to: u32) -> String {
@@ -48,7 +48,7 @@
     let fleet = [Behaviour::BreakAfter(7), Behaviour::BreakAfter(7)];
     let (fleet, standins) = fleet_with(&fleet).await;
     let front = fleet.front(0);
-    let ask =
+    let request =
         tokio::spawn(async move { ClientRequest::new("/resumable/x", "r-1").send(front).await });
     eventually("the first attempt", async || {
         let began = standins.iter().any(|standin| !standin.arrivals().is_empty());
@@ -56,7 +56,7 @@
     })
     .await;
     standins.iter().for_each(|standin| standin.behave(Behaviour::Stream(20)));
-    let answer = ask.await.expect("no panic").expect("a whole answer");
+    let answer = request.await.expect("no panic").expect("a whole answer");
     assert_eq!(answer.body, events(20));
     let first = standins.iter().find(|standin| {
         standin.arrivals().iter().any(|arrival| !arrival.headers.contains_key("last-event-id"))
@@ -65,14 +65,14 @@
     assert_eq!(answer.header("x-server-stamp"), Some(format!("stamp-{}-r-1", first.id).as_str()));
     let second = standins.iter().find(|standin| standin.id != first.id).expect("another");
     let resumed = &second.arrivals()[0];
-    assert_eq!(resumed.headers.get("last-event-id").expect("where to go on"), "7");
+    assert_eq!(resumed.headers.get("last-event-id").expect("the id of the last event"), "7");
 }
 
 #[tokio::test]
 async fn a_resumable_stream_that_falls_silent_goes_on_at_another_target() {
     let (fleet, standins) = fleet_with(&[Behaviour::StallAfter(4), Behaviour::StallAfter(4)]).await;
     let front = fleet.front(0);
-    let ask =
+    let request =
         tokio::spawn(async move { ClientRequest::new("/resumable/x", "r-1").send(front).await });
     eventually("the first attempt", async || {
         let began = standins.iter().any(|standin| !standin.arrivals().is_empty());
@@ -80,7 +80,7 @@
     })
     .await;
     standins.iter().for_each(|standin| standin.behave(Behaviour::Stream(12)));
-    let answer = ask.await.expect("no panic").expect("a whole answer");
+    let answer = request.await.expect("no panic").expect("a whole answer");
     assert_eq!(answer.body, events(12));
 }
 
@@ -102,7 +102,7 @@
 }
 
 #[tokio::test]
-async fn a_client_that_leaves_lets_its_target_go() {
+async fn a_client_that_disconnects_ends_the_request_at_its_target() {
     let (fleet, standins) = fleet_with(&[Behaviour::Stream(100_000)]).await;
     let client = reqwest::Client::new();
     let request = client
@@ -116,7 +116,7 @@
     body.next().await.expect("an event").expect("sound");
     drop(body);
     drop(client);
-    eventually("the gateway has let go", async || {
+    eventually("the request ends at the target", async || {
         tokio::time::sleep(Duration::from_millis(50)).await;
         let metric = format!("http://{}/", fleet.front(0));
         // A new request is served, and the old one is no longer open at the target.
@@ -126,25 +126,27 @@
     .await;
 }
 
-/// Longer than five heartbeats of targets, after which a service is no longer forming.
-const FORMING: std::time::Duration = std::time::Duration::from_secs(2);
+/// Time until a service counts as formed: longer than the five target heartbeats for which it counts as forming.
+const FORMING_TIME: std::time::Duration = std::time::Duration::from_secs(2);
 
 #[tokio::test]
 async fn a_target_that_took_another_s_home_is_told_to_fetch_from_it_while_it_is_there() {
     let (fleet, mut standins) = fleet_with(&[Behaviour::Stream(3)]).await;
-    // A service that has just had its first target gives newcomers homes at once; later ones wait
-    // for a home that somebody leaves.
-    tokio::time::sleep(FORMING).await;
-    let ask =
+    // While a service is forming, new targets get homes at once; later ones wait until another target gives up its home.
+    tokio::time::sleep(FORMING_TIME).await;
+    let request =
         |id| ClientRequest::new("/sticky/x", id).with("x-prompt-prefix", "aa:900,bb:3000,cc:40");
-    ask("r-1").send(fleet.front(0)).await.expect("a whole answer");
-    assert!(!standins[0].arrivals()[0].headers.contains_key("kv-fetch"), "nobody else is there");
-    let newcomer = Standin::start("i-new", "s", fleet.doors()).await;
-    newcomer.behave(Behaviour::Stream(3));
-    standins.push(newcomer);
+    request("r-1").send(fleet.front(0)).await.expect("a whole answer");
+    assert!(
+        !standins[0].arrivals()[0].headers.contains_key("kv-fetch"),
+        "there is no other target to fetch from"
+    );
+    let new_target = Standin::start("i-new", "s", fleet.doors()).await;
+    new_target.behave(Behaviour::Stream(3));
+    standins.push(new_target);
     fleet.knows_targets(0, 2).await;
     standins[0].drain(fleet.door(0)).await;
-    eventually("the newcomer serves", async || {
+    eventually("the new target serves", async || {
         let id = format!("r-{}", rand::random::<u32>());
         ClientRequest::new("/sticky/x", &id)
             .with("x-prompt-prefix", "aa:900,bb:3000,dd:50")
@@ -155,23 +157,23 @@
     })
     .await;
     let arrival = &standins[1].arrivals()[0];
-    let from = arrival.headers.get("kv-fetch").expect("where to fetch from");
+    let from = arrival.headers.get("kv-fetch").expect("the address to fetch from");
     assert_eq!(from, standins[0].addr.to_string().as_str());
 }
 
-/// A prompt that many ask with.
+/// The prefix of a prompt, as the value of x-prompt-prefix.
 const PROMPT: &str = "aa:900,bb:3000,cc:40";
-/// How long a client waits for the home that answers nobody.
-const GIVES_UP: Duration = Duration::from_millis(300);
+/// How long a client waits for the home, which does not answer.
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(300);
 
-fn asks_with_prompt(id: &str) -> ClientRequest<'_> {
+fn request_with_prompt(id: &str) -> ClientRequest<'_> {
     ClientRequest::new("/sticky/x", id).with("x-prompt-prefix", PROMPT)
 }
 
-/// A prompt's first home was full for a moment, so that another target read it too. A second gateway, which saw none
-/// of that, names that other one to the first home.
+/// While the home of a prompt is full, another target serves the prompt and becomes a prefix holder. A second gateway,
+/// which routed none of these requests, must learn of that holder and name it to the home in kv-fetch.
 #[tokio::test]
-async fn a_gateway_names_a_keeper_that_another_gateway_told_of() {
+async fn a_gateway_names_a_prefix_holder_that_another_gateway_reported() {
     let mut fleet = Fleet::prepare(1, 2);
     fleet.members[0].start();
     fleet.settled().await;
@@ -182,15 +184,15 @@
         standins.push(standin);
     }
     fleet.submit(0, &configuration(1)).await;
-    tokio::time::sleep(FORMING).await;
-    // Gateways that start now take both for old tenants of their homes.
+    tokio::time::sleep(FORMING_TIME).await;
+    // Gateways that start only now take neither target for one that has just got its home.
     fleet.gateways.iter_mut().for_each(Process::start);
     for gateway in 0..2 {
         fleet.in_force(gateway, 1).await;
         fleet.knows_targets(gateway, 2).await;
     }
-    let first_ask = asks_with_prompt("r-1").send(fleet.front(0)).await;
-    first_ask.expect("a whole answer");
+    let first_request = request_with_prompt("r-1").send(fleet.front(0)).await;
+    first_request.expect("a whole answer");
     let home = standins.iter().position(|standin| !standin.arrivals().is_empty()).expect("one");
     let (first, other) = (&standins[home], &standins[1 - home]);
     first.behave(Behaviour::Mute);
@@ -205,28 +207,28 @@
         client.write_all(head.as_bytes()).await.expect("sent");
         held.push(client);
     }
-    eventually("the other one is asked", async || {
+    eventually("the other target gets a request", async || {
         let id = format!("o-{}", rand::random::<u32>());
-        let ask = asks_with_prompt(&id);
-        let _ = tokio::time::timeout(GIVES_UP, ask.send(fleet.front(0))).await;
+        let request = request_with_prompt(&id);
+        let _ = tokio::time::timeout(CLIENT_TIMEOUT, request.send(fleet.front(0))).await;
         (!other.arrivals().is_empty()).then_some(())
     })
     .await;
     drop(held);
     first.behave(Behaviour::Stream(3));
-    let named = other.addr.to_string();
-    eventually("the first home is told where to fetch from", async || {
+    let holder_addr = other.addr.to_string();
+    eventually("the home gets a request with the holder's address", async || {
         let id = format!("n-{}", rand::random::<u32>());
-        let _ = asks_with_prompt(&id).send(fleet.front(1)).await;
+        let _ = request_with_prompt(&id).send(fleet.front(1)).await;
         let arrivals = first.arrivals();
         let mut from = arrivals.iter().filter_map(|arrival| arrival.headers.get("kv-fetch"));
-        from.any(|from| from == named.as_str()).then_some(())
+        from.any(|from| from == holder_addr.as_str()).then_some(())
     })
     .await;
 }
 
-/// Whoever closes its connection, or gives a stream up, has its target let go, also where nothing was answered
-/// yet; and nothing is sent on in its name.
+/// When a client disconnects, the gateway ends its request at the target, also if nothing was answered yet, and does not
+/// send the request to another target.
 #[tokio::test]
 async fn clients_that_leave_have_their_requests_end_at_the_targets_and_sent_nowhere_else() {
     let (fleet, standins) = fleet_with(&[Behaviour::Mute, Behaviour::Mute]).await;
@@ -242,16 +244,16 @@
         client.write_all(head.as_bytes()).await.expect("sent");
         clients.push(client);
     }
-    eventually("all have arrived", async || (arrivals() >= 24).then_some(())).await;
+    eventually("all requests reach a target", async || (arrivals() >= 24).then_some(())).await;
     drop(clients);
-    eventually("no target works for them", async || {
+    eventually("all requests end at the targets", async || {
         (standins.iter().map(Standin::open).sum::<usize>() == 0).then_some(())
     })
     .await;
-    // Patience with a silent target would have turned to the other one by now.
+    // Longer than the stall timeout, after which a retry would have gone to the other target.
     let before = arrivals();
     tokio::time::sleep(std::time::Duration::from_millis(1_200)).await;
     assert_eq!(arrivals(), before);
-    let left = fleet.gateways[0].log().matches("event=client_left").count();
-    assert_eq!(left, 24);
+    let disconnected = fleet.gateways[0].log().matches("event=client_left").count();
+    assert_eq!(disconnected, 24);
 }
--- a/tests/fleet/target_headers.rs
+++ b/tests/fleet/target_headers.rs
@@ -1,4 +1,4 @@
-//! What targets say of themselves in their answers, in logs and metrics.
+//! Headers in which targets report their state: each appears in the gateway's log.
 
 use rstest::rstest;
 
@@ -12,12 +12,12 @@
 #[case::rest(Behaviour::TurnAway, ("retry-after", "2.5"), "target_rests", "rest", "In(2.5s)")]
 #[case::unread(Behaviour::Answer, ("server-mood", "good"), "unread_header", "name", "server-mood")]
 #[tokio::test]
-async fn a_word_of_a_target_stands_in_the_log(
+async fn a_state_header_of_a_target_is_logged(
     #[case] behaviour: Behaviour,
     #[case] header: (&'static str, &'static str),
     #[case] event: &str,
-    #[case] name: &str,
-    #[case] told: &str,
+    #[case] key: &str,
+    #[case] value: &str,
 ) {
     let fleet = Fleet::start(1, 1).await;
     let target = Standin::start("i-1", "s", fleet.doors()).await;
@@ -28,14 +28,14 @@
     let answer =
         ClientRequest::new("/unsafe/x", "r-1").send(fleet.front(0)).await.expect("an answer");
     if behaviour == Behaviour::Answer {
-        assert_eq!(answer.header(header.0), Some(header.1), "it is passed on");
+        assert_eq!(answer.header(header.0), Some(header.1), "the client gets the header too");
     }
-    let line = eventually("the word is logged", async || {
+    let line = eventually("the header is logged", async || {
         let log = fleet.gateways[0].log();
         let mut lines = log.lines().filter(|line| field(line, "event") == Some(event));
         lines.next().map(str::to_owned)
     })
     .await;
-    assert_eq!(field(&line, name), Some(told), "{line}");
+    assert_eq!(field(&line, key), Some(value), "{line}");
     assert_eq!(field(&line, "target"), Some("i-1"), "{line}");
 }
--- a/tests/fleet/upgrade.rs
+++ b/tests/fleet/upgrade.rs
@@ -1,4 +1,4 @@
-//! Builds side by side: what one wrote or said, the other reads.
+//! Compatibility of builds: this build reads the disks of earlier ones, and both work together in one fleet.
 
 use std::path::PathBuf;
 
@@ -8,12 +8,12 @@
 use crate::harness::{Fleet, call, eventually, this_build};
 use crate::standin::Standin;
 
-/// A disk that a member of another build left, with the configuration that it had acknowledged last.
+/// Folder with the disk of a member of an earlier build, and the last configuration that the member had acknowledged.
 fn disk(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/data/disks").join(name)
 }
 
-// Disks written by builds of each format; the configuration has version 3.
+// One disk per format that earlier builds wrote; the configuration on each has version 3.
 #[rstest]
 #[case::format_3("format-3")]
 #[case::format_3_with_a_snapshot("format-3-snapshot")]
@@ -38,21 +38,21 @@
     fleet.configure(&configuration(4)).await;
 }
 
-/// The binary of an earlier build, by hand: CI has none.
+/// The binary of an earlier build, for runs by hand; CI has none.
 fn earlier_build() -> PathBuf {
     let path = std::env::var_os("LATCHMOUNT_EARLIER");
     path.expect("LATCHMOUNT_EARLIER names the binary of an earlier build").into()
 }
 
-/// In which order processes are replaced.
+/// The order in which processes are replaced.
 #[derive(Clone, Copy, Debug)]
 enum Order {
     MembersFirst,
     GatewaysFirst,
 }
 
-/// Sends the next configuration, and waits until every member reads it back and every gateway works by it.
-async fn holds_everywhere(fleet: &Fleet, version: u64, step: &str) {
+/// Submits a configuration with this version, and waits until every member returns it and every gateway applies it.
+async fn configure_everywhere(fleet: &Fleet, version: u64, step: &str) {
     let writer = version as usize % fleet.members.len();
     fleet.submit(writer, &configuration(version)).await;
     for reader in 0..fleet.members.len() {
@@ -84,29 +84,29 @@
     fleet.settled().await;
     let _target = Standin::start("i-1", "s", fleet.doors()).await;
     let mut version = 1;
-    holds_everywhere(&fleet, version, "before").await;
+    configure_everywhere(&fleet, version, "before").await;
     let (members, gateways) = (fleet.members.len(), fleet.gateways.len());
-    let turns: Vec<usize> = match order {
+    let indices: Vec<usize> = match order {
         Order::MembersFirst => (0..members + gateways).collect(),
         Order::GatewaysFirst => (members..members + gateways).chain(0..members).collect(),
     };
-    // All but the last are replaced, put back, and then all are replaced for good.
-    let but_last = &turns[..turns.len() - 1];
-    let forth = but_last.iter().map(|turn| (*turn, this_build()));
-    let back = but_last.iter().map(|turn| (*turn, earlier.clone()));
-    let again = turns.iter().map(|turn| (*turn, this_build()));
-    for (turn, build) in forth.chain(back).chain(again) {
+    // Upgrades all processes but the last, downgrades them again, and then upgrades all.
+    let all_but_last = &indices[..indices.len() - 1];
+    let upgrades = all_but_last.iter().map(|index| (*index, this_build()));
+    let downgrades = all_but_last.iter().map(|index| (*index, earlier.clone()));
+    let final_upgrades = indices.iter().map(|index| (*index, this_build()));
+    for (index, build) in upgrades.chain(downgrades).chain(final_upgrades) {
         let processes = fleet.members.iter_mut().chain(&mut fleet.gateways);
-        let process = processes.into_iter().nth(turn).expect("one of them");
+        let process = processes.into_iter().nth(index).expect("one of them");
         process.kill();
         process.as_set_for(&build);
         process.start();
         version += 1;
-        holds_everywhere(&fleet, version, &format!("{turn} runs {}", build.display())).await;
+        configure_everywhere(&fleet, version, &format!("{index} runs {}", build.display())).await;
     }
     eventually("the level is raised", async || {
         fleet.members.iter().any(|member| member.log().contains("level_raised")).then_some(())
     })
     .await;
-    holds_everywhere(&fleet, version + 1, "after the level was raised").await;
+    configure_everywhere(&fleet, version + 1, "after the level was raised").await;
 }
