--- a/tests/account.rs
+++ b/tests/account.rs
@@ -1,4 +1,4 @@
-//! A day by how its requests ended, from logs.
+//! `account`: counts from log lines how requests ended, by reason, route and second.
 
 use latchmount::account::{Account, End};
 
@@ -56,7 +56,7 @@
     assert_eq!((account.requests(), account.unparsed()), (1, 3));
 }
 
-/// However many seconds and routes a log tells of, the rows are bounded, and no request is lost.
+/// The number of rows is bounded however many seconds and routes a log covers, and every request is still counted.
 #[test]
 fn rows_are_bounded() {
     let mut account = Account::default();
--- a/tests/check.rs
+++ b/tests/check.rs
@@ -1,4 +1,4 @@
-//! `latchmount check`: the example files are sound, and every fault of a bad file is named.
+//! `latchmount check`: the example files are valid, and every fault of a bad file is reported with its line.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -45,7 +45,10 @@
     assert_eq!(found.len(), halls);
     for hall in found {
         let members = settings.iter().filter(|host| host.control.is_some());
-        assert!(members.filter(|host| host.data_hall == *hall).count() < 3, "{hall} holds three");
+        assert!(
+            members.filter(|host| host.data_hall == *hall).count() < 3,
+            "{hall} has more than two members"
+        );
     }
     let templates: Vec<Template> = files.iter().filter_map(|file| read(file)).collect();
     assert_eq!(templates.iter().map(|template| template.teams.len()).sum::<usize>(), 10);
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that counts suspensions, and that nothing goes by another one.
+//! The clock that advances while the host is suspended, and a check that nothing in src/ uses another one.
 
 use std::path::Path;
 use std::time::Duration;
@@ -40,20 +40,20 @@
     let found = suspensions.update(ms(counted_ms), ms(steady_ms));
     assert_eq!(found, suspended_ms.map(ms));
     let again = suspensions.update(ms(counted_ms + 300), ms(steady_ms + 300));
-    assert_eq!(again, None, "it is told once");
+    assert_eq!(again, None, "the suspension is reported twice");
 }
 
 #[tokio::test]
 async fn a_timer_for_a_moment_that_is_over_fires_at_once() {
-    let over = Instant::now();
+    let past = Instant::now();
     tokio::time::sleep(ms(5)).await;
-    let timer: tokio::time::Instant = over.into();
+    let timer: tokio::time::Instant = past.into();
     assert!(timer <= tokio::time::Instant::now());
-    let ahead: tokio::time::Instant = (Instant::now() + ms(60_000)).into();
-    assert!(ahead > tokio::time::Instant::now() + ms(50_000));
+    let future: tokio::time::Instant = (Instant::now() + ms(60_000)).into();
+    assert!(future > tokio::time::Instant::now() + ms(50_000));
 }
 
-/// One that stands still while the host is suspended would take old news for fresh.
+/// With `std::time::Instant`, which stands still while the host is suspended, an old update would count as fresh.
 #[test]
 fn nothing_in_the_sources_reads_another_clock() {
     let mut found = Vec::new();
@@ -76,12 +76,13 @@
     assert!(found.is_empty(), "{found:?}");
 }
 
-/// Time in which the process ran, and when it last resumed, from every look again.
-fn ran_by_all_looks(looks: &[Instant]) -> (Duration, Option<Instant>) {
-    let longest = ms(100);
-    let steps = looks.windows(2).map(|pair| (pair[1], pair[1].saturating_duration_since(pair[0])));
-    let ran = steps.clone().filter(|(_, step)| *step <= longest).map(|(_, step)| step).sum();
-    let resumed = steps.filter(|(_, step)| *step > longest).map(|(at, _)| at).next_back();
+/// Time in which the process ran, and when it last resumed, computed from all samples again.
+fn run_time_of_samples(samples: &[Instant]) -> (Duration, Option<Instant>) {
+    let max_step = ms(100);
+    let steps =
+        samples.windows(2).map(|pair| (pair[1], pair[1].saturating_duration_since(pair[0])));
+    let ran = steps.clone().filter(|(_, step)| *step <= max_step).map(|(_, step)| step).sum();
+    let resumed = steps.filter(|(_, step)| *step > max_step).map(|(at, _)| at).next_back();
     (ran, resumed)
 }
 
@@ -89,15 +90,15 @@
 fn run_time_is_the_sum_of_all_short_steps() {
     let mut rng = StdRng::seed_from_u64(seeds::seed());
     for _ in 0..200 {
-        let mut looks = vec![Instant::now()];
-        let mut time = RunTime::since(looks[0]);
+        let mut samples = vec![Instant::now()];
+        let mut time = RunTime::since(samples[0]);
         for _ in 0..rng.random_range(1..60) {
-            let longest = if rng.random_bool(0.2) { 3_000 } else { 100 };
-            let now = looks[looks.len() - 1] + ms(rng.random_range(0..=longest));
-            looks.push(now);
+            let max_step = if rng.random_bool(0.2) { 3_000 } else { 100 };
+            let now = samples[samples.len() - 1] + ms(rng.random_range(0..=max_step));
+            samples.push(now);
             time.advance(now);
-            let (ran, resumed) = ran_by_all_looks(&looks);
-            let whole = now.saturating_duration_since(looks[0]);
+            let (ran, resumed) = run_time_of_samples(&samples);
+            let whole = now.saturating_duration_since(samples[0]);
             assert_eq!((time.ran(), time.paused()), (ran, whole.saturating_sub(ran)));
             let due = now + ms(rng.random_range(0..200));
             let latest = resumed.map_or(due, |resumed| due.max(resumed)) + ms(1_000);
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions against naive versions of themselves, on random inputs.
+//! Property tests of the routers' decisions against naive implementations, on random inputs.
 
 mod seeds;
 
@@ -32,7 +32,8 @@
     demand
 }
 
-/// Gives engines out one by one, looking at every model each time.
+/// Assigns engines one by one, each to the model with the highest quotient (Webster's method, one engine to each model
+/// first).
 fn naive_quotas(weights: &BTreeMap<u8, u16>, engines: usize) -> BTreeMap<Spec, usize> {
     let mut quotas: BTreeMap<u8, usize> = weights.keys().map(|model| (*model, 0)).collect();
     for _ in 0..engines {
@@ -60,7 +61,7 @@
     loaded.iter().enumerate().map(engine).collect()
 }
 
-fn carry_out(engines: &mut [Engine], changes: &[Change]) {
+fn apply(engines: &mut [Engine], changes: &[Change]) {
     for change in changes {
         let engine = engines.iter_mut().find(|engine| engine.name == change.engine);
         engine.expect("a known engine").loaded = change.to.clone();
@@ -118,7 +119,7 @@
             }
             changed += changes.len();
             prop_assert!(changed <= lacking, "{changed} changes where {lacking} do");
-            carry_out(&mut engines, &changes);
+            apply(&mut engines, &changes);
         }
         let after = counts(&engines);
         for (spec, quota) in quotas {
@@ -260,7 +261,7 @@
             if release {
                 claims.release(Release { key, nonce });
                 naive.retain(|held| (held.0, held.2) != (key, nonce));
-                // Given back means truly not run: another may run it.
+                // A released claim was not run, so that another router may run it.
                 granted.entry(key).or_default().remove(&nonce);
                 continue;
             }
--- a/tests/directory.rs
+++ b/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The directory of targets against a naive version that looks through everything each time.
+//! The directory of targets against a naive implementation that searches all targets on each change.
 
 #[path = "seeds/seed.rs"]
 mod seeds;
@@ -12,7 +12,7 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
-/// One target of the naive version.
+/// A target of the naive directory.
 #[derive(Clone, Debug, PartialEq)]
 struct Entry {
     announcement: Announcement,
@@ -20,29 +20,31 @@
     revision: u64,
 }
 
-/// A directory that keeps nothing but the targets and which starts are over.
+/// A directory that stores only the targets and the incarnations that have ended.
 #[derive(Default)]
 struct Naive {
     targets: BTreeMap<String, Entry>,
-    over: Vec<Incarnation>,
+    ended: Vec<Incarnation>,
 }
 
 impl Naive {
     fn announce(&mut self, index: u64, heartbeat: &Announcement) {
         let id = heartbeat.id.clone();
         let start = heartbeat.incarnation();
-        let says_less = start.born == StartTime(None) && self.over.iter().any(|over| over.id == id);
-        if self.over.contains(&start) || (!self.targets.contains_key(&id) && says_less) {
+        let unknown_start =
+            start.born == StartTime(None) && self.ended.iter().any(|ended| ended.id == id);
+        if self.ended.contains(&start) || (!self.targets.contains_key(&id) && unknown_start) {
             return;
         }
         if let Some(known) = self.targets.get(&id).map(|entry| entry.announcement.clone())
             && known.born != heartbeat.born
         {
-            let silent = known.state == TargetState::Silent && heartbeat.born != StartTime(None);
-            if heartbeat.born < known.born && !silent {
+            let unresponsive =
+                known.state == TargetState::Silent && heartbeat.born != StartTime(None);
+            if heartbeat.born < known.born && !unresponsive {
                 return;
             }
-            self.end(index, &known);
+            self.end_incarnation(index, &known);
         }
         let known = self.targets.get(&id);
         let late = known.is_some_and(|known| heartbeat.sequence < known.announcement.sequence);
@@ -55,16 +57,16 @@
         }
         let home = known.and_then(|known| known.home);
         let draining = heartbeat.state == TargetState::Draining;
-        let kept = home.filter(|_| !draining);
-        let entry = Entry { announcement: heartbeat.clone(), home: kept, revision: index };
+        let kept_home = home.filter(|_| !draining);
+        let entry = Entry { announcement: heartbeat.clone(), home: kept_home, revision: index };
         self.targets.insert(id.clone(), entry);
         if draining {
-            self.give_away(index, &heartbeat.service, home);
+            self.reassign_home(index, &heartbeat.service, home);
         } else if home.is_none() {
-            let free = self.free(&heartbeat.service);
+            let free_home = self.free_home(&heartbeat.service);
             let highest = self.homes(&heartbeat.service).into_iter().max();
-            if highest.is_some_and(|highest| free < highest) {
-                self.house(index, &id, free);
+            if highest.is_some_and(|highest| free_home < highest) {
+                self.assign_home(index, &id, free_home);
             }
         }
     }
@@ -75,46 +77,49 @@
         of_service.filter_map(|entry| entry.home).collect()
     }
 
-    fn free(&self, service: &str) -> u32 {
+    fn free_home(&self, service: &str) -> u32 {
         let homes = self.homes(service);
         (0..).find(|home| !homes.contains(home)).expect("numbers do not end")
     }
 
-    fn house(&mut self, index: u64, id: &str, home: u32) {
+    fn assign_home(&mut self, index: u64, id: &str, home: u32) {
         let entry = self.targets.get_mut(id).expect("it is there");
         (entry.home, entry.revision) = (Some(home), index);
     }
 
-    fn give_away(&mut self, index: u64, service: &str, home: Option<u32>) {
-        let waiting = self.targets.values().filter(|entry| {
+    /// Gives the home of a target that has ended or drains to the newest ready target without one.
+    fn reassign_home(&mut self, index: u64, service: &str, home: Option<u32>) {
+        let homeless = self.targets.values().filter(|entry| {
             let ready = entry.announcement.state == TargetState::Ready;
             ready && entry.home.is_none() && entry.announcement.service == service
         });
-        let newest = waiting.max_by_key(|entry| (entry.revision, &entry.announcement.id));
-        if let (Some(home), Some(newest)) = (home, newest.map(|one| one.announcement.id.clone())) {
-            self.house(index, &newest, home);
+        let newest = homeless.max_by_key(|entry| (entry.revision, &entry.announcement.id));
+        if let (Some(home), Some(newest)) =
+            (home, newest.map(|entry| entry.announcement.id.clone()))
+        {
+            self.assign_home(index, &newest, home);
         }
     }
 
-    fn end(&mut self, index: u64, gone: &Announcement) {
-        self.over.push(gone.incarnation());
+    fn end_incarnation(&mut self, index: u64, gone: &Announcement) {
+        self.ended.push(gone.incarnation());
         let home = self.targets.remove(&gone.id).and_then(|entry| entry.home);
-        self.give_away(index, &gone.service, home);
+        self.reassign_home(index, &gone.service, home);
     }
 
-    fn settle(&mut self, index: u64, target: &Incarnation) {
+    fn assign_first_home(&mut self, index: u64, target: &Incarnation) {
         let Incarnation { id, born } = target;
         let Some(entry) = self.targets.get(id) else { return };
         if entry.announcement.born != *born {
             return;
         }
         if entry.home.is_none() && entry.announcement.state == TargetState::Ready {
-            let free = self.free(&entry.announcement.service.clone());
-            self.house(index, id, free);
+            let free_home = self.free_home(&entry.announcement.service.clone());
+            self.assign_home(index, id, free_home);
         }
     }
 
-    fn silence(&mut self, index: u64, target: &Incarnation) {
+    fn mark_unresponsive(&mut self, index: u64, target: &Incarnation) {
         if let Some(entry) = self.targets.get_mut(&target.id)
             && entry.announcement.born == target.born
             && entry.announcement.state != TargetState::Silent
@@ -128,16 +133,16 @@
         let known = self.targets.get(&target.id).map(|entry| entry.announcement.clone());
         match known {
             Some(known) if target.born == StartTime(None) || target.born == known.born => {
-                self.end(index, &known);
+                self.end_incarnation(index, &known);
             }
             Some(_) => {}
-            None if self.over.iter().any(|over| over.id == target.id) => {}
-            None => self.over.push(target.clone()),
+            None if self.ended.iter().any(|ended| ended.id == target.id) => {}
+            None => self.ended.push(target.clone()),
         }
     }
 }
 
-/// When a start was, by a clock that may step; at times it is not said.
+/// A random start time, or none; not in order, because clocks may step back.
 fn born(rng: &mut StdRng) -> StartTime {
     StartTime(rng.random_bool(0.8).then(|| rng.random_range(1..5)))
 }
@@ -158,11 +163,13 @@
     }
 }
 
-/// Everything that gateways can see, with homes.
-fn seen(directory: &Directory) -> BTreeMap<String, (Announcement, Option<u32>)> {
-    let all = directory.delta_since(0).map(|delta| delta.changed).unwrap_or_default();
-    let all = all.into_iter();
-    all.map(|listed| (listed.announcement.id.clone(), (listed.announcement, listed.home))).collect()
+/// All targets and homes that gateways receive.
+fn visible_targets(directory: &Directory) -> BTreeMap<String, (Announcement, Option<u32>)> {
+    let changed = directory.delta_since(0).map(|delta| delta.changed).unwrap_or_default();
+    let changed = changed.into_iter();
+    changed
+        .map(|listed| (listed.announcement.id.clone(), (listed.announcement, listed.home)))
+        .collect()
 }
 
 #[test]
@@ -188,11 +195,11 @@
                 }
                 7..10 => {
                     directory.assign_homes(index, std::slice::from_ref(&target));
-                    naive.settle(index, &target);
+                    naive.assign_first_home(index, &target);
                 }
                 10 => {
                     directory.mark_unresponsive(index, std::slice::from_ref(&target));
-                    naive.silence(index, &target);
+                    naive.mark_unresponsive(index, &target);
                 }
                 _ if rng.random_bool(0.3) => {
                     directory.remove(index, &target.id, target.born);
@@ -204,7 +211,7 @@
             let expected: BTreeMap<_, _> = expected
                 .map(|(id, entry)| (id.clone(), (entry.announcement.clone(), entry.home)))
                 .collect();
-            assert_eq!(seen(&directory), expected, "after {index} steps");
+            assert_eq!(visible_targets(&directory), expected, "after {index} steps");
             let homeless = expected.values().filter(|(announcement, home)| {
                 home.is_none() && announcement.state == TargetState::Ready
             });
@@ -215,8 +222,8 @@
         assert_eq!(restored, directory);
         let known = heartbeat(&mut rng, TargetState::Ready, 1_000);
         assert_eq!(restored.classify(&known), directory.classify(&known));
-        assert!(naive.over.iter().all(|over| {
-            let gone = Announcement { id: over.id.clone(), born: over.born, ..known.clone() };
+        assert!(naive.ended.iter().all(|ended| {
+            let gone = Announcement { id: ended.id.clone(), born: ended.born, ..known.clone() };
             restored.classify(&gone) == HeartbeatClass::Stale
         }));
     }
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -1,4 +1,4 @@
-//! Log lines are read back as they were written, and make the story of a request.
+//! Log lines are parsed as they were written, and `explain` builds the timeline of a request from them.
 
 use std::io::{self, Write};
 use std::sync::{Arc, Mutex};
@@ -11,9 +11,9 @@
 use slog::{Level, info};
 
 #[derive(Clone, Default)]
-struct Kept(Arc<Mutex<Vec<u8>>>);
+struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
-impl Write for Kept {
+impl Write for SharedBuffer {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.0.lock().expect("no panic").extend(bytes);
         Ok(bytes.len())
@@ -26,14 +26,14 @@
 
 #[test]
 fn a_line_is_read_back_whatever_its_values_hold() {
-    let kept = Kept::default();
+    let buffer = SharedBuffer::default();
     let values = ["plain", "two words", "a \"quote\"", "back\\slash", "a=b", "new\nline", ""];
-    let log = logger_to(kept.clone(), "host-1", Level::Info);
+    let log = logger_to(buffer.clone(), "host-1", Level::Info);
     for value in values {
         info!(log, "a message"; "event" => "tried", "id" => "r-1", "value" => value);
     }
     drop(log);
-    let text = String::from_utf8(kept.0.lock().expect("no panic").clone()).expect("text");
+    let text = String::from_utf8(buffer.0.lock().expect("no panic").clone()).expect("text");
     let lines: Vec<LogLine> = text.lines().filter_map(LogLine::parse).collect();
     assert_eq!(lines.len(), values.len(), "{text}");
     for (line, value) in lines.iter().zip(values) {
@@ -45,14 +45,14 @@
 }
 
 #[test]
-fn lines_of_others_are_passed_over() {
+fn lines_of_other_programs_are_skipped() {
     for line in ["", "thread 'main' panicked", "key=value", "event=x host=h", "a=\"unclosed"] {
         assert_eq!(LogLine::parse(line), None, "{line}");
     }
 }
 
 #[test]
-fn a_story_has_each_decision_in_order_with_what_its_host_believed_then() {
+fn a_timeline_has_each_decision_in_order_with_the_known_state_of_its_host() {
     let lines = [
         "level=INFO msg=x host=g2 at_ms=990 event=configuration version=9",
         "level=INFO msg=x host=g1 at_ms=400 event=configuration version=3",
@@ -64,37 +64,37 @@
         "level=INFO msg=x host=g1 at_ms=1100 event=configuration version=5",
         "level=INFO msg=x host=g1 at_ms=1000 event=attempt id=r-2 outcome=answered target=i-1",
     ];
-    let story = Timeline::of("r-1", lines.into_iter());
-    let events: Vec<&str> = story.steps.iter().map(|step| step.event.as_str()).collect();
+    let timeline = Timeline::of("r-1", lines.into_iter());
+    let events: Vec<&str> = timeline.steps.iter().map(|step| step.event.as_str()).collect();
     assert_eq!(events, ["attempt", "given_up"]);
-    let told = |at: usize| -> Vec<(&str, u64, &str)> {
-        let known_state = story.steps[at].known_state.iter();
-        known_state.map(|belief| (belief.topic, belief.age_ms, belief.state.as_str())).collect()
+    let known_state = |at: usize| -> Vec<(&str, u64, &str)> {
+        let known_state = timeline.steps[at].known_state.iter();
+        known_state.map(|state| (state.topic, state.age_ms, state.state.as_str())).collect()
     };
     let paused = ("paused target", 50, "target=i-1 outcome=Failed");
-    assert_eq!(told(0), [("configuration", 100, "version=4"), paused]);
-    assert_eq!(told(1), [("configuration", 100, "version=5")]);
-    let text = story.to_string();
+    assert_eq!(known_state(0), [("configuration", 100, "version=4"), paused]);
+    assert_eq!(known_state(1), [("configuration", 100, "version=5")]);
+    let text = timeline.to_string();
     assert!(text.contains("reason=not_run") && text.contains("told 100 ms before"), "{text}");
     assert!(Timeline::of("r-9", lines.into_iter()).to_string().contains("no line tells"));
 }
 
 #[test]
-fn a_process_that_starts_believes_nothing_of_its_former_life() {
+fn a_restarted_process_has_no_known_state_from_before() {
     let lines = [
         "level=INFO msg=x host=g1 at_ms=900 event=configuration version=4",
         "level=INFO msg=x host=g1 at_ms=950 event=gateway_started version=0.1.0",
         "level=INFO msg=x host=g1 at_ms=960 event=refused id=r-1 reason=no_configuration",
     ];
-    let story = Timeline::of("r-1", lines.into_iter());
-    let matters: Vec<&str> = story.steps[0].known_state.iter().map(|belief| belief.topic).collect();
-    assert_eq!(matters, ["start"]);
+    let timeline = Timeline::of("r-1", lines.into_iter());
+    let topics: Vec<&str> = timeline.steps[0].known_state.iter().map(|state| state.topic).collect();
+    assert_eq!(topics, ["start"]);
 }
 
-/// A reader that never reads.
-struct Stuck;
+/// A log output that blocks for ever, like a pipe that nobody reads.
+struct BlockedWriter;
 
-impl Write for Stuck {
+impl Write for BlockedWriter {
     fn write(&mut self, _bytes: &[u8]) -> io::Result<usize> {
         loop {
             std::thread::park();
@@ -107,12 +107,12 @@
 }
 
 #[test]
-fn a_reader_that_stands_still_delays_nobody() {
-    let log = logger_to(Stuck, "host-1", Level::Info);
+fn a_blocked_log_output_delays_no_logging() {
+    let log = logger_to(BlockedWriter, "host-1", Level::Info);
     for at in 0..100_000 {
         info!(log, "a message"; "event" => "tried", "at" => at);
     }
-    // The thread that writes never ends, so the logger must not wait for it here.
+    // The writing thread never ends; dropping the logger would wait for it.
     std::mem::forget(log);
 }
 
@@ -122,7 +122,7 @@
     for second in 0..3 {
         let now = |at: u64| Duration::from_secs(second) + Duration::from_micros(at * 100);
         let few: u32 = (0..150).filter_map(|at| sampler.keep(now(at))).sum();
-        assert_eq!(few, 150, "few lines are all kept");
+        assert_eq!(few, 150, "lines were dropped below the limit");
         let many: Vec<u32> = (150..5_150).filter_map(|at| sampler.keep(now(at))).collect();
         assert!(many.len() < 400, "{} lines kept of 5,000", many.len());
         let stands_for: u32 = many.iter().sum();
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path: control, two routers and the stand-ins, each part its own process.
+//! End-to-end test: a control group, two routers and the stand-ins, each as a process of its own.
 
 mod support;
 
@@ -12,7 +12,7 @@
     assert!(waited.status.success(), "{}", text(&waited.stderr));
     fleet.serving().await;
 
-    // A returning chat meets its cached prefix through either router.
+    // The second turn of a chat finds its cached prefix, although it comes through the other router.
     let first = fleet.chat(0, "chat-1", &["hello"], true).send().await.unwrap();
     assert_eq!(first.status(), 200);
     let first = first.text().await.unwrap();
--- a/tests/slots.rs
+++ b/tests/slots.rs
@@ -1,5 +1,5 @@
-//! Slots against a central count: whatever datagrams are lost, late or doubled, and however owners
-//! change, an owner never counts fewer slots than the routers hold, and in the end just as many.
+//! Slot counts of owners against a central count: whichever datagrams are lost, late or duplicated, and however owners
+//! change, an owner never counts fewer slots than the routers hold, and just as many once all datagrams have arrived.
 
 mod seeds;
 
@@ -29,10 +29,10 @@
 #[derive(Clone, Debug)]
 enum Step {
     Ask { router: u64, target: u64 },
-    End { router: u64 },
+    Release { router: u64 },
     Deliver(usize),
     Lose(usize),
-    State(u64),
+    SendStatements(u64),
     Leave(u64),
     Join(u64),
     Restart(u64),
@@ -41,10 +41,10 @@
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         8 => (0..ROUTERS, 0..TARGETS).prop_map(|(router, target)| Step::Ask { router, target }),
-        4 => (0..ROUTERS).prop_map(|router| Step::End { router }),
+        4 => (0..ROUTERS).prop_map(|router| Step::Release { router }),
         12 => (0usize..100).prop_map(Step::Deliver),
         1 => (0usize..100).prop_map(Step::Lose),
-        3 => (0..ROUTERS).prop_map(Step::State),
+        3 => (0..ROUTERS).prop_map(Step::SendStatements),
         1 => (0..ROUTERS).prop_map(Step::Leave),
         1 => (0..ROUTERS).prop_map(Step::Join),
         1 => (0..ROUTERS).prop_map(Step::Restart),
@@ -55,14 +55,16 @@
     (0..TARGETS).map(|target| (NameHash(target), NameHash(7))).collect()
 }
 
-/// Routers, the datagrams between them, and the central count of slots really held.
+/// The routers' tables, the datagrams in flight between them, and the central count of the slots held.
 struct Fleet {
     tables: Vec<Table>,
     live: BTreeSet<RouterId>,
-    /// Which process of each router is the present one.
+    /// Current incarnation of each router.
     incarnations: Vec<u64>,
     network: Vec<(RouterId, Datagram)>,
+    /// Slots held, by router and target.
     held: BTreeMap<(u64, u64), usize>,
+    /// Target of each open ask, by router, owner and ticket.
     asked: BTreeMap<(u64, u64, u32), u64>,
 }
 
@@ -80,7 +82,7 @@
             held,
             asked,
         };
-        fleet.show_view();
+        fleet.update_views();
         fleet
     }
 
@@ -88,28 +90,29 @@
         &mut self.tables[router as usize]
     }
 
-    /// Every live router learns of all others, and all statements arrive.
-    fn show_view(&mut self) {
+    /// Gives each live router the set of live routers, and delivers the statements of all.
+    fn update_views(&mut self) {
         let live = self.live.clone();
         self.asked.clear();
         for router in &live {
             self.table(router.0).set_view(&live, &pools());
         }
-        let live_both = |to: &RouterId, from: &RouterId| live.contains(from) && live.contains(to);
-        self.network.retain(|(to, datagram)| live_both(to, &datagram.from.router));
-        self.settle();
+        let both_live = |to: &RouterId, from: &RouterId| live.contains(from) && live.contains(to);
+        self.network.retain(|(to, datagram)| both_live(to, &datagram.from.router));
+        self.synchronize();
     }
 
-    fn settle(&mut self) {
+    /// Has each live router send its statements, and delivers all datagrams.
+    fn synchronize(&mut self) {
         for router in self.live.clone() {
-            self.state(router.0);
+            self.send_statements(router.0);
         }
         while !self.network.is_empty() {
             self.deliver(0);
         }
     }
 
-    fn state(&mut self, router: u64) {
+    fn send_statements(&mut self, router: u64) {
         for (to, message) in self.table(router).statements() {
             self.send(router, to, message);
         }
@@ -125,7 +128,7 @@
         self.network.push((to, datagram));
     }
 
-    /// A router's process ends and starts again so soon that the others never miss it.
+    /// Restarts a router so soon that the others never see it gone.
     fn restart(&mut self, router: u64) {
         self.held.retain(|(of, _), _| *of != router);
         self.asked.retain(|(of, _, _), _| *of != router);
@@ -133,9 +136,9 @@
         self.tables[router as usize] = Table::new(self.peer(router));
         let live = self.live.clone();
         self.table(router).set_view(&live, &pools());
-        // What was under way arrives only after all have stated what they hold.
+        // Datagrams that were in flight arrive only after the statements of all routers.
         let late = std::mem::take(&mut self.network);
-        self.settle();
+        self.synchronize();
         self.network = late;
     }
 
@@ -163,7 +166,7 @@
         }
     }
 
-    fn end(&mut self, router: u64) {
+    fn release_one(&mut self, router: u64) {
         let held = self.held.iter_mut().find(|((of, _), count)| *of == router && **count > 0);
         let Some(((_, target), count)) = held else {
             return;
@@ -175,11 +178,11 @@
         }
     }
 
-    fn deliver(&mut self, pick: usize) {
+    fn deliver(&mut self, index: usize) {
         if self.network.is_empty() {
             return;
         }
-        let (to, datagram) = self.network.remove(pick % self.network.len());
+        let (to, datagram) = self.network.remove(index % self.network.len());
         let from = datagram.from.router;
         match self.table(to.0).check_datagram(Duration::ZERO, &datagram) {
             DatagramCheck::Stale => return self.lose(to, &datagram),
@@ -207,7 +210,7 @@
         }
     }
 
-    /// An ask whose answer does not come is given up.
+    /// Drops a datagram; if it was a current ask or the answer to one, the asking router gives the ask up.
     fn lose(&mut self, to: RouterId, datagram: &Datagram) {
         let from = datagram.from.router;
         let (asker, owner, ticket) = match &datagram.messages[0] {
@@ -221,7 +224,7 @@
         self.table(asker.0).give_up(owner, ticket);
     }
 
-    /// Slots at `target` by its owner's count, and by the central one.
+    /// Slots at `target` by its owner's count and by the central count.
     fn counts(&self, target: u64) -> (usize, usize) {
         let owner =
             self.live.iter().map(|router| self.tables[router.0 as usize].load(NameHash(target)));
@@ -234,7 +237,7 @@
             self.held.retain(|(of, _), _| *of != router);
             self.incarnations[router as usize] += 1;
             self.tables[router as usize] = Table::new(self.peer(router));
-            self.show_view();
+            self.update_views();
         }
     }
 }
@@ -251,19 +254,21 @@
                 Step::Ask { router, target } if fleet.live.contains(&RouterId(router)) => {
                     fleet.ask(router, target);
                 }
-                Step::End { router } => fleet.end(router),
-                Step::Deliver(pick) => fleet.deliver(pick),
-                Step::Lose(pick) if !fleet.network.is_empty() => {
-                    let lost = pick % fleet.network.len();
+                Step::Release { router } => fleet.release_one(router),
+                Step::Deliver(index) => fleet.deliver(index),
+                Step::Lose(index) if !fleet.network.is_empty() => {
+                    let lost = index % fleet.network.len();
                     let (to, datagram) = fleet.network.remove(lost);
                     fleet.lose(to, &datagram);
                 }
-                Step::State(router) if fleet.live.contains(&RouterId(router)) => fleet.state(router),
+                Step::SendStatements(router) if fleet.live.contains(&RouterId(router)) => {
+                    fleet.send_statements(router);
+                }
                 Step::Leave(router) => fleet.leave(router),
                 Step::Restart(router) if fleet.live.contains(&RouterId(router)) => {
                     fleet.restart(router);
                 }
-                Step::Join(router) if fleet.live.insert(RouterId(router)) => fleet.show_view(),
+                Step::Join(router) if fleet.live.insert(RouterId(router)) => fleet.update_views(),
                 _ => {}
             }
             for target in 0..TARGETS {
@@ -271,11 +276,11 @@
                 prop_assert!(owner >= held, "target {target}: {owner} counted, {held} held");
             }
             if rng.random_bool(0.02) {
-                fleet.settle();
+                fleet.synchronize();
             }
         }
-        fleet.settle();
-        fleet.settle();
+        fleet.synchronize();
+        fleet.synchronize();
         for target in 0..TARGETS {
             let (owner, held) = fleet.counts(target);
             prop_assert_eq!(owner, held, "capacity leaked at target {}", target);
@@ -290,21 +295,22 @@
         const CAPACITY: usize = 100;
         let weights: usize = demands.iter().map(|(_, weight)| usize::from(*weight)).sum();
         let share = |weight: u16| (usize::from(weight) * 1_000 / weights) as u16;
-        let teams: Vec<(usize, u16)> = demands.iter().map(|(want, w)| (*want, share(*w))).collect();
+        let teams: Vec<(usize, u16)> =
+            demands.iter().map(|(want, weight)| (*want, share(*weight))).collect();
         let mut rng = StdRng::seed_from_u64(seed);
         let mut shares = Shares::default();
         let mut used = vec![0usize; teams.len()];
         let mut now = Duration::ZERO;
-        // Every team asks for all that it wants again and again; requests end one by one.
+        // The teams keep asking for slots up to their demand, while requests end one by one.
         for _ in 0..6_000 {
             now += Duration::from_millis(20);
             let total: usize = used.iter().sum();
             if total > 0 && rng.random_bool(0.5) {
                 let mut ended = rng.random_range(0..total);
                 let team = used.iter().position(|count| {
-                    let here = ended < *count;
+                    let found = ended < *count;
                     ended = ended.wrapping_sub(*count);
-                    here
+                    found
                 });
                 used[team.expect("one of them")] -= 1;
             }
@@ -320,8 +326,12 @@
         }
         let guaranteed: Vec<usize> =
             teams.iter().map(|(want, share)| (CAPACITY * usize::from(*share) / 1_000).min(*want)).collect();
-        for (at, sure) in guaranteed.iter().enumerate() {
-            prop_assert!(used[at] + 3 >= *sure, "team {at} has {} of {sure}: {used:?}", used[at]);
+        for (at, guaranteed_slots) in guaranteed.iter().enumerate() {
+            prop_assert!(
+                used[at] + 3 >= *guaranteed_slots,
+                "team {at} uses {} of {guaranteed_slots} guaranteed slots: {used:?}",
+                used[at]
+            );
         }
         let wanted: usize = teams.iter().map(|(want, _)| want).sum();
         let total: usize = used.iter().sum();
@@ -342,7 +352,8 @@
     }
 }
 
-/// Asks of many requests drowned in the owner's receive buffer, one datagram each, and were taken for refused.
+/// With one datagram per ask, bursts overflowed the owner's receive buffer, and the lost asks counted as refused. Asks
+/// are sent in rounds: only one round is in flight, and a lost one is sent again.
 #[test]
 fn one_round_of_asks_is_under_way_and_one_that_is_lost_is_sent_again() {
     let mut rounds = Rounds::default();
@@ -373,7 +384,7 @@
     assert!(datagrams < 50, "{datagrams}");
 }
 
-/// Callers that leave must not keep the asks of others waiting.
+/// Asks that were given up because their clients disconnected must not delay the asks of others.
 #[test]
 fn the_next_round_is_due_once_all_asks_of_the_last_are_given_up() {
     let mut rounds = Rounds::default();
@@ -385,19 +396,20 @@
     assert_eq!((next.resent, next.messages.len()), (false, 100 - first as usize));
 }
 
-/// Each engine was full when its turn came, though never all were; and an ask that is sent again is granted once.
+/// An owner that was asked for one target at a time refused requests although some target always had a free slot. It must
+/// consider all targets of an ask at once, and grant an ask that is sent again only once.
 #[test]
 fn an_owner_decides_on_all_targets_at_one_moment_and_grants_a_repeated_ask_once() {
-    let me = RouterId(1);
+    let router = RouterId(1);
     let mut owner = Owner::default();
-    owner.set_view([me].into(), &[NameHash(1), NameHash(2)].into());
+    owner.set_view([router].into(), &[NameHash(1), NameHash(2)].into());
     let bounds = Bounds { engine_slots: 1, ..BOUNDS };
     let pool = PoolLoad { load: 0, targets: 2 };
-    assert_eq!(owner.ask(me, &ask_with(1), pool, &bounds), Verdict::Undecided);
-    owner.apply_statement(me, &Statement { receiver_reported: true, ..Statement::default() });
-    assert_eq!(owner.ask(me, &ask_with(1), pool, &bounds), Verdict::Granted(0));
-    assert_eq!(owner.ask(me, &ask_with(1), pool, &bounds), Verdict::Granted(0));
-    assert_eq!(owner.ask(me, &ask_with(2), pool, &bounds), Verdict::Granted(1));
-    assert_eq!(owner.ask(me, &ask_with(3), pool, &bounds), Verdict::Full);
+    assert_eq!(owner.ask(router, &ask_with(1), pool, &bounds), Verdict::Undecided);
+    owner.apply_statement(router, &Statement { receiver_reported: true, ..Statement::default() });
+    assert_eq!(owner.ask(router, &ask_with(1), pool, &bounds), Verdict::Granted(0));
+    assert_eq!(owner.ask(router, &ask_with(1), pool, &bounds), Verdict::Granted(0));
+    assert_eq!(owner.ask(router, &ask_with(2), pool, &bounds), Verdict::Granted(1));
+    assert_eq!(owner.ask(router, &ask_with(3), pool, &bounds), Verdict::Full);
     assert_eq!((owner.load(NameHash(1)), owner.load(NameHash(2))), (1, 1));
 }
