--- a/tests/account.rs
+++ b/tests/account.rs
@@ -2,8 +2,8 @@
 
 use latchmount::account::{Account, End};
 
-fn line(at_ms: u64, rest: &str) -> String {
-    format!("level=INFO msg=x role=gateway host=h at_ms={at_ms} {rest}\n")
+fn line(at_ms: u64, fields: &str) -> String {
+    format!("level=INFO msg=x role=gateway host=h at_ms={at_ms} {fields}\n")
 }
 
 fn account(log: &str) -> Account {
--- a/tests/clock.rs
+++ b/tests/clock.rs
@@ -31,7 +31,7 @@
 #[case::read_apart_on_a_busy_host(1_500, 1_400, None)]
 #[case::suspended(9_400, 1_400, Some(8_000))]
 #[case::the_runtime_s_clock_is_ahead(1_300, 1_400, None)]
-fn a_suspension_is_when_one_clock_goes_on_and_the_other_stands(
+fn a_suspension_is_when_one_clock_advances_and_the_other_does_not(
     #[case] counted_ms: u64,
     #[case] steady_ms: u64,
     #[case] suspended_ms: Option<u64>,
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn a_deadline_that_passed_during_a_pause_leaves_time_to_read_what_lies_ready() {
+fn a_deadline_that_passed_during_a_pause_leaves_time_to_read_received_data() {
     let start = Instant::now();
     let mut time = RunTime::since(start);
     time.advance(start + ms(5_000));
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -98,7 +98,7 @@
     }
 
     #[test]
-    fn a_plan_unloads_no_more_than_it_must_and_comes_to_rest_near_the_quotas(
+    fn a_plan_unloads_no_more_than_it_must_and_converges_near_the_quotas(
         weights in btree_map(0u8..6, 1u16..1000, 1..6),
         loaded in vec(proptest::option::of(0u8..8), 1..30),
     ) {
@@ -261,7 +261,7 @@
             if release {
                 claims.release(Release { key, nonce });
                 naive.retain(|held| (held.0, held.2) != (key, nonce));
-                // A released claim was not run, so that another router may run it.
+                // A request whose claim was released has not run, so another router may run it.
                 granted.entry(key).or_default().remove(&nonce);
                 continue;
             }
--- a/tests/directory.rs
+++ b/tests/directory.rs
@@ -143,7 +143,7 @@
 }
 
 /// A random start time, or none; not in order, because clocks may step back.
-fn born(rng: &mut StdRng) -> StartTime {
+fn random_start_time(rng: &mut StdRng) -> StartTime {
     StartTime(rng.random_bool(0.8).then(|| rng.random_range(1..5)))
 }
 
@@ -151,7 +151,7 @@
     let number = rng.random_range(0..60);
     Announcement {
         id: format!("t{number}"),
-        born: born(rng),
+        born: random_start_time(rng),
         service: format!("s{}", number % 3),
         version: "v1".into(),
         addr: SocketAddr::from(([10, 0, 0, number as u8], 80)),
@@ -181,7 +181,7 @@
             let late = rng.random_bool(0.1);
             let sequence = if late { index / 2 } else { index };
             let id = format!("t{}", rng.random_range(0..60));
-            let target = Incarnation { id, born: born(&mut rng) };
+            let target = Incarnation { id, born: random_start_time(&mut rng) };
             match rng.random_range(0..12) {
                 0..5 => {
                     let ready = heartbeat(&mut rng, TargetState::Ready, sequence);
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -10,6 +10,7 @@
 use latchmount::sampler::Sampler;
 use slog::{Level, info};
 
+/// A log output whose bytes the test can read.
 #[derive(Clone, Default)]
 struct SharedBuffer(Arc<Mutex<Vec<u8>>>);
 
--- a/tests/fleet/poison.rs
+++ b/tests/fleet/poison.rs
@@ -1,7 +1,7 @@
 //! Poison requests: requests that crash each target that runs them.
 //!
 //! Guards against one request that crashes target after target. In production, a service with 18 places for targets
-//! lost 50 and more targets in half a minute, with the streams of other callers that ran there, and four fifths of one
+//! lost 50 and more targets in half a minute, with the streams of other clients that ran there, and four fifths of one
 //! kind of request. Each time, a target crashed some 80 ms and some events into a stream, the gateway resumed the
 //! stream at a second target, that crashed too, and the client got 502 and repeated the request at another gateway
 //! under another id. Retry limits and budgets bound one client request at one gateway, or one service, but nothing
--- a/tests/fleet/process_pauses.rs
+++ b/tests/fleet/process_pauses.rs
@@ -23,10 +23,10 @@
     log.lines().filter(move |line| field(line, "event") == Some(event))
 }
 
-/// After a pause, a gateway cut streams whose deadline had passed meanwhile, although the remaining events were already
-/// in its receive buffer.
+/// Guards against a gateway that, after a pause, cuts streams whose deadline passed meanwhile, although the remaining
+/// events are already in its receive buffer.
 #[tokio::test]
-async fn a_stream_that_lies_ready_after_a_pause_of_its_gateway_arrives_whole() {
+async fn a_stream_received_during_a_pause_of_its_gateway_arrives_whole() {
     let (fleet, target) = fleet(&[]).await;
     target.behave(Behaviour::Stream(100));
     let front = fleet.front(0);
@@ -43,10 +43,10 @@
     assert_eq!(events_of(&log, "target_silent").count(), 0, "{log}");
 }
 
-/// After a pause, a gateway gave up on requests whose deadline had passed meanwhile, although the answer was already in
-/// its receive buffer.
+/// Guards against a gateway that, after a pause, gives up on requests whose deadline passed meanwhile, although the
+/// answer is already in its receive buffer.
 #[tokio::test]
-async fn an_answer_that_lies_ready_after_a_pause_of_its_gateway_is_delivered() {
+async fn an_answer_received_during_a_pause_of_its_gateway_is_delivered() {
     let (fleet, target) = fleet(&[]).await;
     target.behave(Behaviour::Slow(Duration::from_millis(600)));
     let front = fleet.front(0);
@@ -64,9 +64,9 @@
     assert_eq!(events_of(&log, "target_silent").count(), 0, "{log}");
 }
 
-/// A gateway counted its own pauses as time in which the client read nothing, and cut the client off.
+/// Guards against a gateway that counts its own pauses as time in which the client read nothing, and cuts it off.
 #[tokio::test]
-async fn a_client_that_reads_slowly_is_not_cut_for_pauses_of_its_gateway() {
+async fn a_client_that_reads_slowly_is_not_cut_off_for_pauses_of_its_gateway() {
     const BYTES: usize = 4_500_000;
     const STEP: usize = 20_000;
     let (fleet, target) = fleet(&[]).await;
@@ -98,9 +98,9 @@
     assert_eq!(events_of(&log, "client_cut").count(), 0, "{log}");
 }
 
-/// After a pause of its own, a gateway took its member for unresponsive and disconnected from it.
+/// Guards against a gateway that, after a pause, takes its member for unresponsive and disconnects from it.
 #[tokio::test]
-async fn a_gateway_does_not_leave_its_member_for_its_own_pauses() {
+async fn a_gateway_does_not_disconnect_from_its_member_for_its_own_pauses() {
     let (fleet, _target) = fleet(&[]).await;
     for _ in 0..5 {
         pause(&fleet.gateways[0], Duration::from_millis(1_300)).await;
@@ -110,9 +110,10 @@
     assert_eq!(events_of(&log, "member_left").count(), 0, "{log}");
 }
 
-/// After a pause, a leader marked all targets as unresponsive before it read the heartbeats that had arrived meanwhile.
+/// Guards against a leader that, after a pause, marks all targets as unresponsive before it reads the heartbeats that
+/// arrived meanwhile.
 #[tokio::test]
-async fn a_member_does_not_take_targets_for_silent_for_its_own_pauses() {
+async fn a_member_does_not_mark_targets_unresponsive_for_its_own_pauses() {
     let (fleet, _target) = fleet(&[]).await;
     for _ in 0..5 {
         pause(&fleet.members[0], Duration::from_millis(1_500)).await;
@@ -122,8 +123,8 @@
     assert_eq!(events_of(&log, "targets_silent").count(), 0, "{log}");
 }
 
-/// A gateway that started while its member was paused refused clients that another gateway would have served. It must
-/// not listen before the member has sent its first update.
+/// A gateway that starts while its member is paused must not listen before the member has sent its first update: it
+/// would refuse clients that another gateway could serve.
 #[tokio::test]
 async fn a_gateway_that_starts_takes_no_connections_before_a_member_sent_it_an_update() {
     let (mut fleet, _target) = fleet(&[]).await;
--- a/tests/fleet/requests.rs
+++ b/tests/fleet/requests.rs
@@ -122,7 +122,7 @@
 }
 
 #[tokio::test]
-async fn an_address_that_another_target_has_now_counts_as_nobody() {
+async fn a_request_for_a_target_is_not_run_by_another_one_at_its_address() {
     let (fleet, standins) = fleet_with(2).await;
     // The process at this address now is not the target that the gateway expects there.
     standins[0].become_another();
--- a/tests/fleet/rollouts.rs
+++ b/tests/fleet/rollouts.rs
@@ -202,13 +202,13 @@
     rolled_back_while_members_are_lost(behaviour, None).await;
 }
 
-/// A gateway that was paused between the choice of a target and the sending of the request sent it to the new version
-/// even after it had received the roll-back.
+/// Guards against a gateway that is paused between choosing a target and sending the request, and then sends it to the
+/// new version although it has received the roll-back.
 #[rstest]
 #[case(11)]
 #[case(14)]
 #[tokio::test]
-async fn a_version_that_was_rolled_back_gets_nothing_from_gateways_that_stood_still(
+async fn a_version_that_was_rolled_back_gets_nothing_from_gateways_that_were_paused(
     #[case] seed: u64,
 ) {
     let max_pause = Duration::from_millis(2_500);
--- a/tests/fleet/slow_clients.rs
+++ b/tests/fleet/slow_clients.rs
@@ -97,7 +97,7 @@
 /// A client that the gateway cuts off while it sends, to free memory, gets 408 with `not_run`, and no target gets the
 /// request.
 #[tokio::test]
-async fn a_slow_sender_that_makes_room_is_told_408_and_its_request_reaches_nobody() {
+async fn a_slow_sender_that_is_cut_off_gets_408_and_its_request_reaches_no_target() {
     let (fleet, target) = fleet(&[("memory_mb", json!(32))]).await;
     let front = fleet.front(0);
     // The gateway may hold 13 MB of bodies; each client sends 3 MB, and may be cut off a second after it connected.
@@ -130,7 +130,7 @@
 /// If a client never reads, the gateway closes its connection and ends the request at the target, and does not eject
 /// the target for it.
 #[tokio::test]
-async fn a_client_that_reads_nothing_is_cut_and_its_target_is_neither_held_nor_blamed() {
+async fn a_client_that_reads_nothing_is_cut_off_and_its_target_is_not_ejected() {
     let settings = [("client_buffer_kb", json!(16)), ("client_unread_ms", json!(500))];
     let (fleet, target) = fleet(&settings).await;
     target.behave(Behaviour::Flood);
--- a/tests/fleet/stops.rs
+++ b/tests/fleet/stops.rs
@@ -71,8 +71,8 @@
     (answer.len() - end - 4, content_length.expect("a length"))
 }
 
-/// A stopping gateway exited as soon as it had queued the last part of an answer for the connection; the bytes that were
-/// not written yet were lost, and the client got a truncated answer.
+/// Guards against a stopping gateway that exits as soon as it has queued the last part of an answer for the connection:
+/// bytes that are not written yet are lost, and the client gets a truncated answer.
 #[tokio::test]
 async fn a_planned_stop_waits_until_a_slow_client_has_all_of_its_answer() {
     const BYTES: usize = 6_300_000;
--- a/tests/fleet/streams.rs
+++ b/tests/fleet/streams.rs
@@ -113,14 +113,14 @@
         .header("x-deadline-ms", "4000");
     let response = request.send().await.expect("a head");
     let mut body = response.bytes_stream();
-    body.next().await.expect("an event").expect("sound");
+    body.next().await.expect("an event").expect("no error");
     drop(body);
     drop(client);
     eventually("the request ends at the target", async || {
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let metric = format!("http://{}/", fleet.front(0));
-        // A new request is served, and the old one is no longer open at the target.
-        let _ = reqwest::get(metric).await;
+        let url = format!("http://{}/", fleet.front(0));
+        // Another request; the stream must then no longer be open at the target.
+        let _ = reqwest::get(url).await;
         (standins[0].open() == 0).then_some(())
     })
     .await;
@@ -196,7 +196,7 @@
     let home = standins.iter().position(|standin| !standin.arrivals().is_empty()).expect("one");
     let (first, other) = (&standins[home], &standins[1 - home]);
     first.behave(Behaviour::Mute);
-    let mut held = Vec::new();
+    let mut open_clients = Vec::new();
     for number in 0..SLOTS {
         let mut client = TcpStream::connect(fleet.front(0)).await.expect("a connection");
         let head = format!(
@@ -205,7 +205,7 @@
             x-credential: key-a\r\nx-deadline-ms: 3500\r\ncontent-length: 4\r\n\r\nbody"
         );
         client.write_all(head.as_bytes()).await.expect("sent");
-        held.push(client);
+        open_clients.push(client);
     }
     eventually("the other target gets a request", async || {
         let id = format!("o-{}", rand::random::<u32>());
@@ -214,7 +214,7 @@
         (!other.arrivals().is_empty()).then_some(())
     })
     .await;
-    drop(held);
+    drop(open_clients);
     first.behave(Behaviour::Stream(3));
     let holder_addr = other.addr.to_string();
     eventually("the home gets a request with the holder's address", async || {
@@ -230,7 +230,7 @@
 /// When a client disconnects, the gateway ends its request at the target, also if nothing was answered yet, and does not
 /// send the request to another target.
 #[tokio::test]
-async fn clients_that_leave_have_their_requests_end_at_the_targets_and_sent_nowhere_else() {
+async fn clients_that_disconnect_have_their_requests_ended_and_sent_nowhere_else() {
     let (fleet, standins) = fleet_with(&[Behaviour::Mute, Behaviour::Mute]).await;
     let arrivals = || standins.iter().map(|standin| standin.arrivals().len()).sum::<usize>();
     let mut clients = Vec::new();
--- a/tests/fleet/target_restarts.rs
+++ b/tests/fleet/target_restarts.rs
@@ -14,7 +14,7 @@
 /// A heartbeat sequence number that no incarnation started at zero reaches within the test.
 const HIGH_SEQUENCE: u64 = 1_000_000;
 
-/// Starts a target that announces the start time `born_ms` and numbers its heartbeats from `sequence`.
+/// Starts a target that announces the start time `start_ms` and numbers its heartbeats from `sequence`.
 async fn target(fleet: &Fleet, start_ms: u64, sequence: u64) -> Standin {
     let mut standin = Standin::start("i-1", "s", Vec::new()).await;
     standin.say_born(start_ms, sequence);
--- a/tests/slots.rs
+++ b/tests/slots.rs
@@ -288,7 +288,7 @@
     }
 
     #[test]
-    fn shares_come_to_rest_at_the_naive_water_filling(
+    fn shares_converge_to_the_naive_water_filling(
         demands in vec((1usize..200, 1u16..10), 2..6),
         seed: u64,
     ) {
