--- a/src/directory/entry.rs
+++ b/src/directory/entry.rs
@@ -55,7 +55,7 @@
 
     /// Drops what a group of this level must not store.
     pub fn limited_to(self, level: Level) -> Self {
-        if level >= Level::STARTS {
+        if level >= Level::INCARNATIONS {
             return self;
         }
         Announcement {
--- a/src/router/answer_cache.rs
+++ b/src/router/answer_cache.rs
@@ -5,7 +5,7 @@
 
 use salvo::hyper::body::Bytes;
 
-use crate::claims::{RequestKey, WINDOW};
+use crate::claims::{CLAIM_WINDOW, RequestKey};
 
 /// Maximum size of all cached bodies.
 const MAX_TOTAL_BYTES: usize = 8 * 1024 * 1024;
@@ -51,7 +51,7 @@
 
     fn evict(&mut self, now: Duration) {
         while let Some((stored_at, key)) = self.by_age.front().copied() {
-            if self.bytes <= MAX_TOTAL_BYTES && now < stored_at + WINDOW {
+            if self.bytes <= MAX_TOTAL_BYTES && now < stored_at + CLAIM_WINDOW {
                 return;
             }
             self.by_age.pop_front();
--- a/src/store/saved.rs
+++ b/src/store/saved.rs
@@ -44,7 +44,7 @@
     directory: base::Directory,
 }
 
-/// Further fields of a store of [`Level::STARTS`] or above, after the common ones.
+/// Further fields of a store of [`Level::INCARNATIONS`] or above, after the common ones.
 #[derive(Serialize, Deserialize)]
 struct StartsFields<'a> {
     directory: Cow<'a, Directory>,
@@ -71,7 +71,7 @@
 impl From<Format5Fields> for Format5 {
     fn from(fields: Format5Fields) -> Self {
         let Format5Fields { revision, common, directory, evacuations, rollouts } = fields;
-        let store = common.into_store(revision, Level::STARTS, directory);
+        let store = common.into_store(revision, Level::INCARNATIONS, directory);
         Format5(Store { evacuations, rollouts, ..store })
     }
 }
--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use latchmount::choice::{Candidate, Key, NameHash, cap, choose, score};
-use latchmount::claims::{Claim, Claims, Release, RequestKey, Verdict, WINDOW};
-use latchmount::orders::{FLIGHT, Orders};
+use latchmount::claims::{CLAIM_WINDOW, Claim, Claims, Release, RequestKey, Verdict};
+use latchmount::orders::{ORDER_TIMEOUT, Orders};
 use latchmount::placement::{Change, Demand, Engine, plan};
 use latchmount::queue::Queue;
 use latchmount::reason::{Outcome, Reason};
@@ -171,9 +171,9 @@
             if let Some(order) = sent {
                 prop_assert!(order.sequence > last);
                 last = order.sequence;
-                prop_assert!(fenced || now >= lease + FLIGHT);
+                prop_assert!(fenced || now >= lease + ORDER_TIMEOUT);
                 let busy = under_way.insert(engine.clone(), now);
-                prop_assert!(busy.is_none_or(|sent| now >= sent + FLIGHT));
+                prop_assert!(busy.is_none_or(|sent| now >= sent + ORDER_TIMEOUT));
             }
             if answer {
                 orders.answered(&engine);
@@ -249,7 +249,7 @@
     fn claims_are_those_of_a_list_of_all_claims_ever(
         steps in vec((0u64..5, 0u8..3, 0u8..2, 0u64..4, any::<bool>()), 1..80),
     ) {
-        let window = WINDOW.as_millis() as u64;
+        let window = CLAIM_WINDOW.as_millis() as u64;
         let mut claims = Claims::default();
         let mut naive: Vec<(RequestKey, u64, u64)> = Vec::new();
         let mut granted: BTreeMap<RequestKey, BTreeSet<u64>> = BTreeMap::new();
