--- a/tests/decisions.rs
+++ b/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Decisions against naive versions of themselves, on random inputs.
+//! Property tests of the routers' decisions against naive implementations, on random inputs.
 
 mod seeds;
 
@@ -32,7 +32,8 @@
     demand
 }
 
-/// Gives engines out one by one, looking at every model each time.
+/// Assigns engines one by one, each to the model with the highest quotient (Webster's method, one engine to each model
+/// first).
 fn naive_quotas(weights: &BTreeMap<u8, u16>, engines: usize) -> BTreeMap<Spec, usize> {
     let mut quotas: BTreeMap<u8, usize> = weights.keys().map(|model| (*model, 0)).collect();
     for _ in 0..engines {
@@ -60,7 +61,7 @@
     loaded.iter().enumerate().map(engine).collect()
 }
 
-fn carry_out(engines: &mut [Engine], changes: &[Change]) {
+fn apply(engines: &mut [Engine], changes: &[Change]) {
     for change in changes {
         let engine = engines.iter_mut().find(|engine| engine.name == change.engine);
         engine.expect("a known engine").loaded = change.to.clone();
@@ -97,7 +98,7 @@
     }
 
     #[test]
-    fn a_plan_unloads_no_more_than_it_must_and_comes_to_rest_near_the_quotas(
+    fn a_plan_unloads_no_more_than_it_must_and_converges_near_the_quotas(
         weights in btree_map(0u8..6, 1u16..1000, 1..6),
         loaded in vec(proptest::option::of(0u8..8), 1..30),
     ) {
@@ -118,7 +119,7 @@
             }
             changed += changes.len();
             prop_assert!(changed <= lacking, "{changed} changes where {lacking} do");
-            carry_out(&mut engines, &changes);
+            apply(&mut engines, &changes);
         }
         let after = counts(&engines);
         for (spec, quota) in quotas {
@@ -260,7 +261,7 @@
             if release {
                 claims.release(Release { key, nonce });
                 naive.retain(|held| (held.0, held.2) != (key, nonce));
-                // Given back means truly not run: another may run it.
+                // A request whose claim was released has not run, so another router may run it.
                 granted.entry(key).or_default().remove(&nonce);
                 continue;
             }
--- a/tests/fleet/evacuations.rs
+++ b/tests/fleet/evacuations.rs
@@ -8,7 +8,7 @@
 
 use crate::harness::{Fleet, Process, call, eventually, field};
 use crate::member_api::configuration;
-use crate::refusals::{Ask, code};
+use crate::refusals::{ClientRequest, error_code};
 use crate::standin::{Behaviour, Standin};
 
 /// A fleet with one target in `hall-a` and one in `hall-b`.
@@ -47,8 +47,9 @@
 
 /// Sends a request; returns the status and the error code, which is empty for 200.
 async fn ask(fleet: &Fleet, gateway: usize, path: &str, id: &str) -> (u16, String) {
-    let answer = Ask::new(path, id).send(fleet.gateway_addr(gateway)).await.expect("an answer");
-    let error_code = if answer.status == 200 { String::new() } else { code(&answer) };
+    let answer =
+        ClientRequest::new(path, id).send(fleet.gateway_addr(gateway)).await.expect("an answer");
+    let error_code = if answer.status == 200 { String::new() } else { error_code(&answer) };
     (answer.status, error_code)
 }
 
@@ -89,7 +90,9 @@
     target_a.behave(Behaviour::Stream(40));
     let gateway_addr = fleet.gateway_addr(0);
     let complete =
-        tokio::spawn(async move { Ask::new("/stream/x", "r-1").send(gateway_addr).await });
+        tokio::spawn(
+            async move { ClientRequest::new("/stream/x", "r-1").send(gateway_addr).await },
+        );
     eventually("the stream has started", async || (target_a.arrivals().len() == 1).then_some(()))
         .await;
     order(&fleet, 0, "DELETE", "hall-b").await;
@@ -104,7 +107,9 @@
     target_a.behave(Behaviour::BreakAfter(30));
     target_b.behave(Behaviour::Stream(40));
     let broken =
-        tokio::spawn(async move { Ask::new("/resumable/x", "r-2").send(gateway_addr).await });
+        tokio::spawn(
+            async move { ClientRequest::new("/resumable/x", "r-2").send(gateway_addr).await },
+        );
     eventually("the stream has started", async || (target_a.arrivals().len() == 2).then_some(()))
         .await;
     order(&fleet, 0, "DELETE", "hall-b").await;
@@ -121,8 +126,9 @@
     order(&fleet, 0, "POST", "hall-a").await;
     order(&fleet, 0, "POST", "hall-b").await;
     wait_for_evacuated(&fleet.gateways[0], "hall-a,hall-b").await;
-    let answer = Ask::new("/safe/x", "r-1").send(fleet.gateway_addr(0)).await.expect("an answer");
-    assert_eq!((answer.status, code(&answer).as_str()), (503, "evacuated"));
+    let answer =
+        ClientRequest::new("/safe/x", "r-1").send(fleet.gateway_addr(0)).await.expect("an answer");
+    assert_eq!((answer.status, error_code(&answer).as_str()), (503, "evacuated"));
     assert!(answer.header("retry-after").is_some());
 }
 
@@ -140,7 +146,10 @@
     fleet.members.iter_mut().chain(&mut fleet.gateways).for_each(Process::start);
     for gateway in 0..2 {
         eventually("the gateway serves", async || {
-            let answer = Ask::new("/safe/x", "r-1").send(fleet.gateway_addr(gateway)).await.ok()?;
+            let answer = ClientRequest::new("/safe/x", "r-1")
+                .send(fleet.gateway_addr(gateway))
+                .await
+                .ok()?;
             (answer.status == 200).then_some(())
         })
         .await;
--- a/tests/fleet/group.rs
+++ b/tests/fleet/group.rs
@@ -5,7 +5,7 @@
 
 use crate::harness::{Fleet, Process, call, eventually};
 use crate::member_api::configuration;
-use crate::refusals::Ask;
+use crate::refusals::ClientRequest;
 use crate::standin::Standin;
 
 /// Waits until one of the members logs this number of voters.
@@ -104,14 +104,15 @@
     fleet.wait_for_targets(1, 1).await;
     fleet.members.iter_mut().for_each(Process::kill);
     fleet.gateways[1].kill();
-    let answer = Ask::new("/safe/x", "r-1").send(fleet.gateway_addr(0)).await.expect("an answer");
+    let answer =
+        ClientRequest::new("/safe/x", "r-1").send(fleet.gateway_addr(0)).await.expect("an answer");
     assert_eq!(answer.status, 200);
     // One member of five can't elect a leader, but knows what was committed.
     fleet.members[2].start();
     fleet.gateways[1].start();
     let gateway = fleet.gateway_addr(1);
     eventually("the new gateway serves", async || {
-        let answer = Ask::new("/safe/x", "r-2").send(gateway).await.ok()?;
+        let answer = ClientRequest::new("/safe/x", "r-2").send(gateway).await.ok()?;
         (answer.status == 200).then_some(())
     })
     .await;
@@ -135,7 +136,7 @@
     let gateway = fleet.gateway_addr(0);
     let wait_for_status = async |id: &str, status: u16| {
         eventually("an answer with the expected status", async || {
-            let answer = Ask::new("/safe/x", id).send(gateway).await.ok()?;
+            let answer = ClientRequest::new("/safe/x", id).send(gateway).await.ok()?;
             (answer.status == status).then_some(())
         })
         .await;
@@ -162,8 +163,8 @@
     let _target = Standin::start("i-1", "s", fleet.api_addrs()).await;
     fleet.configure(&configuration(6)).await;
     fleet.wait_for_targets(0, 1).await;
-    Ask::new("/safe/x", "r-1").send(fleet.gateway_addr(0)).await.expect("an answer");
-    Ask::new("/none/x", "r-2").send(fleet.gateway_addr(0)).await.expect("an answer");
+    ClientRequest::new("/safe/x", "r-1").send(fleet.gateway_addr(0)).await.expect("an answer");
+    ClientRequest::new("/none/x", "r-2").send(fleet.gateway_addr(0)).await.expect("an answer");
     let member_metrics = std::net::SocketAddr::new(member, port);
     fleet.configure(&configuration(7)).await;
     let text = eventually("the member has a report that the gateway uses version 7", async || {
--- a/tests/fleet/harness.rs
+++ b/tests/fleet/harness.rs
@@ -17,7 +17,7 @@
 use serde_json::{Value, json};
 use tempfile::TempDir;
 
-use pauses::{Pausable, PausePlan, Paused, Pauses};
+use pauses::{Pausable, PauseInjector, PausePlan, Paused};
 
 /// How long a test waits for something that must happen before it fails.
 pub const WAIT_TIMEOUT: Duration = Duration::from_secs(60);
@@ -123,13 +123,13 @@
             .stdin(Stdio::null())
             .spawn();
         let child = child.expect("the binary starts");
-        self.pausable.runs(Some(child.id()));
+        self.pausable.set_running(Some(child.id()));
         self.child = Some(child);
     }
 
     /// Removes and returns the running child, so that it can be killed or waited for. Ends a pause.
     fn take_child(&mut self) -> Option<Child> {
-        self.pausable.runs(None);
+        self.pausable.set_running(None);
         let child = self.child.take()?;
         // It may be paused, and a stopped process does not act on SIGTERM.
         let _ = kill(Pid::from_raw(child.id() as i32), Signal::SIGCONT);
@@ -285,7 +285,7 @@
     seeds: Vec<SocketAddr>,
     folder: TempDir,
     /// Pauses processes while it is set.
-    pauses: Option<Pauses>,
+    pauses: Option<PauseInjector>,
 }
 
 impl Drop for Fleet {
@@ -309,7 +309,7 @@
         let members = self.members.iter().filter(|_| plan.paused != Paused::Gateways);
         let gateways = self.gateways.iter().filter(|_| plan.paused != Paused::Members);
         let processes = members.chain(gateways).map(|process| process.pausable.clone());
-        self.pauses = Some(Pauses::begin(plan, processes.collect()));
+        self.pauses = Some(PauseInjector::start(plan, processes.collect()));
     }
 
     /// Ends the pauses; all processes run again.
--- a/tests/fleet/paused.rs
+++ b/tests/fleet/process_pauses.rs
@@ -1,4 +1,5 @@
-//! Processes that stand still for a while: what others did meanwhile is neither lost nor held against them.
+//! Processes that are paused for a while: answers that arrived meanwhile are delivered, and the others are not
+//! considered unresponsive for the time of the pause.
 
 use std::time::Duration;
 
@@ -7,11 +8,11 @@
 use tokio::net::{TcpSocket, TcpStream};
 
 use crate::harness::{Process, eventually, field};
-use crate::refusals::Ask;
-use crate::slow::fleet;
+use crate::refusals::ClientRequest;
+use crate::slow_clients::fleet;
 use crate::standin::{Behaviour, event};
 
-/// Stops a process for so long.
+/// Stops a process for `length`.
 async fn pause(process: &Process, length: Duration) {
     process.signal(Signal::SIGSTOP);
     tokio::time::sleep(length).await;
@@ -22,56 +23,61 @@
     log.lines().filter(move |line| field(line, "event") == Some(event))
 }
 
-/// A gateway cut streams whose rest lay ready, since their deadline had passed while it stood still.
+/// Guards against a gateway that, after a pause, cuts streams whose deadline passed meanwhile, although the remaining
+/// events are already in its receive buffer.
 #[tokio::test]
-async fn a_stream_that_lies_ready_after_a_pause_of_its_gateway_arrives_whole() {
+async fn a_stream_received_during_a_pause_of_its_gateway_arrives_whole() {
     let (fleet, target) = fleet(&[]).await;
     target.behave(Behaviour::Stream(100));
     let front = fleet.gateway_addr(0);
-    let ask = tokio::spawn(async move {
-        Ask::new("/stream/x", "r-1").with("x-deadline-ms", "2500").send(front).await
+    let request = tokio::spawn(async move {
+        ClientRequest::new("/stream/x", "r-1").with("x-deadline-ms", "2500").send(front).await
     });
     eventually("the stream runs", async || (target.arrivals().len() == 1).then_some(())).await;
     tokio::time::sleep(Duration::from_millis(100)).await;
     pause(&fleet.gateways[0], Duration::from_millis(3_000)).await;
-    let answer = ask.await.expect("no panic").expect("a whole answer");
+    let answer = request.await.expect("no panic").expect("a whole answer");
     assert_eq!(answer.status, 200, "{answer:?}");
     assert_eq!(answer.body, (1..=100).map(event).collect::<String>());
     let log = fleet.gateways[0].log();
     assert_eq!(events_of(&log, "target_silent").count(), 0, "{log}");
 }
 
-/// A gateway gave up on answers that lay ready, since their deadline had passed while it stood still.
+/// Guards against a gateway that, after a pause, gives up on requests whose deadline passed meanwhile, although the
+/// answer is already in its receive buffer.
 #[tokio::test]
-async fn an_answer_that_lies_ready_after_a_pause_of_its_gateway_is_delivered() {
+async fn an_answer_received_during_a_pause_of_its_gateway_is_delivered() {
     let (fleet, target) = fleet(&[]).await;
     target.behave(Behaviour::Slow(Duration::from_millis(600)));
     let front = fleet.gateway_addr(0);
-    let ask = tokio::spawn(async move {
-        Ask::new("/unsafe/x", "r-1").with("x-deadline-ms", "1200").send(front).await
+    let request = tokio::spawn(async move {
+        ClientRequest::new("/unsafe/x", "r-1").with("x-deadline-ms", "1200").send(front).await
     });
-    eventually("it is asked", async || (target.arrivals().len() == 1).then_some(())).await;
+    eventually("the target gets the request", async || {
+        (target.arrivals().len() == 1).then_some(())
+    })
+    .await;
     pause(&fleet.gateways[0], Duration::from_millis(1_500)).await;
-    let answer = ask.await.expect("no panic").expect("a whole answer");
+    let answer = request.await.expect("no panic").expect("a whole answer");
     assert_eq!(answer.status, 200, "{answer:?}");
     let log = fleet.gateways[0].log();
     assert_eq!(events_of(&log, "target_silent").count(), 0, "{log}");
 }
 
-/// A gateway counted its own pauses as time in which the client read nothing, and cut it.
+/// Guards against a gateway that counts its own pauses as time in which the client read nothing, and cuts it off.
 #[tokio::test]
-async fn a_client_that_reads_slowly_is_not_cut_for_pauses_of_its_gateway() {
+async fn a_client_that_reads_slowly_is_not_cut_off_for_pauses_of_its_gateway() {
     const BYTES: usize = 4_500_000;
     const STEP: usize = 20_000;
     let (fleet, target) = fleet(&[]).await;
     target.behave(Behaviour::Large(BYTES));
-    // Small enough that the gateway's own buffer is full while it stands still.
+    // Small enough that the gateway's own buffer for this client is full while the gateway is paused.
     let socket = TcpSocket::new_v4().expect("a socket");
     socket.set_recv_buffer_size(200_000).expect("a size");
     let mut client: TcpStream = socket.connect(fleet.gateway_addr(0)).await.expect("a connection");
     let head = "POST /safe/x HTTP/1.1\r\nhost: h.example\r\nx-request-id: r-1\r\n\
          x-credential: key-a\r\nx-deadline-ms: 60000\r\ncontent-length: 0\r\n\r\n";
-    client.write_all(head.as_bytes()).await.expect("it takes bytes");
+    client.write_all(head.as_bytes()).await.expect("sent");
     let reading = tokio::spawn(async move {
         let mut bytes = vec![0; STEP];
         let mut read = 0;
@@ -92,9 +98,9 @@
     assert_eq!(events_of(&log, "client_cut").count(), 0, "{log}");
 }
 
-/// A gateway left its member as silent when it was itself that had stood still.
+/// Guards against a gateway that, after a pause, takes its member for unresponsive and disconnects from it.
 #[tokio::test]
-async fn a_gateway_does_not_leave_its_member_for_its_own_pauses() {
+async fn a_gateway_does_not_disconnect_from_its_member_for_its_own_pauses() {
     let (fleet, _target) = fleet(&[]).await;
     for _ in 0..5 {
         pause(&fleet.gateways[0], Duration::from_millis(1_300)).await;
@@ -104,9 +110,10 @@
     assert_eq!(events_of(&log, "member_left").count(), 0, "{log}");
 }
 
-/// A leader that had stood still took all targets for silent before it read their heartbeats.
+/// Guards against a leader that, after a pause, marks all targets as unresponsive before it reads the heartbeats that
+/// arrived meanwhile.
 #[tokio::test]
-async fn a_member_does_not_take_targets_for_silent_for_its_own_pauses() {
+async fn a_member_does_not_mark_targets_unresponsive_for_its_own_pauses() {
     let (fleet, _target) = fleet(&[]).await;
     for _ in 0..5 {
         pause(&fleet.members[0], Duration::from_millis(1_500)).await;
@@ -116,9 +123,10 @@
     assert_eq!(events_of(&log, "targets_silent").count(), 0, "{log}");
 }
 
-/// A gateway that started while its member stood still refused clients that another gateway would have served.
+/// A gateway that starts while its member is paused must not listen before the member has sent its first update: it
+/// would refuse clients that another gateway could serve.
 #[tokio::test]
-async fn a_gateway_that_starts_takes_no_connections_before_a_member_that_lives_told_it_anything() {
+async fn a_gateway_that_starts_takes_no_connections_before_a_member_sent_it_an_update() {
     let (mut fleet, _target) = fleet(&[]).await;
     fleet.gateways[0].kill();
     fleet.members[0].signal(Signal::SIGSTOP);
@@ -126,11 +134,14 @@
     let front = fleet.gateway_addr(0);
     for _ in 0..25 {
         tokio::time::sleep(Duration::from_millis(100)).await;
-        assert!(TcpStream::connect(front).await.is_err(), "it takes connections");
+        assert!(
+            TcpStream::connect(front).await.is_err(),
+            "the gateway takes connections before its first update"
+        );
     }
     fleet.members[0].signal(Signal::SIGCONT);
     let answer = eventually("the gateway listens", async || {
-        Ask::new("/safe/x", "r-1").send(front).await.ok()
+        ClientRequest::new("/safe/x", "r-1").send(front).await.ok()
     });
     assert_eq!(answer.await.status, 200);
 }
--- a/tests/fleet/target_shutdown.rs
+++ b/tests/fleet/target_shutdown.rs
@@ -11,8 +11,8 @@
 
 use crate::harness::{Fleet, eventually};
 use crate::member_api::configuration;
-use crate::refusals::{Ask, code};
-use crate::requests::fleet_with_two;
+use crate::refusals::{ClientRequest, error_code};
+use crate::requests::fleet_with_two_targets;
 use crate::standin::{Behaviour, Standin};
 
 /// The header by which a target announces in an answer that it is shutting down.
@@ -28,7 +28,7 @@
         sent += 1;
         let id = format!("{id_prefix}-{sent}");
         // The header counts even if the rest of the answer does not arrive.
-        let _ = Ask::new(path, &id).send(fleet.gateway_addr(0)).await;
+        let _ = ClientRequest::new(path, &id).send(fleet.gateway_addr(0)).await;
         (target.arrivals().len() > before).then_some(())
     })
     .await;
@@ -39,7 +39,10 @@
     let before = target.arrivals().len();
     for number in 0..LATER_REQUESTS {
         let id = format!("{id_prefix}-{number}");
-        let answer = Ask::new("/safe/x", &id).send(fleet.gateway_addr(0)).await.expect("an answer");
+        let answer = ClientRequest::new("/safe/x", &id)
+            .send(fleet.gateway_addr(0))
+            .await
+            .expect("an answer");
         assert_eq!(answer.status, 200, "{}", answer.body);
     }
     target.arrivals().len() - before
@@ -60,7 +63,7 @@
     #[case] behaviour: Behaviour,
     #[case] path: &str,
 ) {
-    let (fleet, stopping, _other) = fleet_with_two().await;
+    let (fleet, stopping, _other) = fleet_with_two_targets().await;
     stopping.add_header(LEAVING.0, LEAVING.1);
     stopping.behave(behaviour);
     send_until_reached(&fleet, &stopping, path, "first").await;
@@ -71,7 +74,7 @@
 /// Answers may arrive out of order, and updates from members may be older than the announcement.
 #[tokio::test]
 async fn an_announced_shutdown_is_not_undone_by_answers_or_updates_without_it() {
-    let (fleet, stopping, _other) = fleet_with_two().await;
+    let (fleet, stopping, _other) = fleet_with_two_targets().await;
     stopping.add_header(LEAVING.0, LEAVING.1);
     send_until_reached(&fleet, &stopping, "/safe/x", "first").await;
     stopping.clear_headers();
@@ -92,7 +95,7 @@
 
 #[tokio::test]
 async fn a_gateway_without_members_applies_the_announcement_too() {
-    let (mut fleet, stopping, _other) = fleet_with_two().await;
+    let (mut fleet, stopping, _other) = fleet_with_two_targets().await;
     fleet.members[0].kill();
     stopping.add_header(LEAVING.0, LEAVING.1);
     send_until_reached(&fleet, &stopping, "/safe/x", "first").await;
@@ -120,13 +123,15 @@
 
 #[tokio::test]
 async fn a_service_whose_targets_all_shut_down_refuses_at_once_as_not_run() {
-    let (fleet, one, other) = fleet_with_two().await;
+    let (fleet, one, other) = fleet_with_two_targets().await;
     for target in [&one, &other] {
         target.add_header(LEAVING.0, LEAVING.1);
         send_until_reached(&fleet, target, "/safe/x", &target.id).await;
     }
-    let answer =
-        Ask::new("/unsafe/x", "later").send(fleet.gateway_addr(0)).await.expect("an answer");
-    assert_eq!((answer.status, code(&answer).as_str()), (503, "no_target"));
+    let answer = ClientRequest::new("/unsafe/x", "later")
+        .send(fleet.gateway_addr(0))
+        .await
+        .expect("an answer");
+    assert_eq!((answer.status, error_code(&answer).as_str()), (503, "no_target"));
     assert!(answer.header("retry-after").is_some());
 }
