--- a/tests/agreement/promises.rs
+++ b/tests/agreement/change_model.rs
@@ -1,27 +1,27 @@
-//! What a group has promised, by a naive model: every committed change in order, applied to a plain
-//! map of versions.
+//! Naive model of configuration changes: every committed change in order, applied to a plain map of
+//! versions.
 
 use std::collections::BTreeMap;
 
 use latchmount::store::{Answer, Change, Store};
 
-/// Changes that were committed, and those whose answer reached their operator.
+/// Committed changes, and those acknowledged to their operator.
 #[derive(Default)]
-pub struct Promises {
-    /// Committed changes with their answers, by index.
+pub struct ChangeModel {
+    /// Committed changes with their answers, by log index.
     committed: BTreeMap<u64, (Change, Answer)>,
     versions: BTreeMap<String, u64>,
-    /// First answers, by id of the change.
+    /// The first answer to each change, by its id.
     answered: BTreeMap<String, Answer>,
-    /// Changes whose answer reached their operator as accepted, with their revision.
+    /// Revisions of changes acknowledged as accepted, by id.
     acknowledged: BTreeMap<String, u64>,
-    /// Newest revision acknowledged so far.
+    /// The newest acknowledged revision.
     newest: u64,
 }
 
-impl Promises {
-    /// Takes the answer of a member to what is committed at `index`; every member must give the same,
-    /// and the one that the model gives.
+impl ChangeModel {
+    /// Checks a member's answer to the change committed at `index`: every member must give the same
+    /// answer as the model.
     pub fn commit(
         &mut self,
         member: usize,
@@ -35,18 +35,18 @@
         }
         let change = proposed();
         let expected = self.answer(index, &change);
-        assert_eq!(*answer, expected, "index {index} against the naive model");
+        assert_eq!(*answer, expected, "index {index} differs from the model");
         self.committed.insert(index, (change, expected));
     }
 
-    /// An operator gets the answer that a change was accepted.
+    /// Records that an operator received the answer that its change was accepted.
     pub fn acknowledge(&mut self, id: String, revision: u64) {
         let first = *self.acknowledged.entry(id.clone()).or_insert(revision);
-        assert_eq!(first, revision, "change {id} was answered twice, differently");
+        assert_eq!(first, revision, "change {id} was acknowledged with two revisions");
         self.newest = self.newest.max(revision);
     }
 
-    /// A plain map with a version for each name.
+    /// The model's answer: a change is accepted if its base is the template's version, and a repeated id gets the first answer.
     fn answer(&mut self, index: u64, change: &Change) -> Answer {
         if let Some(answer) = self.answered.get(&change.id) {
             return answer.clone();
@@ -62,12 +62,12 @@
         answer
     }
 
-    /// Holds a store against the model.
+    /// Checks a store against the model.
     pub fn check(&self, store: &Store) {
         let versions: BTreeMap<String, u64> =
             store.templates().iter().map(|(name, stored)| (name.clone(), stored.version)).collect();
         let expected = self.versions.iter().filter(|(_, version)| **version > 0);
-        assert!(versions.iter().eq(expected), "a store differs from the naive model");
+        assert!(versions.iter().eq(expected), "a store differs from the model");
         assert!(store.revision() >= self.newest, "an acknowledged change is lost");
     }
 
@@ -76,7 +76,7 @@
         self.committed.values().map(|(change, _)| change)
     }
 
-    /// Newest revision acknowledged so far.
+    /// The newest acknowledged revision.
     pub fn newest(&self) -> u64 {
         self.newest
     }
--- a/tests/agreement/disk.rs
+++ b/tests/agreement/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory that can fail, tear a write and lose what was not synced.
+//! An in-memory disk that can return errors, tear a write and lose unsynced data.
 
 use std::cell::RefCell;
 use std::io;
@@ -6,10 +6,10 @@
 
 use latchmount::raft::Disk;
 
-/// What a disk does wrong from now on.
+/// Error that a disk returns until the next [`FakeDisk::crash`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Failure {
-    /// Writes fail half way, as on a full disk.
+    /// An append stores half of its bytes and then fails, as on a full disk.
     Full,
     /// Syncing fails.
     Sync,
@@ -21,11 +21,11 @@
     unsynced: Vec<u8>,
     failure: Option<Failure>,
     hint: Option<Vec<u8>>,
-    /// The hint before the newest one, which a crash may bring back.
+    /// The previous hint, which a crash may restore.
     older_hint: Option<Vec<u8>>,
 }
 
-/// A handle on a disk; clones share it.
+/// A handle to a disk; clones share the same disk.
 #[derive(Clone, Debug, Default)]
 pub struct FakeDisk(Rc<RefCell<State>>);
 
@@ -34,7 +34,8 @@
         self.0.borrow_mut().failure = Some(failure);
     }
 
-    /// Loses what was not synced, but for its first `torn` bytes.
+    /// Loses unsynced data except its first `torn` bytes, and clears the failure. `torn % 3` selects whether the hint stays,
+    /// falls back to the previous one, or is cut to half.
     pub fn crash(&self, torn: usize) {
         let mut state = self.0.borrow_mut();
         let kept = torn.min(state.unsynced.len());
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Loses what was written beside the file.
+    /// Loses the hint, which is stored outside the log file.
     pub fn lose_hint(&self) {
         let mut state = self.0.borrow_mut();
         (state.hint, state.older_hint) = (None, None);
@@ -61,7 +62,7 @@
     }
 
     pub fn edit(&self, edit: impl FnOnce(&mut Vec<u8>)) {
-        edit(self.0.borrow_mut().synced.as_mut().expect("a written disk"));
+        edit(self.0.borrow_mut().synced.as_mut().expect("the disk has synced data"));
     }
 }
 
--- a/tests/agreement/group.rs
+++ b/tests/agreement/group.rs
@@ -1,4 +1,4 @@
-//! A group in memory: replicas, their disks, and a network that loses, doubles and reorders.
+//! An in-memory consensus group: replicas, their disks, and a network that drops, duplicates and reorders messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,26 +13,26 @@
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
+use crate::change_model::ChangeModel;
 use crate::disk::FakeDisk;
-use crate::orders::{Call, Orders};
-use crate::promises::Promises;
+use crate::order_model::{Call, OrderModel};
 
 pub const MEMBERS: usize = 5;
 pub const TEMPLATES: usize = 3;
 const COMPACT_AFTER: usize = 8;
-/// Calls that members may still repeat.
-const LATEST_CALLS: usize = 6;
+/// Number of most recent calls that members may still repeat.
+const MAX_REPEATABLE_CALLS: usize = 6;
 const STEP: Duration = Duration::from_millis(10);
-/// Clocks run at 95 to 105 % of true time.
+/// Clocks run at 95 to 105 % of simulated time.
 const MAX_DRIFT: f64 = 0.05;
 
-/// Voters of a group that keeps their number up by itself; the other members stand by.
-const UPKEEP_VOTERS: usize = 3;
+/// Voters of a group that maintains their number itself; the other members are learners.
+const MAINTAINED_VOTERS: usize = 3;
 
-/// Rules of a group that keeps its number of voters up by itself.
-fn upkeep() -> MembershipRules {
+/// Rules of a group that replaces unresponsive voters itself.
+fn membership_rules() -> MembershipRules {
     MembershipRules {
-        voters: UPKEEP_VOTERS,
+        voters: MAINTAINED_VOTERS,
         unresponsive_after: Duration::from_millis(900),
         remove_after: Duration::from_secs(5),
     }
@@ -46,7 +46,7 @@
     }
 }
 
-/// A change of template number `name`, based on version `base`.
+/// A change to the template numbered `name`, based on version `base`.
 pub fn change(id: &str, name: usize, base: u64) -> Change {
     let team = Team { share_percent: 10.0, ..Team::default() };
     let template = Template {
@@ -64,29 +64,29 @@
     disk: FakeDisk,
     replica: Option<Replica<FakeDisk>>,
     id: StoreId,
-    /// Starting time of the process, and the rate of its clock.
+    /// Start time of the process, and the rate of its clock.
     started: Duration,
     rate: f64,
     frozen: bool,
-    /// Since when it is frozen, where its clock stands still meanwhile.
-    stands_since: Option<Duration>,
-    cut: bool,
-    /// Member whose messages do not reach this one.
-    deaf_to: Option<usize>,
-    /// Proposals made here whose answer is awaited.
+    /// When the host was suspended together with its clock, if it is now.
+    clock_stopped_at: Option<Duration>,
+    partitioned: bool,
+    /// Member whose messages to this one are dropped.
+    drops_from: Option<usize>,
+    /// Changes proposed at this member whose answer is pending, by log position.
     proposed: BTreeMap<Position, Change>,
-    /// The same for calls about data halls.
+    /// The same for evacuation orders.
     called: BTreeMap<Position, Call>,
 }
 
 impl Host {
     fn now(&self, time: Duration) -> Duration {
-        let time = self.stands_since.unwrap_or(time);
+        let time = self.clock_stopped_at.unwrap_or(time);
         (time - self.started).mul_f64(self.rate)
     }
 }
 
-/// The whole group and what it has promised so far.
+/// The whole group, and models of what it must hold.
 pub struct Group {
     hosts: Vec<Host>,
     network: Vec<(Duration, Envelope)>,
@@ -94,14 +94,14 @@
     rng: StdRng,
     next_id: u64,
     lossy: bool,
-    /// Everything ever proposed, by its place in a leader's log.
+    /// Every change ever proposed, by its position in a leader's log.
     proposals: BTreeMap<Position, Change>,
-    promises: Promises,
-    /// Calls about data halls ever proposed, by their place in a leader's log.
+    change_model: ChangeModel,
+    /// Every evacuation order ever proposed, by its position in a leader's log.
     calls: BTreeMap<Position, Call>,
-    orders: Orders,
+    order_model: OrderModel,
     leaders: BTreeMap<Term, StoreId>,
-    /// Rules by which the group keeps its number of voters up by itself, if it does.
+    /// Rules by which the group maintains its number of voters itself, if it does.
     rules: Option<MembershipRules>,
 }
 
@@ -110,9 +110,9 @@
         Self::with(seed, None)
     }
 
-    /// A group of which three members found it, and which keeps three voters by itself.
-    pub fn with_upkeep(seed: u64) -> Self {
-        Self::with(seed, Some(upkeep()))
+    /// A group that three members form and that maintains three voters itself.
+    pub fn with_membership_rules(seed: u64) -> Self {
+        Self::with(seed, Some(membership_rules()))
     }
 
     fn with(seed: u64, rules: Option<MembershipRules>) -> Self {
@@ -125,9 +125,9 @@
             next_id: 1,
             lossy: true,
             proposals: BTreeMap::new(),
-            promises: Promises::default(),
+            change_model: ChangeModel::default(),
             calls: BTreeMap::new(),
-            orders: Orders::default(),
+            order_model: OrderModel::default(),
             leaders: BTreeMap::new(),
         };
         for number in 0..MEMBERS {
@@ -139,18 +139,18 @@
                 started: Duration::ZERO,
                 rate: 1.0,
                 frozen: false,
-                stands_since: None,
-                cut: false,
-                deaf_to: None,
+                clock_stopped_at: None,
+                partitioned: false,
+                drops_from: None,
                 proposed: BTreeMap::new(),
                 called: BTreeMap::new(),
             });
             group.start(number);
         }
         let member = |host: &Host| Member { id: host.id, addr: host.addr, kind: MemberKind::Voter };
-        let founders = if rules.is_some() { UPKEEP_VOTERS } else { MEMBERS };
+        let founders = if rules.is_some() { MAINTAINED_VOTERS } else { MEMBERS };
         let members = Members(group.hosts.iter().take(founders).map(member).collect());
-        // Members that found by themselves all found the same group.
+        // Without an operator all founders form the same group.
         let forming = if rules.is_some() { founders } else { 1 };
         for number in 0..forming {
             group.replica(number).form(GroupId(1), members.clone());
@@ -160,15 +160,15 @@
     }
 
     fn replica(&mut self, number: usize) -> &mut Replica<FakeDisk> {
-        self.hosts[number].replica.as_mut().expect("a running member")
+        self.hosts[number].replica.as_mut().expect("the member runs")
     }
 
-    fn runs(&self, number: usize) -> bool {
+    fn responsive(&self, number: usize) -> bool {
         let host = &self.hosts[number];
         host.replica.is_some() && !host.frozen
     }
 
-    /// Starts the member; on an empty disk it gets a new identity.
+    /// Starts the member; on an empty disk it gets a new store ID.
     pub fn start(&mut self, number: usize) {
         let fresh = StoreId(self.next_id);
         self.next_id += 1;
@@ -178,7 +178,7 @@
         host.started = self.time;
         host.rate = 1.0 + drift;
         host.frozen = false;
-        host.stands_since = None;
+        host.clock_stopped_at = None;
         let disk = host.disk.clone();
         let opened = Replica::open(disk, fresh, timing(), COMPACT_AFTER, Duration::ZERO, seed);
         let mut replica = opened.unwrap_or_else(|error| panic!("member {number}: {error}"));
@@ -189,7 +189,7 @@
         host.replica = Some(replica);
     }
 
-    /// Ends the member; of what was not synced at most `torn` bytes stay.
+    /// Kills the member; at most `torn` bytes of its unsynced data survive.
     pub fn crash(&mut self, number: usize, torn: usize) {
         let host = &mut self.hosts[number];
         host.replica = None;
@@ -202,10 +202,10 @@
         self.hosts[number].replica.is_some()
     }
 
-    /// Empties the disk of a member and starts it; only while all others are voters in good
-    /// standing, for no protocol survives the loss of a quorum of disks.
+    /// Empties the disk of a member and restarts it, but only while all voters hold the log on their
+    /// own disk: no protocol survives the loss of a quorum of disks.
     pub fn lose_disk(&mut self, number: usize) {
-        if !self.whole() || !self.may_lose_one() {
+        if !self.membership_complete() || !self.can_lose_a_disk() {
             return;
         }
         self.crash(number, 0);
@@ -213,28 +213,28 @@
         self.start(number);
     }
 
-    /// Whether the newest members are just the present stores, all of them voters that count
-    /// from a log on their own disk.
-    fn whole(&self) -> bool {
+    /// Whether the newest membership is committed and its voters are stores that exist now: all of
+    /// them, or as many as the rules ask for.
+    fn membership_complete(&self) -> bool {
         let newest = self.hosts.iter().filter_map(|host| host.replica.as_ref());
         let newest = newest.max_by_key(|replica| replica.node().commit());
         let Some(node) = newest.map(Replica::node) else {
             return false;
         };
-        let settled = node.log().members().1 <= node.commit();
+        let committed = node.log().members().1 <= node.commit();
         let ids: BTreeSet<StoreId> = self.hosts.iter().map(|host| host.id).collect();
         let voters: BTreeSet<StoreId> = node.members().voters().collect();
         match self.rules {
-            None => settled && voters == ids,
-            Some(rules) => settled && voters.len() == rules.voters && voters.is_subset(&ids),
+            None => committed && voters == ids,
+            Some(rules) => committed && voters.len() == rules.voters && voters.is_subset(&ids),
         }
     }
 
-    /// Whether a disk may go: five voters bear two losses, but three bear only one, so that there no
-    /// other member may be out of reach.
-    fn may_lose_one(&self) -> bool {
+    /// Whether a disk may be emptied: five voters tolerate two losses, but three tolerate only one, so
+    /// that with three no other member may be unreachable.
+    fn can_lose_a_disk(&self) -> bool {
         let in_reach = |host: &Host| {
-            host.replica.is_some() && !host.frozen && !host.cut && host.deaf_to.is_none()
+            host.replica.is_some() && !host.frozen && !host.partitioned && host.drops_from.is_none()
         };
         self.rules.is_none() || self.hosts.iter().all(in_reach)
     }
@@ -243,17 +243,17 @@
         self.hosts[number].frozen = frozen;
     }
 
-    /// Suspends a host whose clock stands still meanwhile, or wakes it.
+    /// Suspends a host together with its clock, or resumes it.
     pub fn suspend_with_clock(&mut self, number: usize, suspended: bool) {
         self.freeze(number, suspended);
         let (time, host) = (self.time, &mut self.hosts[number]);
-        match host.stands_since.take() {
+        match host.clock_stopped_at.take() {
             Some(since) if !suspended => host.started += time - since,
-            _ => host.stands_since = suspended.then_some(time),
+            _ => host.clock_stopped_at = suspended.then_some(time),
         }
     }
 
-    /// Members that could answer reads by their lease now.
+    /// Members whose lease lets them answer reads now.
     pub fn lease_holders(&self) -> Vec<usize> {
         let holds = |host: &Host| {
             let now = host.now(self.time);
@@ -262,13 +262,13 @@
         (0..MEMBERS).filter(|number| holds(&self.hosts[*number])).collect()
     }
 
-    pub fn cut(&mut self, number: usize, cut: bool) {
-        self.hosts[number].cut = cut;
+    pub fn partition(&mut self, number: usize, partitioned: bool) {
+        self.hosts[number].partitioned = partitioned;
     }
 
-    /// Lets nothing of `from` reach the member, one way only.
-    pub fn deafen(&mut self, number: usize, from: Option<usize>) {
-        self.hosts[number].deaf_to = from;
+    /// Drops all messages from `from` to the member, in this direction only.
+    pub fn drop_messages_from(&mut self, number: usize, from: Option<usize>) {
+        self.hosts[number].drops_from = from;
     }
 
     /// Ends every fault.
@@ -279,14 +279,14 @@
                 self.start(number);
             }
             self.freeze(number, false);
-            self.cut(number, false);
-            self.deafen(number, None);
+            self.partition(number, false);
+            self.drop_messages_from(number, None);
         }
     }
 
-    /// Proposes a change at a member, if it thinks that it leads; with `base` off by `skew`.
+    /// Proposes a change at a member if it considers itself leader; `skew` is added to its base version.
     pub fn propose(&mut self, number: usize, name: usize, skew: u64) {
-        if !self.runs(number) {
+        if !self.responsive(number) {
             return;
         }
         self.next_id += 1;
@@ -297,10 +297,10 @@
         self.send_change(number, change(&id, name, base));
     }
 
-    /// Resends a change whose answer was acknowledged before.
+    /// Proposes a committed change again under the same id.
     pub fn resend(&mut self, number: usize) {
-        let known: Vec<Change> = self.promises.changes().cloned().collect();
-        if known.is_empty() || !self.runs(number) {
+        let known: Vec<Change> = self.change_model.changes().cloned().collect();
+        if known.is_empty() || !self.responsive(number) {
             return;
         }
         let pick = self.rng.random_range(0..known.len());
@@ -317,27 +317,27 @@
         self.flush(number);
     }
 
-    /// The operator of a data hall calls a member: with its next order, or with the last one again.
+    /// The operator of a data hall sends a member its next order, or the last one again.
     ///
-    /// The member reads at the leader which order was the hall's last, and proposes, unless it is held
-    /// up before.
-    pub fn order(&mut self, number: usize, hall: usize, next: bool, held_up: bool) {
-        let leader = self.leader().filter(|_| self.runs(number));
+    /// The member reads the hall's last order at the leader and then proposes; if `delayed`, it stops
+    /// before the proposal, which [`Group::repeat_call`] may make later.
+    pub fn order(&mut self, number: usize, hall: usize, next: bool, delayed: bool) {
+        let leader = self.leader().filter(|_| self.responsive(number));
         let Some(leader) = leader else {
             return;
         };
-        let after = self.replica(leader).store().evacuations().last_order(&Orders::name(hall));
-        let call = self.orders.call(hall, next, after);
-        if let Some(call) = call.filter(|_| !held_up) {
+        let after = self.replica(leader).store().evacuations().last_order(&OrderModel::name(hall));
+        let call = self.order_model.call(hall, next, after);
+        if let Some(call) = call.filter(|_| !delayed) {
             self.send_call(number, leader, call);
         }
     }
 
-    /// A member repeats one of the latest calls by itself, or goes on with one that was held up.
+    /// A member repeats one of the latest calls by itself, or proposes one that was delayed.
     pub fn repeat_call(&mut self, number: usize, pick: usize) {
-        let mut latest = self.orders.made().iter().rev().take(LATEST_CALLS).cloned();
-        if let Some(call) = latest.nth(pick % LATEST_CALLS)
-            && self.runs(number)
+        let mut latest = self.order_model.made().iter().rev().take(MAX_REPEATABLE_CALLS).cloned();
+        if let Some(call) = latest.nth(pick % MAX_REPEATABLE_CALLS)
+            && self.responsive(number)
         {
             let leader = self.leader().unwrap_or(number);
             self.send_call(number, leader, call);
@@ -345,29 +345,29 @@
     }
 
     fn send_call(&mut self, number: usize, leader: usize, call: Call) {
-        if !self.runs(leader) {
+        if !self.responsive(leader) {
             return;
         }
         let now = self.hosts[leader].now(self.time);
         let command = Command::Evacuate(call.order.clone());
         if let Ok(at) = self.replica(leader).propose(now, command) {
             self.calls.insert(at, call.clone());
-            // Whoever waits for the answer waits at the leader.
-            let heard = if self.hosts[number].cut { None } else { Some(call) };
-            heard.into_iter().for_each(|call| {
+            // The answer is awaited at the leader; a partitioned member does not get it.
+            let answered = if self.hosts[number].partitioned { None } else { Some(call) };
+            answered.into_iter().for_each(|call| {
                 self.hosts[leader].called.insert(at, call);
             });
         }
         self.flush(leader);
     }
 
-    /// Lets `millis` pass.
-    pub fn pass(&mut self, millis: u64) {
+    /// Advances simulated time by `millis`.
+    pub fn advance(&mut self, millis: u64) {
         let until = self.time + Duration::from_millis(millis);
         while self.time < until {
             self.time += STEP;
             for number in 0..MEMBERS {
-                if self.runs(number) {
+                if self.responsive(number) {
                     let now = self.hosts[number].now(self.time);
                     self.replica(number).tick(now);
                     self.flush(number);
@@ -379,7 +379,7 @@
         }
     }
 
-    /// Every member that does not count asks every other to bring it in.
+    /// Every member that is no voter asks every other to add it.
     fn join(&mut self) {
         for newcomer in 0..MEMBERS {
             let Some(replica) = &self.hosts[newcomer].replica else {
@@ -387,15 +387,15 @@
             };
             let node = replica.node();
             let (id, addr) = (node.id(), self.hosts[newcomer].addr);
-            let counts = node.members().voters().any(|voter| voter == id);
-            // A member that was forgotten while it was cut off still takes itself for a voter, but
-            // hears no leader; it asks too.
-            let asks = !counts || (self.rules.is_some() && node.leader().is_none());
-            if !asks || self.hosts[newcomer].cut {
+            let is_voter = node.members().voters().any(|voter| voter == id);
+            // A member that was removed while partitioned still considers itself a voter but has no
+            // leader; it asks too.
+            let asks = !is_voter || (self.rules.is_some() && node.leader().is_none());
+            if !asks || self.hosts[newcomer].partitioned {
                 continue;
             }
             for number in 0..MEMBERS {
-                if self.runs(number) && !self.hosts[number].cut {
+                if self.responsive(number) && !self.hosts[number].partitioned {
                     let now = self.hosts[number].now(self.time);
                     match self.rules {
                         None => self.replica(number).admit(now, id, addr),
@@ -418,12 +418,16 @@
             let (Some(to), Some(from)) = (to, from) else {
                 continue;
             };
-            let deaf = self.hosts[to].deaf_to == Some(from);
-            if deaf || self.hosts[to].cut || self.hosts[from].cut || !self.running(to) {
+            let dropped = self.hosts[to].drops_from == Some(from);
+            if dropped
+                || self.hosts[to].partitioned
+                || self.hosts[from].partitioned
+                || !self.running(to)
+            {
                 continue;
             }
             if self.hosts[to].frozen {
-                // Waits in the socket until the process goes on.
+                // The message stays in the socket buffer until the process resumes.
                 self.network.push((self.time + STEP, message));
                 continue;
             }
@@ -434,9 +438,9 @@
     }
 
     fn flush(&mut self, number: usize) {
-        let (messages, answers) = self.replica(number).flush().expect("a sound disk");
+        let (messages, answers) = self.replica(number).flush().expect("no disk error");
         if self.rng.random_bool(0.2) {
-            self.replica(number).persist_commit().expect("a sound disk");
+            self.replica(number).persist_commit().expect("no disk error");
         }
         for message in messages {
             let copies = match self.rng.random_range(0..100) {
@@ -447,8 +451,8 @@
             };
             for _ in 0..copies {
                 let slow = self.lossy && self.rng.random_bool(0.1);
-                let longest = if slow { 300 } else { 15 };
-                let delay = Duration::from_millis(self.rng.random_range(0..longest));
+                let max_delay_ms = if slow { 300 } else { 15 };
+                let delay = Duration::from_millis(self.rng.random_range(0..max_delay_ms));
                 self.network.push((self.time + delay, message.clone()));
             }
         }
@@ -458,26 +462,26 @@
         self.check_leader(number);
     }
 
-    /// Holds an answer against the naive model.
+    /// Checks an answer against the models, and passes it on if the caller still waits.
     fn check_committed(&mut self, number: usize, at: Position, answer: Answer) {
         if let Answer::Evacuation(verdict) = answer {
-            self.orders.commit(at.index, &self.calls[&at], verdict);
+            self.order_model.commit(at.index, &self.calls[&at], verdict);
             if let Some(call) = self.hosts[number].called.remove(&at) {
-                self.orders.answer(&call, verdict);
+                self.order_model.answer(&call, verdict);
             }
             return;
         }
         let proposed = &self.proposals;
-        self.promises.commit(number, at.index, || proposed[&at].clone(), &answer);
+        self.change_model.commit(number, at.index, || proposed[&at].clone(), &answer);
         if let Some(change) = self.hosts[number].proposed.remove(&at)
             && let Answer::Accepted { revision, .. } = answer
         {
-            self.promises.acknowledge(change.id, revision);
+            self.change_model.acknowledge(change.id, revision);
         }
     }
 
     fn check_leader(&mut self, number: usize) {
-        let node = self.hosts[number].replica.as_ref().expect("a running member").node();
+        let node = self.hosts[number].replica.as_ref().expect("the member runs").node();
         if node.role() == Role::Leader {
             let (term, id) = (node.hard().term, node.id());
             let leader = *self.leaders.entry(term).or_insert(id);
@@ -485,9 +489,9 @@
         }
     }
 
-    /// Whoever holds a lease holds it alone and has all that was acknowledged.
+    /// At most one member holds a lease, and its store has every acknowledged change.
     fn check_leases(&self) {
-        if self.hosts.iter().any(|host| host.stands_since.is_some()) {
+        if self.hosts.iter().any(|host| host.clock_stopped_at.is_some()) {
             return;
         }
         let holders: Vec<&Host> = self
@@ -498,30 +502,31 @@
                 host.replica.as_ref().is_some_and(|replica| replica.node().lease_valid(now))
             })
             .collect();
-        assert!(holders.len() <= 1, "two leases hold at {:?}", self.time);
+        assert!(holders.len() <= 1, "two members hold a lease at {:?}", self.time);
         for host in holders {
-            let revision = host.replica.as_ref().expect("a holder").store().revision();
-            let newest = self.promises.newest();
+            let revision = host.replica.as_ref().expect("a lease holder runs").store().revision();
+            let newest = self.change_model.newest();
             assert!(revision >= newest, "a lease holder lacks an acknowledged change");
         }
     }
 
-    /// Heals, waits for a leader that has all, and compares every store with the naive model.
-    pub fn settle(&mut self) {
+    /// Ends every fault, waits until all members have the same commit index and a leader holds its lease, and compares every
+    /// store with the models.
+    pub fn heal_and_check(&mut self) {
         self.heal();
         for _ in 0..60 {
-            self.pass(500);
+            self.advance(500);
             let leads = |host: &Host| {
                 let now = host.now(self.time);
                 host.replica.as_ref().is_some_and(|replica| replica.node().lease_valid(now))
             };
             let commits: BTreeSet<u64> = self.stores().map(|(commit, _)| commit).collect();
-            if commits.len() == 1 && self.hosts.iter().any(leads) && self.whole() {
+            if commits.len() == 1 && self.hosts.iter().any(leads) && self.membership_complete() {
                 self.check_stores();
                 return;
             }
         }
-        panic!("the group does not settle after every fault has ended");
+        panic!("the group does not converge within 30 s after all faults ended");
     }
 
     fn stores(&self) -> impl Iterator<Item = (u64, &Store)> {
@@ -531,19 +536,19 @@
 
     fn check_stores(&self) {
         self.stores().for_each(|(_, store)| {
-            self.promises.check(store);
-            self.orders.check(store);
+            self.change_model.check(store);
+            self.order_model.check(store);
         });
     }
 
-    /// Orders about data halls whose answer reached their operator.
+    /// Number of evacuation orders whose answer reached their operator.
     pub fn orders_acknowledged(&self) -> usize {
-        self.orders.acknowledged()
+        self.order_model.acknowledged()
     }
 
-    /// Changes acknowledged as accepted.
+    /// Number of changes acknowledged as accepted.
     pub fn acknowledged(&self) -> usize {
-        self.promises.acknowledged()
+        self.change_model.acknowledged()
     }
 
     pub fn leader(&self) -> Option<usize> {
--- a/tests/agreement/orders.rs
+++ b/tests/agreement/order_model.rs
@@ -1,5 +1,5 @@
-//! Orders about data halls, by a naive model: each operator numbers its orders; what was acknowledged
-//! stays until the next order is made, whatever repeats an older one.
+//! Naive model of evacuation orders: each operator numbers the orders of its data hall. An acknowledged
+//! order stays in force until the operator makes the next one, even if a member repeats an older one.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 pub const HALLS: usize = 3;
 
-/// An order on its way, with its number at the operator of its hall; even ones withdraw.
+/// A call with an order, and the order's number at the operator of its hall; odd numbers evacuate, even ones withdraw.
 #[derive(Clone, Debug)]
 pub struct Call {
     pub hall: usize,
@@ -16,22 +16,22 @@
     pub order: EvacuationOrder,
 }
 
-/// A hall as its operator and the log have it.
+/// State of a hall: numbers of orders at its operator and in the log.
 #[derive(Clone, Copy, Debug, Default)]
 struct Hall {
-    /// The newest order made.
+    /// The newest order that the operator made.
     made: u64,
     /// The newest order whose answer reached the operator.
     acknowledged: u64,
-    /// The order that last changed the hall, by the log.
+    /// The order in the log that last changed the hall.
     in_force: u64,
 }
 
 #[derive(Default)]
-pub struct Orders {
+pub struct OrderModel {
     halls: [Hall; HALLS],
     made: Vec<Call>,
-    /// Verdicts by index.
+    /// Verdicts by log index.
     committed: BTreeMap<u64, OrderVerdict>,
     acknowledged: usize,
 }
@@ -40,12 +40,12 @@
     number % 2 == 1
 }
 
-impl Orders {
+impl OrderModel {
     pub fn name(hall: usize) -> String {
         format!("hall{hall}")
     }
 
-    /// Makes the next order of a hall, or the newest again; `None` when there is none yet.
+    /// Makes the next order of a hall, or repeats the newest; `None` if there is none yet.
     pub fn call(&mut self, hall: usize, next: bool, after: Revision) -> Option<Call> {
         let state = &mut self.halls[hall];
         if next {
@@ -67,7 +67,8 @@
         &self.made
     }
 
-    /// An entry was applied; members apply in order, and the first to apply one is the model's.
+    /// Checks the verdict of an applied entry. Members apply entries in order, so the first one to apply
+    /// an entry advances the model and the others must give the same verdict.
     pub fn commit(&mut self, index: u64, call: &Call, verdict: OrderVerdict) {
         if let Some(first) = self.committed.get(&index) {
             assert_eq!(*first, verdict, "index {index} differs between members");
@@ -75,18 +76,21 @@
         }
         self.committed.insert(index, verdict);
         let hall = &mut self.halls[call.hall];
-        let as_wanted = evacuates(hall.in_force) == call.order.evacuate;
+        let already_in_force = evacuates(hall.in_force) == call.order.evacuate;
         match verdict {
-            OrderVerdict::Overtaken => assert!(!as_wanted, "{call:?} was overtaken in vain"),
-            OrderVerdict::InForce if as_wanted => {}
+            OrderVerdict::Overtaken => assert!(
+                !already_in_force,
+                "{call:?} was reported as overtaken, but the hall is as ordered"
+            ),
+            OrderVerdict::InForce if already_in_force => {}
             OrderVerdict::InForce => {
-                assert!(call.number >= hall.acknowledged, "{call:?} undid a newer one: {hall:?}");
+                assert!(call.number >= hall.acknowledged, "{call:?} undid a newer order: {hall:?}");
                 hall.in_force = call.number;
             }
         }
     }
 
-    /// An answer reached the operator, who waits for that of the newest order only.
+    /// Records an answer that reached the operator, which ignores answers to all but its newest order.
     pub fn answer(&mut self, call: &Call, verdict: OrderVerdict) {
         let hall = &mut self.halls[call.hall];
         if verdict == OrderVerdict::InForce && call.number == hall.made {
@@ -95,18 +99,26 @@
         }
     }
 
-    /// Holds a store against what was acknowledged.
+    /// Checks a store against the log and the acknowledged orders.
     pub fn check(&self, store: &Store) {
         for (at, hall) in self.halls.iter().enumerate() {
             let evacuated = store.evacuations().evacuated(&Self::name(at));
-            assert_eq!(evacuated, evacuates(hall.in_force), "hall {at} against the log: {hall:?}");
+            assert_eq!(
+                evacuated,
+                evacuates(hall.in_force),
+                "hall {at} differs from the log: {hall:?}"
+            );
             if hall.made == hall.acknowledged {
-                assert_eq!(evacuated, evacuates(hall.made), "hall {at} was undone: {hall:?}");
+                assert_eq!(
+                    evacuated,
+                    evacuates(hall.made),
+                    "the acknowledged order of hall {at} was undone: {hall:?}"
+                );
             }
         }
     }
 
-    /// Answers that reached operators.
+    /// Number of orders acknowledged to operators.
     pub fn acknowledged(&self) -> usize {
         self.acknowledged
     }
--- a/tests/agreement/replication.rs
+++ b/tests/agreement/replication.rs
@@ -1,4 +1,4 @@
-//! How much a leader sends to a member that lost a message.
+//! Bounds the entries that a leader resends after a lost message.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -13,14 +13,14 @@
 use crate::group::{change, timing};
 
 const COMMANDS: usize = 400;
-/// Entries that a leader may send again for one lost message: a message full of them, and some.
-const MOST_SENT_AGAIN: usize = 600;
+/// Entries that a leader may resend for one lost message: one full message of them, and some.
+const MAX_RESENT_ENTRIES: usize = 600;
 
 fn replica(id: u64) -> Replica<FakeDisk> {
     let disk = FakeDisk::default();
     let now = Duration::ZERO;
     let opened = Replica::open(disk, StoreId(id), timing(), usize::MAX / 2, now, id);
-    let mut replica = opened.expect("an empty disk");
+    let mut replica = opened.expect("an empty disk opens");
     let member = |id: u64| Member {
         id: StoreId(id),
         addr: SocketAddr::from(([127, 0, 0, 1], id as u16)),
@@ -31,7 +31,7 @@
 }
 
 fn flush(replica: &mut Replica<FakeDisk>) -> Vec<Envelope> {
-    replica.flush().expect("a sound disk").0
+    replica.flush().expect("no disk error").0
 }
 
 fn entries(messages: &[Envelope]) -> usize {
@@ -42,14 +42,14 @@
     messages.iter().map(count).sum()
 }
 
-/// Lets the two talk until neither has anything to say.
-fn settle(pair: &mut [Replica<FakeDisk>; 2], now: Duration) {
-    let mut under_way: VecDeque<Envelope> = VecDeque::new();
+/// Delivers messages between the two replicas until neither sends any more.
+fn exchange_all(pair: &mut [Replica<FakeDisk>; 2], now: Duration) {
+    let mut in_transit: VecDeque<Envelope> = VecDeque::new();
     loop {
         for one in pair.iter_mut() {
-            under_way.extend(flush(one));
+            in_transit.extend(flush(one));
         }
-        let Some(message) = under_way.pop_front() else {
+        let Some(message) = in_transit.pop_front() else {
             return;
         };
         let to = (message.to.0 - 1) as usize;
@@ -64,7 +64,7 @@
     while pair[0].node().role() != Role::Leader {
         now += Duration::from_millis(10);
         pair[0].tick(now);
-        settle(&mut pair, now);
+        exchange_all(&mut pair, now);
     }
     let mut sent = Vec::new();
     for at in 0..COMMANDS {
@@ -72,23 +72,26 @@
         pair[0].propose(now, command).expect("it leads");
         sent.extend(flush(&mut pair[0]));
     }
-    let mut again = Vec::new();
+    let mut resent = Vec::new();
     for message in sent.into_iter().skip(1) {
         pair[1].receive(now, message);
         for refusal in flush(&mut pair[1]) {
             pair[0].receive(now, refusal);
-            again.extend(flush(&mut pair[0]));
+            resent.extend(flush(&mut pair[0]));
         }
     }
-    let sent_again = entries(&again);
-    assert!(sent_again <= MOST_SENT_AGAIN, "{sent_again} entries for one lost message");
-    for message in again {
+    let resent_entries = entries(&resent);
+    assert!(
+        resent_entries <= MAX_RESENT_ENTRIES,
+        "{resent_entries} entries resent for one lost message"
+    );
+    for message in resent {
         pair[1].receive(now, message);
     }
     for _ in 0..20 {
         now += timing().heartbeat;
         pair[0].tick(now);
-        settle(&mut pair, now);
+        exchange_all(&mut pair, now);
     }
     assert_eq!(pair[1].applied(), pair[0].applied());
     assert!(pair[0].applied().index > COMMANDS as u64);
