--- a/tests/rollout/main.rs
+++ b/tests/rollout/main.rs
@@ -1,11 +1,11 @@
-//! Roll-outs in virtual time: whether good versions are completed in time and bad ones rolled back, and how many
-//! requests a bad one gets, for fleets of 8 to 1,000 gateways.
+//! Simulates roll-outs in virtual time, for fleets of 8 to 1,000 gateways: good versions must be completed in time, bad
+//! ones rolled back, and the number of requests that a bad one gets is bounded.
 //!
 //! `LATCHMOUNT_SEED` sets the seed, `LATCHMOUNT_ROLLOUTS` the number of roll-outs drawn of each kind; with
-//! `--nocapture` each test prints what it saw, as docs/design/rollouts.md has it.
+//! `--nocapture` each test prints its results in the form used in docs/design/rollouts.md.
 
 mod judging;
 #[path = "../seeds/seed.rs"]
 mod seeds;
-mod stage;
-mod ways;
+mod simulation;
+mod strategy;
--- a/tests/rollout/stage.rs
+++ b/tests/rollout/simulation.rs
@@ -1,4 +1,4 @@
-//! One roll-out, played in steps of 100 ms.
+//! Simulates one roll-out in steps of 100 ms.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -11,105 +11,105 @@
 use rand::RngExt;
 use rand::rngs::StdRng;
 
-use crate::ways::Way;
+use crate::strategy::Strategy;
 
-/// Length of a step.
+/// Simulated time per step.
 const STEP: Duration = Duration::from_millis(100);
-/// Requests on trial at first, in thousandths.
+/// Fraction of requests for the new version in the first stage, in thousandths.
 pub const TRIAL_PERMILLE: u16 = 70;
-/// Part of all requests that a bad version may get, and requests beyond.
-const EXPOSE: (f64, f64) = (0.1, 50.0);
+/// Maximum number of requests that a bad version may get: this fraction of all requests, plus this many.
+const MAX_EXPOSURE: (f64, f64) = (0.1, 50.0);
 
-/// What is wrong with a version.
+/// What is wrong with the new version.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Illness {
+pub enum Defect {
     /// Nothing.
     None,
-    /// It fails this part of its answers.
+    /// This fraction of its answers fails.
     Fails(f64),
-    /// It takes this much longer.
+    /// Its answers take this many times as long.
     Slow(f64),
 }
 
-/// When an illness shows.
+/// When and where the defect shows.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Shows {
+pub enum Trigger {
     /// From the start.
     AtOnce,
-    /// From this part of the time on.
+    /// From this fraction of the roll-out's time on.
     Later(f64),
-    /// On targets that have as much to do as the old ones at least.
+    /// While each target on trial gets at least half as many requests as a target of the old version.
     UnderLoad,
     /// On this route only.
     OnRoute(usize),
 }
 
-/// What happens to both versions besides.
+/// A fault that affects both versions alike.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Trouble {
+pub enum SharedFault {
     /// Nothing.
     None,
-    /// Both fail this part of their answers from the middle on.
+    /// This fraction of all answers fails from the middle of the roll-out on.
     BothFail(f64),
-    /// A third of the targets, of both versions, is several times slower for a while.
+    /// A third of the answers of both versions takes this many times as long, as if a data hall were slow.
     SlowHall(f64),
-    /// Both fail this part of their answers on one route.
+    /// On this route this fraction of all answers fails.
     RouteFails(usize, f64),
 }
 
-/// Requests of a route become more.
+/// A route gets more requests.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Surge {
     pub route: usize,
-    /// From this part of the time on.
+    /// Start, as a fraction of the roll-out's time.
     pub from: f64,
-    /// How many times more.
-    pub times: f64,
+    /// Factor by which its request rate grows.
+    pub factor: f64,
 }
 
-/// A roll-out to play.
+/// A roll-out to simulate.
 #[derive(Clone, Debug)]
-pub struct Scene {
+pub struct Scenario {
     pub lasts: Duration,
     pub gateways: u32,
     /// Requests a second on each route.
     pub routes: Vec<f64>,
     /// Targets of each version.
     pub targets: usize,
-    pub illness: Illness,
-    pub shows: Shows,
-    pub trouble: Trouble,
-    /// When the new targets are there and warm.
+    pub defect: Defect,
+    pub trigger: Trigger,
+    pub shared_fault: SharedFault,
+    /// Time from which the new targets are up and warm.
     pub ready: Duration,
     pub surge: Option<Surge>,
 }
 
-/// How it went.
+/// Result of a simulated roll-out.
 #[derive(Clone, Copy, Debug)]
 pub struct Outcome {
     pub stage: Stage,
-    /// Time until it was over.
+    /// Time until it was completed or rolled back.
     pub took: Duration,
-    /// Requests that the new version got before its deadline.
+    /// Number of requests that the new version got before the roll-out's deadline.
     pub exposed: f64,
-    /// Most that it may have got.
+    /// Number of requests that a bad version may get.
     pub allowed: f64,
 }
 
-/// Outcomes on their way to the leader, and when they are there.
-type OnTheirWay = VecDeque<(Duration, Vec<Compared>)>;
+/// Outcomes on their way to the leader, with the time of their arrival.
+type InTransit = VecDeque<(Duration, Vec<Compared>)>;
 
-/// What gateways go by.
+/// Stage and route mix that gateways apply.
 #[derive(Clone, Debug)]
-struct Obeyed {
+struct Applied {
     stage: Stage,
     mix: RouteMix,
 }
 
-impl Obeyed {
-    /// Part of a route's requests that the new version gets.
-    fn part(&self, way: Way, route: usize) -> f64 {
-        match way.divides() {
+impl Applied {
+    /// Fraction of a route's requests for the new version.
+    fn new_fraction(&self, strategy: Strategy, route: usize) -> f64 {
+        match strategy.divides() {
             true => self.mix.fraction_of_route(route_key(route), self.stage.share()),
             false => self.stage.share(),
         }
@@ -120,48 +120,48 @@
     RouteKey::of(&route.to_string())
 }
 
-impl Scene {
-    /// Time until what a gateway saw is known to the leader: two words, each the later the more gateways there are.
-    fn word_takes(&self) -> Duration {
+impl Scenario {
+    /// Time until outcomes seen by a gateway reach the leader: two messages, each slower with more gateways.
+    fn report_delay(&self) -> Duration {
         Duration::from_millis(200) + Duration::from_micros(500) * self.gateways
     }
 
-    /// Time until gateways know of a stage.
-    fn stage_takes(&self) -> Duration {
+    /// Time until gateways apply a new stage.
+    fn update_delay(&self) -> Duration {
         Duration::from_millis(100) + Duration::from_micros(500) * self.gateways
     }
 
-    /// Plays it.
-    pub fn play(&self, way: Way, rng: &mut StdRng) -> Outcome {
+    /// Simulates the roll-out.
+    pub fn simulate(&self, strategy: Strategy, rng: &mut StdRng) -> Outcome {
         let mut known: BTreeMap<RouteKey, Compared> =
             (0..self.routes.len()).map(|at| (route_key(at), Compared::default())).collect();
         let mut history = History::default();
-        let mut on_their_way = OnTheirWay::new();
+        let mut in_transit = InTransit::new();
         let mut mixes = VecDeque::new();
         let mut stage = Stage::Part(TRIAL_PERMILLE);
-        let mut obeyed = Obeyed { stage, mix: RouteMix::default() };
+        let mut applied = Applied { stage, mix: RouteMix::default() };
         let (mut stage_since, mut answers_before) = (Duration::ZERO, 0);
         let (mut exposed, mut total) = (0.0, 0.0);
         let mut over_at = None;
         let mut now = Duration::ZERO;
         while now < self.lasts {
-            if now >= stage_since + self.stage_takes() {
-                obeyed.stage = stage;
+            if now >= stage_since + self.update_delay() {
+                applied.stage = stage;
             }
             while let Some((_, mix)) = mixes.pop_front_if(|(at, _)| *at <= now) {
-                obeyed.mix = mix;
+                applied.mix = mix;
             }
-            let (seen, to_new) = self.step(now, way, &obeyed, rng);
+            let (seen, to_new) = self.simulate_step(now, strategy, &applied, rng);
             exposed += to_new;
             total += self.rates(now).sum::<f64>() * STEP.as_secs_f64();
-            on_their_way.push_back((now + self.word_takes(), seen));
-            while let Some((_, seen)) = on_their_way.pop_front_if(|(at, _)| *at <= now) {
+            in_transit.push_back((now + self.report_delay(), seen));
+            while let Some((_, seen)) = in_transit.pop_front_if(|(at, _)| *at <= now) {
                 for (at, seen) in seen.iter().enumerate() {
                     known.entry(route_key(at)).or_default().add(seen);
                 }
             }
             history.record(now, &known);
-            mixes.push_back((now + self.stage_takes(), history.mix()));
+            mixes.push_back((now + self.update_delay(), history.mix()));
             let routes = history.routes();
             let progress = Progress {
                 stage,
@@ -174,7 +174,7 @@
                 answers_before,
                 old_in_flight: 0,
             };
-            if let Some(next) = way.next(&progress) {
+            if let Some(next) = strategy.next(&progress) {
                 stage = next;
                 stage_since = now;
                 answers_before = progress.answers();
@@ -188,7 +188,7 @@
             stage,
             took: over_at.unwrap_or(self.lasts),
             exposed,
-            allowed: EXPOSE.0 * total + EXPOSE.1,
+            allowed: MAX_EXPOSURE.0 * total + MAX_EXPOSURE.1,
         }
     }
 
@@ -196,52 +196,53 @@
     fn rates(&self, now: Duration) -> impl Iterator<Item = f64> {
         self.routes.iter().enumerate().map(move |(route, per_s)| match self.surge {
             Some(surge) if surge.route == route && now >= self.lasts.mul_f64(surge.from) => {
-                per_s * surge.times
+                per_s * surge.factor
             }
             _ => *per_s,
         })
     }
 
-    /// What is seen in one step, by route, and the requests that the new version got.
-    fn step(
+    /// Simulates the requests of one step; returns their outcomes by route and the number that the new version got.
+    fn simulate_step(
         &self,
         now: Duration,
-        way: Way,
-        obeyed: &Obeyed,
+        strategy: Strategy,
+        applied: &Applied,
         rng: &mut StdRng,
     ) -> (Vec<Compared>, f64) {
         let mut seen = vec![Compared::default(); self.routes.len()];
         let mut to_new = 0.0;
-        let share_of_all = if now < self.ready { 0.0 } else { obeyed.stage.share() };
+        let share_of_all = if now < self.ready { 0.0 } else { applied.stage.share() };
         for (route, per_s) in self.rates(now).enumerate() {
-            let share = if share_of_all > 0.0 { obeyed.part(way, route) } else { 0.0 };
+            let share =
+                if share_of_all > 0.0 { applied.new_fraction(strategy, route) } else { 0.0 };
             let requests = per_s * STEP.as_secs_f64();
-            let whole = requests as u32 + u32::from(rng.random_bool(requests.fract()));
-            for _ in 0..whole {
+            let count = requests as u32 + u32::from(rng.random_bool(requests.fract()));
+            for _ in 0..count {
                 let new = share > 0.0 && rng.random_bool(share);
                 let outcomes = if new { &mut seen[route].new } else { &mut seen[route].old };
                 to_new += f64::from(u8::from(new));
-                let ill = new && self.shows_now(now, route, share_of_all);
+                let defective = new && self.defect_shows(now, route, share_of_all);
                 let mut took = 0.05 * 2.0_f64.powf(rng.random_range(-0.7..1.5));
                 let mut fails = rng.random_bool(0.004);
-                if let Trouble::SlowHall(times) = self.trouble
+                if let SharedFault::SlowHall(times) = self.shared_fault
                     && rng.random_bool(1.0 / 3.0)
                 {
                     took *= times;
                 }
-                if let Trouble::BothFail(part) = self.trouble
+                if let SharedFault::BothFail(fraction) = self.shared_fault
                     && now > self.lasts / 2
                 {
-                    fails |= rng.random_bool(part);
+                    fails |= rng.random_bool(fraction);
                 }
-                if let Trouble::RouteFails(failing, part) = self.trouble
+                if let SharedFault::RouteFails(failing, fraction) = self.shared_fault
                     && route == failing
                 {
-                    fails |= rng.random_bool(part);
+                    fails |= rng.random_bool(fraction);
                 }
-                match self.illness {
-                    Illness::Fails(part) if ill => fails |= rng.random_bool(part),
-                    Illness::Slow(times) if ill => took *= times,
+                match self.defect {
+                    Defect::Fails(fraction) if defective => fails |= rng.random_bool(fraction),
+                    Defect::Slow(times) if defective => took *= times,
                     _ => {}
                 }
                 match fails {
@@ -253,14 +254,14 @@
         (seen, to_new)
     }
 
-    fn shows_now(&self, now: Duration, route: usize, share: f64) -> bool {
-        match self.shows {
-            Shows::AtOnce => true,
-            Shows::Later(part) => now >= self.lasts.mul_f64(part),
-            Shows::OnRoute(only) => route == only,
-            Shows::UnderLoad => {
-                let asked = trial_size(share, self.targets, self.targets) as f64;
-                share / asked >= 0.5 * (1.0 - share) / self.targets as f64
+    fn defect_shows(&self, now: Duration, route: usize, share: f64) -> bool {
+        match self.trigger {
+            Trigger::AtOnce => true,
+            Trigger::Later(fraction) => now >= self.lasts.mul_f64(fraction),
+            Trigger::OnRoute(only) => route == only,
+            Trigger::UnderLoad => {
+                let trial_targets = trial_size(share, self.targets, self.targets) as f64;
+                share / trial_targets >= 0.5 * (1.0 - share) / self.targets as f64
             }
         }
     }
