--- a/tests/compat/commands.rs
+++ b/tests/compat/commands.rs
@@ -1,4 +1,4 @@
-//! Commands in the log: in the words of the first build wherever it has them.
+//! Encoding of log commands: a command that the first build can express is encoded as that build does.
 
 use std::time::Duration;
 
@@ -9,16 +9,16 @@
 use latchmount::store::{Command, NewAnnouncement};
 use proptest::prelude::*;
 
-/// Variants that the first build knows.
+/// Number of command variants in the encoding of the first build.
 const BASE_VARIANTS: u8 = 10;
 
-fn born() -> impl Strategy<Value = StartTime> {
+fn start_time() -> impl Strategy<Value = StartTime> {
     prop::option::of(0_u64..5).prop_map(StartTime)
 }
 
 fn announcement() -> impl Strategy<Value = Announcement> {
-    ("t[0-9]", born(), "v?", 0_u64..3, 0_u64..9).prop_map(|(id, born, version, cold, sequence)| {
-        Announcement {
+    ("t[0-9]", start_time(), "v?", 0_u64..3, 0_u64..9).prop_map(
+        |(id, born, version, cold, sequence)| Announcement {
             id,
             born,
             service: "s".into(),
@@ -29,16 +29,16 @@
             state: TargetState::Ready,
             cold_left: Duration::from_millis(cold),
             sequence,
-        }
-    })
+        },
+    )
 }
 
 fn incarnation() -> impl Strategy<Value = Incarnation> {
-    ("t[0-9]", born()).prop_map(|(id, born)| Incarnation { id, born })
+    ("t[0-9]", start_time()).prop_map(|(id, born)| Incarnation { id, born })
 }
 
 fn command() -> impl Strategy<Value = Command> {
-    let sight = (announcement(), any::<bool>())
+    let new_announcement = (announcement(), any::<bool>())
         .prop_map(|(announcement, at_once)| NewAnnouncement { announcement, at_once });
     let many = || prop::collection::vec(incarnation(), 0..4);
     let order = ("h", any::<bool>(), any::<u64>()).prop_map(|(data_hall, evacuate, after)| {
@@ -53,7 +53,7 @@
         Command::RolloutStep(RolloutStep { service, at, stage: Stage::Part(9), elapsed_ms: 1 })
     });
     prop_oneof![
-        prop::collection::vec(sight, 0..4).prop_map(Command::Announce),
+        prop::collection::vec(new_announcement, 0..4).prop_map(Command::Announce),
         incarnation().prop_map(Command::Remove),
         many().prop_map(Command::Silence),
         many().prop_map(Command::Settle),
@@ -70,21 +70,21 @@
 proptest! {
     #[test]
     fn a_command_is_read_as_it_was_written(command in command()) {
-        let bytes = postcard::to_stdvec(&command).expect("a command");
-        prop_assert_eq!(postcard::from_bytes::<Command>(&bytes).expect("a command"), command);
+        let bytes = postcard::to_stdvec(&command).expect("a valid command");
+        prop_assert_eq!(postcard::from_bytes::<Command>(&bytes).expect("a valid command"), command);
     }
 
     #[test]
     fn only_what_the_first_build_can_read_has_the_base_level(command in command()) {
-        let bytes = postcard::to_stdvec(&command).expect("a command");
+        let bytes = postcard::to_stdvec(&command).expect("a valid command");
         prop_assert_eq!(bytes[0] < BASE_VARIANTS, command.level() == Level::BASE);
     }
 
     #[test]
-    fn what_a_group_of_the_base_level_may_hold_of_a_target_the_first_build_can_say(
+    fn an_announcement_limited_to_the_base_level_is_readable_by_the_first_build(
         announcement in announcement(),
     ) {
-        let sight = NewAnnouncement { announcement: announcement.limited_to(Level::BASE), at_once: false };
-        prop_assert_eq!(Command::Announce(vec![sight]).level(), Level::BASE);
+        let new_announcement = NewAnnouncement { announcement: announcement.limited_to(Level::BASE), at_once: false };
+        prop_assert_eq!(Command::Announce(vec![new_announcement]).level(), Level::BASE);
     }
 }
--- a/tests/compat/frames.rs
+++ b/tests/compat/frames.rs
@@ -1,4 +1,5 @@
-//! Frames of the first build in production, recorded there, and those that this build says.
+//! Compares the frames that this build encodes with recorded ones: `base.txt` has frames recorded in production from the first
+//! build, `levels.txt` those of this build.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -22,22 +23,22 @@
 use latchmount::rollout::{RolloutState, RolloutsUpdate, Stage};
 use latchmount::store::Store;
 
-use crate::samples::{self, base_parcel, delta, parcel, start};
+use crate::samples::{self, base_blob, blob, delta, started_target};
 
-/// Recorded frames by direction and name.
+/// Recorded frames by direction and name, from one file.
 fn recorded(build: &str) -> BTreeMap<(String, String), Vec<u8>> {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/data/frames").join(build);
     let text = std::fs::read_to_string(path).expect("recorded frames");
     let frame = |line: &str| {
-        let mut words = line.split_whitespace().map(str::to_owned);
-        let mut word = || words.next().expect("a direction, a name and bytes");
-        ((word(), word()), from_hex(&word()))
+        let mut fields = line.split_whitespace().map(str::to_owned);
+        let mut field = || fields.next().expect("a direction, a name and bytes");
+        ((field(), field()), from_hex(&field()))
     };
     text.lines().map(frame).collect()
 }
 
-/// A frame of the first build.
-pub fn base(direction: &str, name: &str) -> Vec<u8> {
+/// A recorded frame of the first build.
+pub fn first_build_frame(direction: &str, name: &str) -> Vec<u8> {
     recorded("base.txt")[&(direction.to_owned(), name.to_owned())].clone()
 }
 
@@ -53,52 +54,60 @@
 #[test]
 fn every_frame_of_the_first_build_is_understood() {
     for (name, expected) in samples::to_member() {
-        let read = ToMember::from_bytes(&base("to_member", name)).expect(name);
+        let read = ToMember::from_bytes(&first_build_frame("to_member", name)).expect(name);
         assert_eq!(format!("{read:?}"), format!("{expected:?}"), "{name}");
     }
     for (name, expected) in samples::from_member() {
-        let read = FromMember::from_bytes(&base("from_member", name)).expect(name);
+        let read = FromMember::from_bytes(&first_build_frame("from_member", name)).expect(name);
         assert_eq!(format!("{read:?}"), format!("{expected:?}"), "{name}");
     }
-    assert_eq!(unpacked(&base_parcel()), delta());
+    assert_eq!(unpacked(&base_blob()), delta());
 }
 
-// The first build reads a frame to the end of what it knows, and ignores the rest.
+// The first build reads a frame up to the last field that it knows, and ignores the rest.
 #[test]
-fn what_the_first_build_could_say_begins_with_its_own_bytes() {
+fn what_the_first_build_can_express_begins_with_its_bytes() {
     for (name, message) in samples::to_member() {
-        let said = message.to_bytes().expect(name);
-        assert!(said.starts_with(&base("to_member", name)), "{name}: {}", to_hex(&said));
+        let encoded = message.to_bytes().expect(name);
+        assert!(
+            encoded.starts_with(&first_build_frame("to_member", name)),
+            "{name}: {}",
+            to_hex(&encoded)
+        );
     }
     for (name, message) in samples::from_member() {
-        let said = message.to_bytes().expect(name);
-        assert!(said.starts_with(&base("from_member", name)), "{name}: {}", to_hex(&said));
+        let encoded = message.to_bytes().expect(name);
+        assert!(
+            encoded.starts_with(&first_build_frame("from_member", name)),
+            "{name}: {}",
+            to_hex(&encoded)
+        );
     }
 }
 
-// A frame that differs from its record is one that a landed build may not read: add a part of its own instead.
+// A build in production may not be able to read a frame that differs from its record: add a new part to the message instead.
 #[test]
 fn no_frame_changes_unseen() {
     let recorded = recorded("levels.txt");
-    let mut said: BTreeMap<(String, String), Vec<u8>> = BTreeMap::new();
+    let mut encoded: BTreeMap<(String, String), Vec<u8>> = BTreeMap::new();
     for (name, message) in samples::to_member().into_iter().chain(added()) {
         let bytes = message.to_bytes().expect(name);
-        said.insert(("to_member".into(), name.into()), bytes);
+        encoded.insert(("to_member".into(), name.into()), bytes);
     }
     for (name, message) in samples::from_member().into_iter().chain(added_from_member()) {
         let bytes = message.to_bytes().expect(name);
-        said.insert(("from_member".into(), name.into()), bytes);
+        encoded.insert(("from_member".into(), name.into()), bytes);
     }
-    for (name, store) in [("base", samples::store()), ("starts", samples::store_of_starts())] {
+    for (name, store) in [("base", samples::store()), ("starts", samples::store_beyond_base())] {
         let bytes = postcard::to_stdvec(&store).expect(name);
-        said.insert(("store".into(), name.into()), bytes);
+        encoded.insert(("store".into(), name.into()), bytes);
     }
-    let differ = said.iter().filter(|(name, bytes)| recorded.get(*name) != Some(*bytes));
+    let differ = encoded.iter().filter(|(name, bytes)| recorded.get(*name) != Some(*bytes));
     let differ: Vec<String> = differ
         .map(|((direction, name), bytes)| format!("{direction} {name} {}", to_hex(bytes)))
         .collect();
     assert!(differ.is_empty(), "not as recorded:\n{}", differ.join("\n"));
-    assert_eq!(recorded.len(), said.len(), "frames that are said no more");
+    assert_eq!(recorded.len(), encoded.len(), "recorded frames that this build no longer encodes");
 }
 
 #[test]
@@ -116,12 +125,12 @@
     }
 }
 
-/// A request under which a target ended.
+/// A report of a request on which a target crashed.
 fn report() -> Report {
     let identity = Identity { team: Some("team-a"), host: "h.example", path: "/x", body: b"body" };
-    let end = CrashReport { target: 7, by: Reporter::of("gateway-1"), ago_ms: 20 };
+    let crash = CrashReport { target: 7, by: Reporter::of("gateway-1"), ago_ms: 20 };
     let suspect = Suspect::new(&identity, identity.fingerprint(), "route-a");
-    Report { suspect, crashes: vec![end], cleared_ago_ms: Some(3) }
+    Report { suspect, crashes: vec![crash], cleared_ago_ms: Some(3) }
 }
 
 fn tallies() -> Tallies {
@@ -132,12 +141,12 @@
     tallies
 }
 
-/// Frames that the first build had no word for, or fewer words.
+/// Frames to a member that the first build does not have, or has with fewer fields.
 fn added() -> Vec<(&'static str, ToMember)> {
-    let announced = vec![start("t1", 7), start("t2", 8)];
+    let announced = vec![started_target("t1", 7), started_target("t2", 8)];
     let member = ([10, 0, 0, 1], 7420).into();
     let target = LoadKey::of(1 << 50);
-    let keepers = vec![PrefixHolder { prompt: PromptKey::of(1 << 60), target }];
+    let prefix_holders = vec![PrefixHolder { prompt: PromptKey::of(1 << 60), target }];
     let evidence = vec![Evidence { target, failed: 1.5, answered: 2.0, reporters: 2 }];
     let outcomes = vec![Outcomes { target, failed: 1, answered: 2 }];
     let subscription = samples::to_member().pop().map(|(_, message)| message);
@@ -152,7 +161,7 @@
         ..subscription
     };
     vec![
-        ("append_starts", samples::append(samples::commands_of_starts())),
+        ("append_starts", samples::append(samples::commands_beyond_base())),
         ("announce_starts", ToMember::Call { id: 6, call: Call::Announce(announced) }),
         (
             "member_saw",
@@ -160,7 +169,7 @@
                 from: member,
                 loads: Default::default(),
                 evidence,
-                prefix_holders: keepers.clone(),
+                prefix_holders: prefix_holders.clone(),
                 tallies: tallies(),
             },
         ),
@@ -169,7 +178,7 @@
             ToMember::Loads {
                 loads: Default::default(),
                 outcomes,
-                prefix_holders: keepers,
+                prefix_holders,
                 tallies: tallies(),
             },
         ),
@@ -180,12 +189,13 @@
     ]
 }
 
+/// The same for frames from a member.
 fn added_from_member() -> Vec<(&'static str, FromMember)> {
-    let taken = Reply::Announced(vec![HeartbeatOutcome::Changed, HeartbeatOutcome::Unchanged]);
+    let outcomes = Reply::Announced(vec![HeartbeatOutcome::Changed, HeartbeatOutcome::Unchanged]);
     let target = LoadKey::of(1 << 50);
     let hall = |state| HallState { data_hall: "hall-a".into(), since: 11, state };
     let halls = vec![hall(Evacuation::InForce), hall(Evacuation::Withdrawn { for_ms: 5 })];
-    let told =
+    let rollout_state =
         RolloutState { service: "s".into(), version: "v2".into(), at: 12, stage: Stage::Part(70) };
     let share = RouteShare { route: RouteKey::of("route-a"), share: 0.25 };
     let update = Update {
@@ -193,7 +203,7 @@
         version: 4,
         gateways: 2,
         evacuations: Some(EvacuationsUpdate { revision: 11, halls }),
-        rollouts: Some(RolloutsUpdate { revision: 12, rollouts: vec![told] }),
+        rollouts: Some(RolloutsUpdate { revision: 12, rollouts: vec![rollout_state] }),
         evidence: Some(vec![Evidence { target, failed: 1.5, answered: 2.0, reporters: 2 }]),
         prefix_holders: vec![PrefixHolder { prompt: PromptKey::of(1 << 60), target }],
         mixes: vec![RolloutMix { rollout: 12, mix: RouteMix(vec![share]) }],
@@ -201,37 +211,37 @@
         ..Update::default()
     };
     vec![
-        ("reply_taken", FromMember::Reply { id: 6, reply: taken }),
+        ("reply_taken", FromMember::Reply { id: 6, reply: outcomes }),
         ("update_starts", FromMember::Update(Box::new(update))),
     ]
 }
 
 #[test]
 fn a_batch_reaches_a_leader_of_the_first_build_as_its_first_announcement() {
-    let batch = Call::Announce(vec![start("t1", 7), start("t2", 8)]);
-    let said = ToMember::Call { id: 6, call: batch }.to_bytes().expect("a frame");
-    assert!(said.starts_with(&base("to_member", "announce")));
+    let batch = Call::Announce(vec![started_target("t1", 7), started_target("t2", 8)]);
+    let encoded = ToMember::Call { id: 6, call: batch }.to_bytes().expect("a frame");
+    assert!(encoded.starts_with(&first_build_frame("to_member", "announce")));
 }
 
 #[test]
-fn a_list_says_the_same_to_both_builds_and_more_to_this_one() {
-    assert_eq!(unpacked(&parcel()), delta());
+fn a_packed_list_unpacks_to_the_same_delta() {
+    assert_eq!(unpacked(&blob()), delta());
 }
 
-fn unpacked(parcel: &Blob) -> DirectoryDelta {
-    match parcel.unpack().expect("a parcel") {
+fn unpacked(blob: &Blob) -> DirectoryDelta {
+    match blob.unpack().expect("a blob") {
         Content::Targets(packed) => packed.unpack().expect("a list"),
-        Content::Document(_) => panic!("a list was packed"),
+        Content::Document(_) => panic!("the blob holds a document instead of a list"),
     }
 }
 
 #[test]
-fn a_frame_that_is_cut_anywhere_is_refused_or_says_what_the_first_build_says() {
+fn a_truncated_frame_is_refused_or_ends_where_one_of_the_first_build_ends() {
     for (name, message) in samples::to_member() {
-        let said = message.to_bytes().expect(name);
-        let base = base("to_member", name);
-        for len in 0..said.len() {
-            let read = ToMember::from_bytes(&said[..len]);
+        let encoded = message.to_bytes().expect(name);
+        let base = first_build_frame("to_member", name);
+        for len in 0..encoded.len() {
+            let read = ToMember::from_bytes(&encoded[..len]);
             assert!(read.is_err() || len == base.len(), "{name} cut at byte {len}");
         }
     }
--- a/tests/compat/levels.rs
+++ b/tests/compat/levels.rs
@@ -1,4 +1,4 @@
-//! When the level of a group is raised.
+//! When a group's feature level is raised: only while every member has recently reported that it supports the new level.
 
 use std::time::Duration;
 
@@ -26,19 +26,19 @@
     Duration::from_millis(ms)
 }
 
-/// Has all members speak every tenth of a second; returns what is due at the end.
-fn speak(
+/// Lets all members report their supported level every 100 ms; returns the level that is due at the end.
+fn report_levels(
     readiness: &mut Readiness,
     group: GroupState<'_>,
     from_ms: u64,
-    upto_ms: u64,
-    knows: impl Fn(StoreId) -> Option<Level>,
+    until_ms: u64,
+    supported: impl Fn(StoreId) -> Option<Level>,
 ) -> Option<Level> {
     let mut due = None;
-    for ms in (from_ms..upto_ms).step_by(100) {
+    for ms in (from_ms..until_ms).step_by(100) {
         for member in &group.members.0 {
-            if let Some(knows) = knows(member.id) {
-                readiness.record(at(ms), member.id, knows);
+            if let Some(supported) = supported(member.id) {
+                readiness.record(at(ms), member.id, supported);
             }
         }
         due = readiness.due(at(ms), group);
@@ -47,32 +47,32 @@
 }
 
 #[test]
-fn a_member_of_an_earlier_build_keeps_the_level_down_even_if_it_only_stands_by() {
+fn a_member_of_an_earlier_build_keeps_the_level_down_even_as_a_learner() {
     let members = members(4);
     let mut readiness = Readiness::default();
-    let knows = |id| Some(if id == StoreId(3) { Level::BASE } else { Level::INCARNATIONS });
-    assert_eq!(speak(&mut readiness, group(&members), 0, 20_000, knows), None);
+    let supported = |id| Some(if id == StoreId(3) { Level::BASE } else { Level::INCARNATIONS });
+    assert_eq!(report_levels(&mut readiness, group(&members), 0, 20_000, supported), None);
 }
 
 #[test]
 fn a_member_that_is_down_keeps_the_level_down() {
     let members = members(4);
     let mut readiness = Readiness::default();
-    let knows = |id| (id != StoreId(2)).then_some(Level::INCARNATIONS);
-    assert_eq!(speak(&mut readiness, group(&members), 0, 20_000, knows), None);
+    let supported = |id| (id != StoreId(2)).then_some(Level::INCARNATIONS);
+    assert_eq!(report_levels(&mut readiness, group(&members), 0, 20_000, supported), None);
 }
 
 #[test]
-fn a_member_that_gets_its_earlier_build_back_begins_the_wait_anew() {
+fn a_member_that_is_downgraded_restarts_the_wait() {
     let members = members(3);
     let mut readiness = Readiness::default();
     let all = |_| Some(Level::INCARNATIONS);
     let group = group(&members);
-    assert_eq!(speak(&mut readiness, group, 0, 4_000, all), None);
-    let back = |id| Some(if id == StoreId(1) { Level::BASE } else { Level::INCARNATIONS });
-    assert_eq!(speak(&mut readiness, group, 4_000, 4_100, back), None);
-    assert_eq!(speak(&mut readiness, group, 4_100, 9_000, all), None);
-    assert_eq!(speak(&mut readiness, group, 9_000, 9_500, all), Some(Level::INCARNATIONS));
+    assert_eq!(report_levels(&mut readiness, group, 0, 4_000, all), None);
+    let downgraded = |id| Some(if id == StoreId(1) { Level::BASE } else { Level::INCARNATIONS });
+    assert_eq!(report_levels(&mut readiness, group, 4_000, 4_100, downgraded), None);
+    assert_eq!(report_levels(&mut readiness, group, 4_100, 9_000, all), None);
+    assert_eq!(report_levels(&mut readiness, group, 9_000, 9_500, all), Some(Level::INCARNATIONS));
 }
 
 #[test]
@@ -80,15 +80,15 @@
     let members = members(3);
     let mut readiness = Readiness::default();
     let group = GroupState { formed_here: true, ..group(&members) };
-    assert!(readiness.level_pending(&members, Level::BASE), "nobody has said anything");
+    assert!(readiness.level_pending(&members, Level::BASE), "no member has reported yet");
     let all = |_| Some(Level::INCARNATIONS);
-    assert_eq!(speak(&mut readiness, group, 0, 100, all), Some(Level::INCARNATIONS));
+    assert_eq!(report_levels(&mut readiness, group, 0, 100, all), Some(Level::INCARNATIONS));
     let raised = GroupState { level: Level::INCARNATIONS, ..group };
-    assert_eq!(speak(&mut readiness, raised, 100, 200, all), None);
+    assert_eq!(report_levels(&mut readiness, raised, 100, 200, all), None);
     assert!(!readiness.level_pending(&members, Level::INCARNATIONS));
 }
 
-// Whatever members say and whenever, the level is due only while each has said lately that it knows it.
+// Whatever members report and when, the level is due only while each has reported in the last 1.5 s that it supports it.
 #[test]
 fn the_level_is_never_due_while_a_member_does_not_know_it() {
     let seed = seed();
@@ -96,21 +96,21 @@
     for _ in 0..200 {
         let members = members(rng.random_range(1..6));
         let mut readiness = Readiness::default();
-        let mut words = vec![(Level::BASE, Duration::ZERO); members.0.len()];
+        let mut reports = vec![(Level::BASE, Duration::ZERO); members.0.len()];
         let mut now = Duration::ZERO;
         for _ in 0..300 {
             now += at(rng.random_range(1..400));
-            let who = rng.random_range(0..members.0.len());
-            let knows = if rng.random_bool(0.9) { Level::INCARNATIONS } else { Level::BASE };
+            let member = rng.random_range(0..members.0.len());
+            let supported = if rng.random_bool(0.9) { Level::INCARNATIONS } else { Level::BASE };
             if rng.random_bool(0.95) {
-                readiness.record(now, members.0[who].id, knows);
-                words[who] = (knows, now);
+                readiness.record(now, members.0[member].id, supported);
+                reports[member] = (supported, now);
             }
             if readiness.due(now, group(&members)).is_some() {
-                let known = |word: &(Level, Duration)| {
-                    word.0 == Level::INCARNATIONS && now < word.1 + Duration::from_millis(1_500)
+                let recent = |report: &(Level, Duration)| {
+                    report.0 == Level::INCARNATIONS && now < report.1 + Duration::from_millis(1_500)
                 };
-                assert!(words.iter().all(known), "seed {seed}");
+                assert!(reports.iter().all(recent), "seed {seed}");
             }
         }
     }
--- a/tests/compat/main.rs
+++ b/tests/compat/main.rs
@@ -1,4 +1,5 @@
-//! What other builds wrote or said is read, and what this one writes does not change unseen.
+//! Compatibility of the wire and storage formats: data from other builds is read, and what this build writes does not change
+//! unnoticed.
 
 #[path = "../seeds/seed.rs"]
 mod seeds;
--- a/tests/compat/samples.rs
+++ b/tests/compat/samples.rs
@@ -1,4 +1,4 @@
-//! Messages that the first build could say, as this one knows them.
+//! Sample messages: those that the first build can express, in the types of this build, and some that it can't.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -22,7 +22,7 @@
 use latchmount::rollout::{RolloutOrder, RolloutStep, RolloutsUpdate, Stage};
 use latchmount::store::{Answer, Command, Drain, NewAnnouncement, Store};
 
-/// A target that does not tell when it started.
+/// A target of the base level, which does not report its start time.
 pub fn target(id: &str) -> Announcement {
     Announcement {
         id: id.into(),
@@ -38,8 +38,8 @@
     }
 }
 
-/// The same target, which tells all.
-pub fn start(id: &str, born: u64) -> Announcement {
+/// The same target with all fields of the newest level.
+pub fn started_target(id: &str, born: u64) -> Announcement {
     let cold_left = Duration::from_millis(200);
     Announcement { born: StartTime(Some(born)), version: "v2".into(), cold_left, ..target(id) }
 }
@@ -56,6 +56,7 @@
     ([10, 0, 0, 1], 7420).into()
 }
 
+/// Commands that the first build can read.
 pub fn commands() -> Vec<Command> {
     let document = Document { version: 4, bytes: "{}".into() };
     let announce = |id, at_once| {
@@ -72,10 +73,11 @@
     ]
 }
 
-/// Commands that the first build does not know.
-pub fn commands_of_starts() -> Vec<Command> {
-    let sight = |id, born| NewAnnouncement { announcement: start(id, born), at_once: born > 7 };
-    let started = |id, born| start(id, born).incarnation();
+/// Commands beyond the base level, which the first build can't read.
+pub fn commands_beyond_base() -> Vec<Command> {
+    let new_announcement =
+        |id, born| NewAnnouncement { announcement: started_target(id, born), at_once: born > 7 };
+    let incarnation_of = |id, born| started_target(id, born).incarnation();
     let (data_hall, service) = ("hall-a".to_owned(), "s".to_owned());
     let order = RolloutOrder {
         service: service.clone(),
@@ -89,10 +91,10 @@
     };
     vec![
         Command::Raise(Level::INCARNATIONS),
-        Command::Announce(vec![sight("t4", 7), sight("t5", 8)]),
-        Command::Settle(vec![started("t4", 7)]),
-        Command::Silence(vec![started("t5", 8)]),
-        Command::Remove(started("t5", 8)),
+        Command::Announce(vec![new_announcement("t4", 7), new_announcement("t5", 8)]),
+        Command::Settle(vec![incarnation_of("t4", 7)]),
+        Command::Silence(vec![incarnation_of("t5", 8)]),
+        Command::Remove(incarnation_of("t5", 8)),
         evacuate(true, 0),
         evacuate(false, 8),
         Command::WarmAgain(vec![WarmAgain { data_hall: data_hall.clone(), since: 9 }]),
@@ -106,10 +108,10 @@
     ]
 }
 
-/// What they make of an empty store.
-pub fn store_of_starts() -> Store {
+/// The store that [`commands_beyond_base`] make of an empty one.
+pub fn store_beyond_base() -> Store {
     let mut store = Store::default();
-    for (at, command) in commands_of_starts().into_iter().enumerate() {
+    for (at, command) in commands_beyond_base().into_iter().enumerate() {
         store.apply(3 + at as u64, command);
     }
     store
@@ -118,7 +120,7 @@
 /// A frame with these commands as entries.
 pub fn append(commands: Vec<Command>) -> ToMember {
     let prev = Position { term: 5, index: 2 };
-    agreement(Body::Append { prev, entries: entries_of(commands), commit: 2, round: 8 })
+    raft(Body::Append { prev, entries: entries_of(commands), commit: 2, round: 8 })
 }
 
 pub fn entries() -> Vec<Entry> {
@@ -131,7 +133,7 @@
     commands.into_iter().enumerate().map(entry).collect()
 }
 
-/// What the commands make of an empty store.
+/// The store that [`commands`] make of an empty one.
 pub fn store() -> Store {
     let mut store = Store::default();
     for (command, entry) in commands().into_iter().zip(entries()) {
@@ -140,7 +142,7 @@
     store
 }
 
-fn agreement(body: Body) -> ToMember {
+fn raft(body: Body) -> ToMember {
     let envelope = Envelope { group: GroupId(9), from: StoreId(1), to: StoreId(2), term: 5, body };
     ToMember::Raft { from: member(), messages: vec![envelope], supported_level: Level::BASE }
 }
@@ -162,11 +164,11 @@
         status_only: false,
         serves_blobs_at: Some(member()),
     };
-    let (evidence, outcomes, keepers) = (Vec::new(), Vec::new(), Vec::new());
-    let saw_nothing = || Default::default();
+    let (evidence, outcomes, prefix_holders) = (Vec::new(), Vec::new(), Vec::new());
+    let no_tallies = || Default::default();
     vec![
         ("append", append(commands())),
-        ("install", agreement(Body::Install { snapshot, round: 8 })),
+        ("install", raft(Body::Install { snapshot, round: 8 })),
         ("propose", call(Call::Propose(commands().remove(2)))),
         ("read_index", call(Call::ReadIndex)),
         ("announce", call(Call::Announce(vec![target("t1")]))),
@@ -182,29 +184,24 @@
                 from: member(),
                 loads: loads(),
                 evidence,
-                prefix_holders: keepers.clone(),
-                tallies: saw_nothing(),
+                prefix_holders: prefix_holders.clone(),
+                tallies: no_tallies(),
             },
         ),
         (
             "loads",
-            ToMember::Loads {
-                loads: loads(),
-                outcomes,
-                prefix_holders: keepers,
-                tallies: saw_nothing(),
-            },
+            ToMember::Loads { loads: loads(), outcomes, prefix_holders, tallies: no_tallies() },
         ),
         ("in_force", ToMember::ConfigurationInForce(4)),
-        ("has", ToMember::HasBlob(base_parcel().id())),
-        ("lacks", ToMember::BlobFetchFailed(base_parcel().id())),
+        ("has", ToMember::HasBlob(base_blob().id())),
+        ("lacks", ToMember::BlobFetchFailed(base_blob().id())),
         ("subscribe", ToMember::Subscribe(subscription)),
     ]
 }
 
-/// The parcel that the first build made of [`delta`].
-pub fn base_parcel() -> Blob {
-    let bytes = crate::frames::base("parcel", "targets");
+/// The blob that the first build made of [`delta`].
+pub fn base_blob() -> Blob {
+    let bytes = crate::frames::first_build_frame("parcel", "targets");
     Blob::new(bytes.into())
 }
 
@@ -228,16 +225,16 @@
     }
 }
 
-/// The parcel that this build makes of it.
-pub fn parcel() -> Blob {
+/// The blob that this build makes of it.
+pub fn blob() -> Blob {
     let mut packer = Packer::new().expect("memory");
-    Blob::pack(&Content::Targets(packer.pack(delta()).expect("a delta"))).expect("a parcel")
+    Blob::pack(&Content::Targets(packer.pack(delta()).expect("a delta"))).expect("a blob")
 }
 
 /// Frames of a member of the first build, by name.
 pub fn from_member() -> Vec<(&'static str, FromMember)> {
     let reply = |reply| FromMember::Reply { id: 6, reply };
-    let sign = Update {
+    let keep_alive = Update {
         fresh: true,
         version: 4,
         gateways: 2,
@@ -246,11 +243,11 @@
         ..Update::default()
     };
     let update = Update {
-        blobs: vec![base_parcel().bytes().clone()],
-        blob_source: Some(BlobSource { blob: base_parcel().id(), addr: member() }),
+        blobs: vec![base_blob().bytes().clone()],
+        blob_source: Some(BlobSource { blob: base_blob().id(), addr: member() }),
         members: Some(vec![member()]),
         loads: Some(loads()),
-        ..sign.clone()
+        ..keep_alive.clone()
     };
     vec![
         ("reply_answer", reply(Reply::Answer(Answer::Configured { held: 4 }))),
@@ -260,6 +257,6 @@
         ("reply_not_leader", reply(Reply::NotLeader(Some(member())))),
         ("reply_unknown", reply(Reply::Unknown)),
         ("update", FromMember::Update(Box::new(update))),
-        ("update_sign", FromMember::Update(Box::new(sign))),
+        ("update_sign", FromMember::Update(Box::new(keep_alive))),
     ]
 }
