--- a/benches/agreement.rs
+++ b/benches/agreement.rs
@@ -1,5 +1,5 @@
-//! What agreement costs, with five control members and eight routers as real processes: commits a
-//! second, time to be in force, time without a leader, recovery, bytes. Prints JSON lines.
+//! Measures the control group with five members and eight routers as real processes: commits per second, time until a
+//! change is in force, time without a leader, recovery time, and bytes sent. Prints JSON lines.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -14,12 +14,12 @@
 
 const MEMBERS: u16 = 5;
 const ROUTERS: u16 = 8;
-const MEASURE: Duration = Duration::from_secs(4);
+const MEASURE_TIME: Duration = Duration::from_secs(4);
 const CALLERS: u64 = 64;
 const KILLS: usize = 7;
-const REVISIONS: usize = 40;
-const CHANGES_A_DAY: f64 = 2_400.0;
-const SECONDS_A_DAY: f64 = 86_400.0;
+const CHANGES: usize = 40;
+const CHANGES_PER_DAY: f64 = 2_400.0;
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
 fn client(fleet: &Fleet, member: u16) -> HttpClient {
     connect(fleet.control_addr(member), Duration::from_secs(5)).expect("a client")
@@ -44,49 +44,50 @@
     (0..MEMBERS).find(|member| fleet.control_addr(*member) == addr).expect("a known address")
 }
 
-/// A change that conflicts: it costs a log entry like any other, and needs no base.
-fn entry(id: &str) -> Value {
+/// A change that always conflicts: it costs a log entry like any other, but needs no valid base version.
+fn conflicting_change(id: &str) -> Value {
     json!({ "id": id, "base": 999_999, "template": template() })
 }
 
-fn revision(id: &str, base: u64) -> Value {
+fn valid_change(id: &str, base: u64) -> Value {
     let mut template = template();
     template["version"] = json!(id);
     json!({ "id": id, "base": base, "template": template })
 }
 
+/// Commits per second with this number of concurrent callers.
 async fn commits(fleet: &Fleet, callers: u64) -> f64 {
     let leader = leader(fleet).await;
     let started = Instant::now();
     let loops = (0..callers).map(|caller| {
         let client = client(fleet, leader);
         async move {
-            let mut done = 0u64;
-            while started.elapsed() < MEASURE {
-                let id = format!("{callers}-{caller}-{done}");
-                client.change(TOKEN.into(), entry(&id)).await.expect("an answer");
-                done += 1;
+            let mut committed = 0u64;
+            while started.elapsed() < MEASURE_TIME {
+                let id = format!("{callers}-{caller}-{committed}");
+                client.change(TOKEN.into(), conflicting_change(&id)).await.expect("an answer");
+                committed += 1;
             }
-            done
+            committed
         }
     });
-    let done: u64 = futures_util::future::join_all(loops).await.into_iter().sum();
-    done as f64 / started.elapsed().as_secs_f64()
+    let committed: u64 = futures_util::future::join_all(loops).await.into_iter().sum();
+    committed as f64 / started.elapsed().as_secs_f64()
 }
 
-/// Milliseconds, sorted.
-fn sorted(mut taken: Vec<f64>) -> Vec<f64> {
-    taken.sort_by(f64::total_cmp);
-    taken
+/// Sorts times in milliseconds.
+fn sorted(mut times_ms: Vec<f64>) -> Vec<f64> {
+    times_ms.sort_by(f64::total_cmp);
+    times_ms
 }
 
-/// From the sending of a change until the leader knows that all routers have it.
+/// Times from sending a change until the leader knows that all routers have it, in milliseconds.
 async fn in_force(fleet: &Fleet, base: &mut u64) -> Vec<f64> {
     let leader = client(fleet, leader(fleet).await);
-    let mut taken = Vec::new();
-    for _ in 0..REVISIONS {
+    let mut times_ms = Vec::new();
+    for _ in 0..CHANGES {
         let started = Instant::now();
-        let change = revision(&format!("in-force-{base}"), *base);
+        let change = valid_change(&format!("in-force-{base}"), *base);
         let answer = leader.change(TOKEN.into(), change).await.expect("an answer");
         let Answer::Accepted { version, revision } = answer else {
             panic!("{answer:?}");
@@ -99,19 +100,19 @@
                 break;
             }
         }
-        taken.push(started.elapsed().as_secs_f64() * 1e3);
+        times_ms.push(started.elapsed().as_secs_f64() * 1e3);
     }
-    sorted(taken)
+    sorted(times_ms)
 }
 
-/// From the kill of a leader until another accepts a change.
+/// Times from killing a leader until another one accepts a change, in milliseconds.
 async fn without_leader(fleet: &mut Fleet, base: &mut u64) -> Vec<f64> {
-    let mut taken = Vec::new();
+    let mut times_ms = Vec::new();
     for round in 0..KILLS {
         let old = leader(fleet).await;
         fleet.controls[usize::from(old)].kill();
         let started = Instant::now();
-        let change = revision(&format!("kill-{round}"), *base);
+        let change = valid_change(&format!("kill-{round}"), *base);
         let others: Vec<HttpClient> = (0..MEMBERS)
             .filter(|member| *member != old)
             .map(|member| client(fleet, member))
@@ -126,14 +127,14 @@
             }
             tokio::time::sleep(Duration::from_millis(2)).await;
         }
-        taken.push(started.elapsed().as_secs_f64() * 1e3);
+        times_ms.push(started.elapsed().as_secs_f64() * 1e3);
         fleet.controls[usize::from(old)] = fleet.start_control(old);
         tokio::time::sleep(Duration::from_secs(2)).await;
     }
-    sorted(taken)
+    sorted(times_ms)
 }
 
-/// From the start of a member until it answers with its log read.
+/// Time from the start of a member until it has read its log and answers, in milliseconds.
 async fn recovery(fleet: &mut Fleet) -> f64 {
     let follower = (leader(fleet).await + 1) % MEMBERS;
     fleet.controls[usize::from(follower)].kill();
@@ -164,35 +165,38 @@
         "callers": CALLERS, "batched_per_s": batched.round() })
     );
 
-    let taken = in_force(&fleet, &mut base).await;
+    let times_ms = in_force(&fleet, &mut base).await;
     println!(
         "{}",
-        json!({ "bench": "in_force", "routers": ROUTERS, "rounds": REVISIONS,
-        "p50_ms": taken[taken.len() / 2], "max_ms": taken[taken.len() - 1] })
+        json!({ "bench": "in_force", "routers": ROUTERS, "rounds": CHANGES,
+        "p50_ms": times_ms[times_ms.len() / 2], "max_ms": times_ms[times_ms.len() - 1] })
     );
 
     let before = config_bytes(&fleet).await;
     tokio::time::sleep(Duration::from_secs(10)).await;
-    let rest = (config_bytes(&fleet).await - before) / 10.0;
+    let idle = (config_bytes(&fleet).await - before) / 10.0;
     let before = config_bytes(&fleet).await;
     in_force(&fleet, &mut base).await;
-    let change = (config_bytes(&fleet).await - before) / REVISIONS as f64;
+    let change = (config_bytes(&fleet).await - before) / CHANGES as f64;
     println!(
         "{}",
-        json!({ "bench": "bytes", "rest_per_s": rest, "a_change": change,
-        "with_2400_a_day_per_s": rest + change * CHANGES_A_DAY / SECONDS_A_DAY })
+        json!({ "bench": "bytes", "rest_per_s": idle, "a_change": change,
+        "with_2400_a_day_per_s": idle + change * CHANGES_PER_DAY / SECONDS_PER_DAY })
     );
 
-    let taken = without_leader(&mut fleet, &mut base).await;
+    let times_ms = without_leader(&mut fleet, &mut base).await;
     println!(
         "{}",
-        json!({ "bench": "without_leader", "kills": KILLS, "min_ms": taken[0],
-        "p50_ms": taken[KILLS / 2], "max_ms": taken[KILLS - 1] })
+        json!({ "bench": "without_leader", "kills": KILLS, "min_ms": times_ms[0],
+        "p50_ms": times_ms[KILLS / 2], "max_ms": times_ms[KILLS - 1] })
     );
 
     let leader = client(&fleet, leader(&fleet).await);
     for number in 0..1_000 {
-        leader.change(TOKEN.into(), entry(&format!("fill-{number}"))).await.expect("an answer");
+        leader
+            .change(TOKEN.into(), conflicting_change(&format!("fill-{number}")))
+            .await
+            .expect("an answer");
     }
     println!(
         "{}",
--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -1,5 +1,5 @@
-//! What each role costs, as slopes: at least four points for each, a least-squares line through
-//! them, as JSON lines. `-- PART` runs one part only.
+//! Measures how the cost of each role grows with load: at least four points each, and a least-squares line through them, as
+//! JSON lines. `-- PART` runs one part only.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -15,12 +15,15 @@
 use support::engine::{EngineOptions, spec};
 use support::{Fleet, KEY, Process, Shape, TOKEN, template};
 
+/// Length of a processor clock tick as the kernel counts it.
 const TICK_MS: f64 = 10.0;
-const QUIET: Duration = Duration::from_secs(5);
-const FOLLOWERS: [usize; 5] = [8, 40, 100, 200, 340];
+/// Time over which cost without load is measured.
+const IDLE_TIME: Duration = Duration::from_secs(5);
+/// Numbers of routers that follow the leader.
+const FOLLOWER_COUNTS: [usize; 5] = [8, 40, 100, 200, 340];
 const CHANGES: usize = 20;
-/// Failures that are held against others, for each point.
-const JUDGED: usize = 2_000;
+/// Number of failures that are judged for each point.
+const JUDGED_FAILURES: usize = 2_000;
 
 /// Prints the points, their least-squares line and its value at the target size.
 fn report(slope: &str, by: &str, unit: &str, points: &[(f64, f64)], target: f64) {
@@ -42,23 +45,23 @@
     fleet.metric(0, "latchmount_control_bytes_total", &format!("kind=\"{kind}\"")).await
 }
 
-/// Processor milliseconds that `work` costs the process.
+/// Processor time that the process uses during `work`, in milliseconds.
 async fn cpu_ms<T>(process: &Process, work: impl Future<Output = T>) -> f64 {
     let before = process.cpu_ticks();
     work.await;
     (process.cpu_ticks() - before) as f64 * TICK_MS
 }
 
-fn one_of_each() -> Shape {
+fn smallest_fleet() -> Shape {
     let engine = EngineOptions { token_ms: 0, prefill_ms: 0, batch: 10_000, ..Default::default() };
     let router = json!({ "max_in_flight_per_target": 5_000 });
     Shape { engine, router, routers: 1, engines: 1, ..Shape::default() }
 }
 
-/// Bytes, memory and processor time of a router by the number of targets listed.
+/// Bytes, memory and processor time of a router by the number of listed targets.
 async fn targets() {
-    let (mut bytes, mut memory, mut cpu, mut list) = (vec![], vec![], vec![], vec![]);
-    let mut shape = one_of_each();
+    let (mut bytes, mut memory, mut cpu, mut change_bytes) = (vec![], vec![], vec![], vec![]);
+    let mut shape = smallest_fleet();
     shape.router["list_poll_ms"] = json!(1_000);
     let fleet = Fleet::ready(shape).await;
     let mut listed = 2;
@@ -70,26 +73,26 @@
             fleet.platform.add(&name, "http://127.0.0.1:9", Serves::Models(vec![spec("m8@1")]));
         }
         tokio::time::sleep(Duration::from_secs(3)).await;
-        list.push((count as f64, control_bytes(&fleet, "platform_list").await - before));
+        change_bytes.push((count as f64, control_bytes(&fleet, "platform_list").await - before));
         let before = control_bytes(&fleet, "platform_list").await;
-        let used = cpu_ms(&fleet.routers[0], tokio::time::sleep(QUIET)).await;
-        let passed = QUIET.as_secs_f64();
+        let used = cpu_ms(&fleet.routers[0], tokio::time::sleep(IDLE_TIME)).await;
+        let passed = IDLE_TIME.as_secs_f64();
         bytes
             .push((count as f64, (control_bytes(&fleet, "platform_list").await - before) / passed));
         cpu.push((count as f64, used / passed));
         memory.push((count as f64, fleet.routers[0].resident_kib() as f64));
     }
     report("router_list_bytes_at_rest", "targets", "B/s", &bytes, 790.0);
-    report("router_list_bytes_a_change", "targets", "B", &list, 790.0);
+    report("router_list_bytes_a_change", "targets", "B", &change_bytes, 790.0);
     report("router_memory", "targets", "KiB", &memory, 790.0);
     report("router_cpu_at_rest", "targets", "ms/s", &cpu, 790.0);
 }
 
 /// Bytes and memory of a router by the number of teams.
 async fn teams() {
-    let (mut memory, mut first) = (vec![], vec![]);
+    let (mut memory, mut bytes) = (vec![], vec![]);
     for count in [10, 50, 100, 200] {
-        let fleet = Fleet::start(one_of_each()).await;
+        let fleet = Fleet::start(smallest_fleet()).await;
         let teams: Value = (0..count)
             .map(|team| (format!("team-{team}"), json!({ "share_percent": 100.0 / 201.0 })))
             .collect::<serde_json::Map<_, _>>()
@@ -100,10 +103,10 @@
         let before = control_bytes(&fleet, "config").await;
         fleet.submit(&template, "teams").await;
         fleet.serving().await;
-        first.push((count as f64, control_bytes(&fleet, "config").await - before));
+        bytes.push((count as f64, control_bytes(&fleet, "config").await - before));
         memory.push((count as f64, fleet.routers[0].resident_kib() as f64));
     }
-    report("router_bytes_a_template", "teams", "B", &first, 200.0);
+    report("router_bytes_a_template", "teams", "B", &bytes, 200.0);
     report("router_memory", "teams", "KiB", &memory, 200.0);
 }
 
@@ -117,9 +120,9 @@
     }
 }
 
-/// Processor time of a router by request and by token.
+/// Processor time of a router by the number of requests and of tokens.
 async fn requests() {
-    let fleet = Fleet::ready(one_of_each()).await;
+    let fleet = Fleet::ready(smallest_fleet()).await;
     chats(&fleet, 500, false).await;
     let mut by_request = vec![];
     for count in [1_000, 2_000, 4_000, 8_000] {
@@ -129,20 +132,20 @@
     report("router_cpu", "requests", "ms", &by_request, 20.0);
     let mut by_token = vec![];
     for tokens in [50u64, 200, 400, 800] {
-        let mut shape = one_of_each();
+        let mut shape = smallest_fleet();
         shape.engine.tokens = tokens;
         shape.engine.token_ms = 2;
         let fleet = Fleet::ready(shape).await;
         let used = cpu_ms(&fleet.routers[0], chats(&fleet, 256, true)).await;
         by_token.push(((tokens * 256) as f64, used));
     }
-    // 3 million tokens a second over 340 routers.
+    // 3 million tokens per second over 340 routers.
     report("router_cpu", "tokens", "ms", &by_token, 3e6 / 340.0);
 }
 
-/// Memory of a router by open streams.
+/// Memory of a router by the number of open streams.
 async fn streams() {
-    let mut shape = one_of_each();
+    let mut shape = smallest_fleet();
     shape.engine.token_ms = 500;
     shape.engine.tokens = 200;
     let fleet = Fleet::ready(shape).await;
@@ -157,7 +160,7 @@
     report("router_memory", "streams", "KiB", &points, 370.0);
 }
 
-/// A follower of the configuration, as a router is one.
+/// Follows the configuration as a router does, and publishes the newest revision in `seen`.
 async fn follow(addr: std::net::SocketAddr, number: usize, seen: tokio::sync::watch::Sender<u64>) {
     let client = connect(addr, Duration::from_secs(5)).expect("a client");
     let (mut known, mut group) = (0, GroupId::default());
@@ -178,10 +181,11 @@
     }
 }
 
-/// Leader's processor time at rest, and time until a change is in force, by routers.
+/// The leader's processor time without load and per change, and the time until a change is in force, by the number of
+/// routers.
 async fn followers() {
     let (mut cpu, mut change_cpu, mut in_force) = (vec![], vec![], vec![]);
-    for count in FOLLOWERS {
+    for count in FOLLOWER_COUNTS {
         let fleet = Fleet::ready(Shape { routers: 1, ..Shape::default() }).await;
         let mut seen = vec![];
         for number in 0..count {
@@ -190,10 +194,10 @@
             tokio::spawn(follow(fleet.control_addr(0), number, sender));
         }
         tokio::time::sleep(Duration::from_secs(2)).await;
-        let used = cpu_ms(&fleet.controls[0], tokio::time::sleep(QUIET)).await;
-        cpu.push((count as f64, used / QUIET.as_secs_f64()));
+        let used = cpu_ms(&fleet.controls[0], tokio::time::sleep(IDLE_TIME)).await;
+        cpu.push((count as f64, used / IDLE_TIME.as_secs_f64()));
         let client = connect(fleet.control_addr(0), Duration::from_secs(5)).expect("a client");
-        let mut taken = vec![];
+        let mut times_ms = vec![];
         let before = fleet.controls[0].cpu_ticks();
         for base in 1..=CHANGES as u64 {
             let mut template = template();
@@ -205,19 +209,19 @@
             for follower in &mut seen {
                 follower.wait_for(|known| *known >= revision).await.expect("a follower");
             }
-            taken.push(started.elapsed().as_secs_f64() * 1e3);
+            times_ms.push(started.elapsed().as_secs_f64() * 1e3);
         }
         let used = (fleet.controls[0].cpu_ticks() - before) as f64 * TICK_MS;
         change_cpu.push((count as f64, used / CHANGES as f64));
-        taken.sort_by(f64::total_cmp);
-        in_force.push((count as f64, taken[CHANGES - 1]));
+        times_ms.sort_by(f64::total_cmp);
+        in_force.push((count as f64, times_ms[CHANGES - 1]));
     }
     report("leader_cpu_at_rest", "routers", "ms/s", &cpu, 340.0);
     report("leader_cpu_a_change", "routers", "ms", &change_cpu, 340.0);
     report("in_force_slowest_of_20", "routers", "ms", &in_force, 340.0);
 }
 
-/// Log, memory and recovery of a member by changes since its last snapshot, and by claims.
+/// Log size and recovery time of a member by changes since its last snapshot, and processor time and memory by claims.
 async fn changes() {
     let (mut bytes, mut recovery) = (vec![], vec![]);
     let (mut claim_cpu, mut claim_memory) = (vec![], vec![]);
@@ -273,25 +277,25 @@
     }
 }
 
-/// Processor time of a gateway to hold one failure against the other targets of a service.
+/// Time in which a gateway compares one target's failures with those of the other targets of a service.
 fn evidence() {
     let mut points = Vec::new();
     for count in [24, 100, 200, 400, 790] {
         let tallies: Vec<Tally> = (0..count).map(tally).collect();
         let began = Instant::now();
         let mut worse = 0;
-        for round in 0..JUDGED {
+        for round in 0..JUDGED_FAILURES {
             let (own, others) = tallies.split_at(1 + round % 2);
             worse += usize::from(own[0].worse_than(others));
         }
-        let each = began.elapsed().as_secs_f64() * 1e6 / JUDGED as f64;
-        eprintln!("{worse} of {JUDGED} worse");
+        let each = began.elapsed().as_secs_f64() * 1e6 / JUDGED_FAILURES as f64;
+        eprintln!("{worse} of {JUDGED_FAILURES} worse");
         points.push((count as f64, each));
     }
     report("gateway_failure", "targets", "µs", &points, 790.0);
 }
 
-/// A tally of eight attempts, of which some failed.
+/// A tally of eight attempts, some of them failed.
 fn tally(number: u32) -> Tally {
     let mut tally = Tally::default();
     for at in 0..8u64 {
--- a/benches/evacuation.rs
+++ b/benches/evacuation.rs
@@ -1,9 +1,10 @@
-//! What an order to evacuate a data hall costs, with five members and 65 gateways as real processes: time until it is
-//! acknowledged, and until the last gateway obeys; and what choosing a target costs beside it. Prints JSON lines.
+//! Measures evacuation orders with five members and 65 gateways as real processes: the time until an order is acknowledged
+//! and until the last gateway applies it; and the time to choose a target. Prints JSON lines.
 //!
-//! Before there were orders there was nothing to compare with. 200 orders, seventy processes on one machine of eight cores: acknowledged
-//! after 1.8 ms in the middle, 4.0 ms for 99 of 100 and 5.1 ms at most; the last gateway of a member obeys after 4 ms at most. A choice among
-//! 112 targets takes 1.2 µs in the middle and 1.6 µs for 99 of 100, before and after, since evidence and cold targets are weighed before it.
+//! Results of 200 orders, 70 processes on one machine with 8 cores: acknowledged after 1.8 ms (median), 4.0 ms (99th
+//! percentile) and 5.1 ms at most; the last gateway of a member applies an order after 4 ms at most. A choice among 112
+//! targets takes 1.2 µs (median) and 1.6 µs (99th percentile), as it did before evacuations existed, since evidence and cold
+//! targets are weighed before the choice.
 
 #[path = "../tests/fleet/harness.rs"]
 mod harness;
@@ -22,18 +23,18 @@
 const TARGETS: u32 = 112;
 const CHOICES: u32 = 20_000;
 
-/// The value at a part of a sorted list.
-fn at(sorted: &[f64], part: f64) -> f64 {
-    let place = ((sorted.len() as f64 - 1.0) * part).round() as usize;
-    sorted.get(place).copied().unwrap_or(f64::NAN)
+/// The value at a quantile (from 0 to 1) of a sorted list.
+fn value_at(sorted: &[f64], quantile: f64) -> f64 {
+    let index = ((sorted.len() as f64 - 1.0) * quantile).round() as usize;
+    sorted.get(index).copied().unwrap_or(f64::NAN)
 }
 
 fn print(what: &str, mut values: Vec<f64>) {
     values.sort_by(f64::total_cmp);
-    let (p50, p99, most) = (at(&values, 0.5), at(&values, 0.99), at(&values, 1.0));
+    let (p50, p99, max) = (value_at(&values, 0.5), value_at(&values, 0.99), value_at(&values, 1.0));
     println!(
         "{}",
-        json!({ "what": what, "count": values.len(), "p50": p50, "p99": p99, "most": most })
+        json!({ "what": what, "count": values.len(), "p50": p50, "p99": p99, "most": max })
     );
 }
 
@@ -62,8 +63,8 @@
     print("order acknowledged, ms", acknowledged);
     let logs: Vec<String> = fleet.members.iter().map(harness::Process::log).collect();
     let lines = logs.iter().flat_map(|log| log.lines());
-    let last = lines.filter(|line| field(line, "event") == Some("evacuations_everywhere"));
-    let waited = last.filter_map(|line| field(line, "waited_ms")?.parse().ok());
+    let in_force = lines.filter(|line| field(line, "event") == Some("evacuations_everywhere"));
+    let waited = in_force.filter_map(|line| field(line, "waited_ms")?.parse().ok());
     print("last gateway of a member obeys, ms", waited.collect());
 }
 
@@ -79,15 +80,15 @@
     };
     let all: Vec<Candidate> = (0..TARGETS).map(candidate).collect();
     let mut rng = StdRng::seed_from_u64(1);
-    let mut took = Vec::new();
+    let mut times_us = Vec::new();
     for hash in 0..u64::from(CHOICES) {
         let affinity = Some(Affinity { hash, tokens: 10_512 });
         let preference = Preference { affinity, load_bound: 2.0, targets: TARGETS as usize };
         let began = Instant::now();
         assert!(choose(&all, preference, &mut rng).is_some());
-        took.push(began.elapsed().as_secs_f64() * 1e6);
+        times_us.push(began.elapsed().as_secs_f64() * 1e6);
     }
-    print("choice among 112 targets, µs", took);
+    print("choice among 112 targets, µs", times_us);
 }
 
 #[tokio::main]
--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -1,5 +1,5 @@
-//! Ways to choose a target, on the same work: cache reuse, skew against the bound, control bytes,
-//! cost of a decision. A loop over decision objects and completions; prints JSON lines.
+//! Compares policies for choosing a target on the same simulated requests: cache reuse, load skew against the bound, control
+//! bytes, and time per decision. Prints JSON lines.
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::{Duration, Instant};
@@ -14,13 +14,14 @@
 use serde_json::json;
 
 const SEED: u64 = 20_261_202;
-const BOUND: f64 = 1.25;
-/// Engines refused before a request is refused.
+const LOAD_BOUND: f64 = 1.25;
+/// Number of engines that may refuse a request before it is refused.
 const MAX_ASKS: usize = 8;
-/// Between two load boards, and the share of their entries that get lost.
-const BOARD_EVERY: f64 = 1.0;
+/// Seconds between two broadcasts of the load board.
+const BOARD_INTERVAL_S: f64 = 1.0;
+/// Fraction of the board's entries that get lost.
 const BOARD_LOSS: f64 = 0.1;
-/// IP and UDP headers of a datagram.
+/// Size of the IP and UDP headers of a datagram.
 const DATAGRAM_BYTES: usize = 28;
 
 #[derive(Clone, Copy)]
@@ -29,16 +30,19 @@
     routers: usize,
     engines: usize,
     seconds: f64,
-    /// New chats a second, their mean number of turns, pauses and answers in seconds.
+    /// New chats per second.
     chats: f64,
+    /// Mean number of turns of a chat.
     turns: f64,
+    /// Mean time between an answer and the chat's next turn, in seconds.
     pause: f64,
+    /// Mean time that an answer takes, in seconds.
     answer: f64,
-    /// By how much a surge multiplies new chats, in the middle fifth.
+    /// Factor by which the rate of new chats grows in the middle fifth of the time.
     surge: f64,
-    /// Chats whose prefix one engine holds.
+    /// Number of chats whose prefix one engine caches.
     cache: usize,
-    /// Share of engines replaced in a minute.
+    /// Fraction of engines replaced per minute.
     churn: f64,
 }
 
@@ -54,7 +58,8 @@
     -mean * (1.0 - rng.random::<f64>()).ln()
 }
 
-fn work(scenario: &Scenario) -> Vec<Arrival> {
+/// Random arrivals of all turns of all chats, in order of time.
+fn arrivals(scenario: &Scenario) -> Vec<Arrival> {
     let mut rng = SmallRng::seed_from_u64(SEED);
     let (mut arrivals, mut at) = (Vec::new(), 0.0);
     while at < scenario.seconds {
@@ -78,7 +83,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum Policy {
     Central,
     Rendezvous,
     TwoChoices,
@@ -87,16 +92,16 @@
     Slots(f64, usize),
 }
 
-impl Way {
+impl Policy {
     fn name(self) -> String {
         match self {
-            Way::Central => "ideal_central".into(),
-            Way::Rendezvous => "rendezvous".into(),
-            Way::TwoChoices => "two_choices_lagged".into(),
-            Way::OwnCounts => "bounded_own_counts".into(),
-            Way::Board => "lagged_board_divided".into(),
-            Way::Slots(first, 0) => format!("slots_first_turn_{first}"),
-            Way::Slots(first, homes) => format!("slots_first_turn_{first}_cached_of_{homes}"),
+            Policy::Central => "ideal_central".into(),
+            Policy::Rendezvous => "rendezvous".into(),
+            Policy::TwoChoices => "two_choices_lagged".into(),
+            Policy::OwnCounts => "bounded_own_counts".into(),
+            Policy::Board => "lagged_board_divided".into(),
+            Policy::Slots(first, 0) => format!("slots_first_turn_{first}"),
+            Policy::Slots(first, homes) => format!("slots_first_turn_{first}_cached_of_{homes}"),
         }
     }
 }
@@ -109,7 +114,7 @@
 
 struct Fleet {
     scenario: Scenario,
-    way: Way,
+    policy: Policy,
     rng: SmallRng,
     engines: Vec<Engine>,
     own: Vec<Vec<u16>>,
@@ -124,12 +129,12 @@
 }
 
 impl Fleet {
-    fn new(scenario: Scenario, way: Way) -> Self {
+    fn new(scenario: Scenario, policy: Policy) -> Self {
         let routers = scenario.routers;
         let engines = scenario.engines;
         let mut fleet = Fleet {
             scenario,
-            way,
+            policy,
             rng: SmallRng::seed_from_u64(SEED + 1),
             engines: Vec::new(),
             own: vec![vec![0; engines]; routers],
@@ -144,12 +149,14 @@
         };
         let ask = Message::Ask(ask(100_000, vec![NameHash(u64::MAX); MAX_ASKS], u64::MAX));
         let answer = Message::Answer { ticket: 100_000, verdict: Verdict::Granted(0) };
-        let size = |message| postcard::to_stdvec(message).expect("encodes").len() + DATAGRAM_BYTES;
+        let size = |message| {
+            postcard::to_stdvec(message).expect("a message encodes").len() + DATAGRAM_BYTES
+        };
         fleet.slot_bytes = size(&ask) + size(&answer);
         for _ in 0..engines {
             fleet.join();
         }
-        fleet.share_owners();
+        fleet.assign_owners();
         fleet
     }
 
@@ -163,9 +170,9 @@
         new()
     }
 
-    /// Gives every engine its owner; every router reports what it holds.
-    fn share_owners(&mut self) {
-        if !matches!(self.way, Way::Slots(..)) {
+    /// Assigns an owner to every engine, and lets every router report the slots that it holds.
+    fn assign_owners(&mut self) {
+        if !matches!(self.policy, Policy::Slots(..)) {
             return;
         }
         let ids: Vec<RouterId> = (0..self.scenario.routers).map(|id| RouterId(id as u64)).collect();
@@ -188,42 +195,42 @@
             choose(key, &candidates, cap)
         };
         let engines = self.engines.len();
-        match self.way {
-            Way::Central => {
-                let cap = cap(self.total + 1, engines, BOUND);
+        match self.policy {
+            Policy::Central => {
+                let cap = cap(self.total + 1, engines, LOAD_BOUND);
                 let free = (0..engines).filter(|at| self.engines[*at].load < cap);
                 free.min_by_key(|at| {
                     let engine = &self.engines[*at];
                     (!engine.cached.contains(Key(arrival.chat)), engine.load)
                 })
             }
-            Way::Rendezvous => ordered(&|_| 0, 1, &self.engines),
-            Way::TwoChoices => {
+            Policy::Rendezvous => ordered(&|_| 0, 1, &self.engines),
+            Policy::TwoChoices => {
                 let (a, b) = (self.rng.random_range(0..engines), self.rng.random_range(0..engines));
                 Some(if self.board[a] <= self.board[b] { a } else { b })
             }
-            Way::OwnCounts => {
+            Policy::OwnCounts => {
                 let own = &self.own[arrival.router];
                 let total = own.iter().map(|load| usize::from(*load)).sum::<usize>() + 1;
-                ordered(&|at| usize::from(own[at]), cap(total, engines, BOUND), &self.engines)
+                ordered(&|at| usize::from(own[at]), cap(total, engines, LOAD_BOUND), &self.engines)
             }
-            Way::Board => {
-                let cap = cap(self.board.iter().sum::<usize>() + 1, engines, BOUND);
+            Policy::Board => {
+                let cap = cap(self.board.iter().sum::<usize>() + 1, engines, LOAD_BOUND);
                 let sent = &self.sent_since_board[arrival.router];
                 let share = self.scenario.routers;
                 let load = |at: usize| self.board[at] + usize::from(sent[at]) * share;
                 ordered(&load, cap, &self.engines)
             }
-            Way::Slots(first, homes) => self.ask(arrival, first, homes),
+            Policy::Slots(first, homes) => self.ask(arrival, first, homes),
         }
     }
 
-    /// Asks the owners of the engines in the chat's order, one after the other: a chat that returns
-    /// first looks for its prefix in its first `homes`.
+    /// Asks the owners of the engines in the chat's order of preference: a returning chat first tries the `homes` engines that
+    /// may have its prefix.
     fn ask(&mut self, arrival: &Arrival, first_turn: f64, homes: usize) -> Option<usize> {
         let cached_chats = self.scenario.cache;
         let bounds =
-            Bounds { returning: BOUND, first_turn, engine_slots: usize::MAX, cached_chats };
+            Bounds { returning: LOAD_BOUND, first_turn, engine_slots: usize::MAX, cached_chats };
         let pool = PoolLoad { load: self.total, targets: self.engines.len() };
         let mut scores: Vec<(u64, usize)> = self
             .engines
@@ -252,7 +259,7 @@
         }
     }
 
-    /// Starts an answer; tells whether the chat's prefix was cached.
+    /// Starts an answer; returns whether the chat's prefix was cached.
     fn begin(&mut self, router: usize, at: usize, chat: u64) -> bool {
         self.total += 1;
         self.own[router][at] += 1;
@@ -269,7 +276,7 @@
             return;
         }
         self.engines[at].load -= 1;
-        if matches!(self.way, Way::Slots(..)) {
+        if matches!(self.policy, Policy::Slots(..)) {
             let router = RouterId(router as u64);
             let sequence = self.holders.entry(router).or_default().release(place(name));
             self.owner.release(router, sequence, place(name));
@@ -284,11 +291,11 @@
             }
         }
         self.sent_since_board.iter_mut().for_each(|sent| sent.fill(0));
-        if matches!(self.way, Way::TwoChoices | Way::Board) {
+        if matches!(self.policy, Policy::TwoChoices | Policy::Board) {
             let board = 2 * self.engines.len() + DATAGRAM_BYTES;
             self.control_bytes += board * self.scenario.routers;
         }
-        let replaced = self.scenario.churn * BOARD_EVERY / 60.0 * self.engines.len() as f64;
+        let replaced = self.scenario.churn * BOARD_INTERVAL_S / 60.0 * self.engines.len() as f64;
         let replaced = replaced as usize + usize::from(self.rng.random_bool(replaced.fract()));
         for _ in 0..replaced {
             let at = self.rng.random_range(0..self.engines.len());
@@ -297,7 +304,7 @@
             self.board[at] = 0;
         }
         if replaced > 0 {
-            self.share_owners();
+            self.assign_owners();
         }
     }
 }
@@ -319,26 +326,27 @@
     }
 }
 
-fn run(scenario: Scenario, way: Way, arrivals: &[Arrival], ideal: Option<f64>) -> f64 {
-    let mut fleet = Fleet::new(scenario, way);
-    let mut ends: BinaryHeap<(std::cmp::Reverse<u64>, usize, usize, NameHash)> = BinaryHeap::new();
+fn run(scenario: Scenario, policy: Policy, arrivals: &[Arrival], ideal: Option<f64>) -> f64 {
+    let mut fleet = Fleet::new(scenario, policy);
+    let mut completions: BinaryHeap<(std::cmp::Reverse<u64>, usize, usize, NameHash)> =
+        BinaryHeap::new();
     let (mut hits, mut returning, mut refused) = (0.0, 0.0, 0.0);
     let (mut skews, mut excess, mut spent) = (Vec::new(), 0i64, Duration::ZERO);
     let mut next_tick = 0.0;
     for arrival in arrivals {
         let micros = (arrival.at * 1e6) as u64;
-        while ends.peek().is_some_and(|end| end.0.0 <= micros) {
-            let (_, router, at, name) = ends.pop().expect("an end");
+        while completions.peek().is_some_and(|end| end.0.0 <= micros) {
+            let (_, router, at, name) = completions.pop().expect("an end");
             fleet.end(router, at, name);
         }
         while arrival.at >= next_tick {
-            next_tick += BOARD_EVERY;
+            next_tick += BOARD_INTERVAL_S;
             if arrival.at > scenario.seconds / 4.0 {
                 let most = fleet.engines.iter().map(|engine| engine.load).max().unwrap_or(0);
                 let loads: usize = fleet.engines.iter().map(|engine| engine.load).sum();
                 let mean = loads as f64 / fleet.engines.len() as f64;
                 skews.push(most as f64 / mean);
-                excess = excess.max(most as i64 - (mean * BOUND).ceil() as i64);
+                excess = excess.max(most as i64 - (mean * LOAD_BOUND).ceil() as i64);
             }
             fleet.tick();
         }
@@ -353,7 +361,7 @@
         let hit = fleet.begin(arrival.router, at, arrival.chat);
         hits += f64::from(u8::from(hit && arrival.turn > 0));
         let end = ((arrival.at + arrival.answer) * 1e6) as u64;
-        ends.push((std::cmp::Reverse(end), arrival.router, at, fleet.engines[at].name));
+        completions.push((std::cmp::Reverse(end), arrival.router, at, fleet.engines[at].name));
     }
     skews.sort_by(f64::total_cmp);
     let quantile = |share: f64| skews[((skews.len() - 1) as f64 * share) as usize];
@@ -363,10 +371,10 @@
     println!(
         "{}",
         json!({
-            "scenario": scenario.name, "policy": way.name(), "routers": scenario.routers,
+            "scenario": scenario.name, "policy": policy.name(), "routers": scenario.routers,
             "engines": scenario.engines, "requests": arrivals.len(), "reuse": reuse,
             "reuse_ideal": ideal.unwrap_or(reuse), "skew_p50": quantile(0.5),
-            "skew_p99": quantile(0.99), "skew_max": quantile(1.0), "bound": BOUND,
+            "skew_p99": quantile(0.99), "skew_max": quantile(1.0), "bound": LOAD_BOUND,
             "excess_over_bound": excess, "control_bytes_per_s_per_router": control.round(),
             "refused_share": refused / arrivals.len() as f64,
             "decision_ns": spent.as_nanos() as usize / arrivals.len(), "bytes_per_router": state,
@@ -418,13 +426,13 @@
     for scenario in
         all.into_iter().filter(|one| only.as_deref().is_none_or(|only| one.name == only))
     {
-        let arrivals = work(&scenario);
-        let ideal = run(scenario, Way::Central, &arrivals, None);
-        let ways = [Way::Rendezvous, Way::TwoChoices, Way::OwnCounts, Way::Board];
+        let arrivals = arrivals(&scenario);
+        let ideal = run(scenario, Policy::Central, &arrivals, None);
+        let policies = [Policy::Rendezvous, Policy::TwoChoices, Policy::OwnCounts, Policy::Board];
         let slots = [(1.25, 0), (1.15, 0), (1.25, 4), (1.15, 4), (1.1, 4), (1.1, 8)];
-        let slots = slots.map(|(first, homes)| Way::Slots(first, homes));
-        for way in ways.into_iter().chain(slots) {
-            run(scenario, way, &arrivals, Some(ideal));
+        let slots = slots.map(|(first, homes)| Policy::Slots(first, homes));
+        for policy in policies.into_iter().chain(slots) {
+            run(scenario, policy, &arrivals, Some(ideal));
         }
     }
 }
--- a/benches/path.rs
+++ b/benches/path.rs
@@ -1,5 +1,5 @@
-//! What the path through a router costs: latency and throughput beside going directly to the
-//! stand-in, plain and streamed, and the memory that open streams take. Prints JSON lines.
+//! Measures the path through a router: latency and throughput compared with direct requests to the stand-in engine, plain
+//! and streamed; memory of open streams; cost of claims; and goodput under overload. Prints JSON lines.
 
 #[path = "../tests/support/mod.rs"]
 mod support;
@@ -13,25 +13,28 @@
 use support::engine::{EngineOptions, Fault};
 use support::{Fleet, Shape};
 
-/// Requests a second while latency is measured.
+/// Requests per second while latency is measured.
 const RATE: u64 = 200;
-/// Requests of one latency round; rounds alternate between the two ways.
-const ROUND: u64 = 600;
+/// Requests of one latency round; rounds alternate between the direct path and the router.
+const ROUND_REQUESTS: u64 = 600;
 const ROUNDS: u64 = 4;
-/// Callers and time while throughput is measured.
+/// Concurrent callers while throughput is measured.
 const CALLERS: usize = 64;
+/// Time over which throughput is measured.
 const THROUGHPUT_TIME: Duration = Duration::from_secs(4);
-/// Streams held open while memory is measured.
+/// Number of streams held open while memory is measured.
 const OPEN_STREAMS: usize = 2_000;
 
+/// An address that requests are sent to: the engine directly, or the router.
 #[derive(Clone)]
-struct Way {
+struct Endpoint {
     name: &'static str,
     url: String,
 }
 
-impl Way {
-    async fn ask(&self, http: &reqwest::Client, number: u64, stream: bool) -> bool {
+impl Endpoint {
+    /// Sends one chat request; returns whether a complete answer came.
+    async fn send_chat(&self, http: &reqwest::Client, number: u64, stream: bool) -> bool {
         let request = http
             .post(format!("{}/v1/chat/completions", self.url))
             .header("latchmount-team", "agents")
@@ -43,43 +46,48 @@
         let Ok(answer) = request.send().await else {
             return false;
         };
-        let whole = answer.status().is_success();
-        whole && answer.text().await.is_ok_and(|text| text.contains(&format!("re:{number}")))
+        let accepted = answer.status().is_success();
+        accepted && answer.text().await.is_ok_and(|text| text.contains(&format!("re:{number}")))
     }
 }
 
-/// Latency in microseconds of `ROUND` requests, sent at `RATE` whatever the answers do.
-async fn latency(http: &reqwest::Client, way: &Way, first: u64, stream: bool) -> Histogram<u64> {
+/// Latencies in microseconds of `ROUND_REQUESTS` requests, sent at `RATE` without waiting for answers.
+async fn latency(
+    http: &reqwest::Client,
+    endpoint: &Endpoint,
+    first: u64,
+    stream: bool,
+) -> Histogram<u64> {
     let mut ticks = tokio::time::interval(Duration::from_micros(1_000_000 / RATE));
     let mut tasks = Vec::new();
-    for number in first..first + ROUND {
+    for number in first..first + ROUND_REQUESTS {
         ticks.tick().await;
-        let (http, way) = (http.clone(), way.clone());
+        let (http, endpoint) = (http.clone(), endpoint.clone());
         tasks.push(tokio::spawn(async move {
             let started = Instant::now();
-            let whole = way.ask(&http, number, stream).await;
-            (whole, started.elapsed().as_micros() as u64)
+            let complete = endpoint.send_chat(&http, number, stream).await;
+            (complete, started.elapsed().as_micros() as u64)
         }));
     }
-    let mut taken = Histogram::new(3).expect("a histogram");
+    let mut latencies = Histogram::new(3).expect("a histogram");
     for task in tasks {
-        let (whole, micros) = task.await.expect("a task");
-        assert!(whole, "an answer was not whole");
-        taken.record(micros).expect("a value in range");
+        let (complete, micros) = task.await.expect("a task");
+        assert!(complete, "an answer was missing, refused or incomplete");
+        latencies.record(micros).expect("a value in range");
     }
-    taken
+    latencies
 }
 
-/// Answers a second with `CALLERS` callers that ask again at once.
-async fn throughput(http: &reqwest::Client, way: &Way, stream: bool) -> f64 {
+/// Answers per second with `CALLERS` callers that each send the next request after an answer.
+async fn throughput(http: &reqwest::Client, endpoint: &Endpoint, stream: bool) -> f64 {
     let answered = Arc::new(AtomicU64::new(0));
     let started = Instant::now();
     let callers = (0..CALLERS).map(|_| {
-        let (http, way, answered) = (http.clone(), way.clone(), answered.clone());
+        let (http, endpoint, answered) = (http.clone(), endpoint.clone(), answered.clone());
         tokio::spawn(async move {
             while started.elapsed() < THROUGHPUT_TIME {
                 let number = rand::random::<u64>();
-                if way.ask(&http, number, stream).await {
+                if endpoint.send_chat(&http, number, stream).await {
                     answered.fetch_add(1, Ordering::Relaxed);
                 }
             }
@@ -91,22 +99,22 @@
     answered.load(Ordering::Relaxed) as f64 / started.elapsed().as_secs_f64()
 }
 
-async fn compare(http: &reqwest::Client, ways: &[Way; 2], stream: bool) {
-    let mut taken = [
+async fn compare(http: &reqwest::Client, endpoints: &[Endpoint; 2], stream: bool) {
+    let mut latencies = [
         Histogram::<u64>::new(3).expect("a histogram"),
         Histogram::<u64>::new(3).expect("a histogram"),
     ];
     for round in 0..ROUNDS {
-        for (way, all) in ways.iter().zip(&mut taken) {
-            let round = latency(http, way, round * ROUND, stream).await;
+        for (endpoint, all) in endpoints.iter().zip(&mut latencies) {
+            let round = latency(http, endpoint, round * ROUND_REQUESTS, stream).await;
             all.add(round).expect("equal histograms");
         }
     }
     let mut rates = Vec::new();
-    for way in ways {
-        rates.push(throughput(http, way, stream).await);
+    for endpoint in endpoints {
+        rates.push(throughput(http, endpoint, stream).await);
     }
-    let quantile = |at: usize, quantile: f64| taken[at].value_at_quantile(quantile);
+    let quantile = |at: usize, quantile: f64| latencies[at].value_at_quantile(quantile);
     println!(
         "{}",
         json!({
@@ -148,13 +156,13 @@
     );
 }
 
-/// What a claim adds to a call, and how many are granted a second.
+/// Latency that a claim adds to a call, and calls with a claim answered per second.
 async fn claims() {
     let fleet = Fleet::ready(Shape { controls: 5, routers: 2, ..Shape::default() }).await;
-    let mut taken =
-        [Histogram::<u64>::new(3).expect("a histogram"), Histogram::new(3).expect("one")];
+    let mut latencies =
+        [Histogram::<u64>::new(3).expect("a histogram"), Histogram::new(3).expect("a histogram")];
     for number in 0..2_000 {
-        for (at, taken) in taken.iter_mut().enumerate() {
+        for (at, latencies) in latencies.iter_mut().enumerate() {
             let key = request_key();
             let headers = [("latchmount-request-key", key.as_str())];
             let headers = if at == 0 { &[][..] } else { &headers[..] };
@@ -162,7 +170,7 @@
             let answer = fleet.call(number % 2, "claimed", headers).await.expect("an answer");
             assert!(answer.status().is_success());
             answer.bytes().await.expect("a body");
-            taken.record(started.elapsed().as_micros() as u64).expect("a value in range");
+            latencies.record(started.elapsed().as_micros() as u64).expect("a value in range");
         }
     }
     let started = Instant::now();
@@ -180,7 +188,7 @@
         }
     });
     let answered: u64 = futures_util::future::join_all(calls).await.into_iter().sum();
-    let [plain, claimed] = taken;
+    let [plain, claimed] = latencies;
     let added = |quantile| {
         claimed.value_at_quantile(quantile) as i64 - plain.value_at_quantile(quantile) as i64
     };
@@ -202,8 +210,8 @@
     format!("{}-{}-{}-{}-{}", &hex[..8], &hex[8..12], &hex[12..16], &hex[16..20], &hex[20..])
 }
 
-/// Whole answers a second against what is offered, with half the engines failing for a third of the
-/// time or not at all.
+/// Complete answers per second at several offered loads, with and without faults: half of the engines lose answers during
+/// the middle third of the time.
 async fn goodput() {
     const SLOTS: usize = 16;
     const ENGINES: usize = 4;
@@ -231,13 +239,13 @@
                 number += 1;
                 let request = fleet.chat(number % 2, &number.to_string(), &["hello"], false);
                 answers.push(tokio::spawn(async move {
-                    let whole = request.send().await.is_ok_and(|answer| answer.status() == 200);
-                    u64::from(whole)
+                    let complete = request.send().await.is_ok_and(|answer| answer.status() == 200);
+                    u64::from(complete)
                 }));
             }
-            let mut whole = 0;
+            let mut complete = 0;
             for answer in answers {
-                whole += answer.await.expect("a task");
+                complete += answer.await.expect("a task");
             }
             let mut retries = 0.0;
             for router in 0..2 {
@@ -247,8 +255,8 @@
                 "{}",
                 json!({
                     "bench": "goodput", "failing": failing, "offered": load,
-                    "capacity_per_s": capacity, "whole_per_s": whole as f64 / TIME.as_secs_f64(),
-                    "retries": retries, "retry_budget": 20.0 + whole as f64 * 0.1,
+                    "capacity_per_s": capacity, "whole_per_s": complete as f64 / TIME.as_secs_f64(),
+                    "retries": retries, "retry_budget": 20.0 + complete as f64 * 0.1,
                 })
             );
         }
@@ -261,7 +269,7 @@
     let part = std::env::args().nth(1).filter(|arg| !arg.starts_with("--"));
     let wants = |name: &str| part.as_deref().is_none_or(|part| part == name);
     if wants("latency") {
-        compare_ways().await;
+        compare_endpoints().await;
     }
     if wants("streams") {
         open_streams().await;
@@ -274,21 +282,21 @@
     }
 }
 
-async fn compare_ways() {
+async fn compare_endpoints() {
     let engine =
         EngineOptions { token_ms: 0, prefill_ms: 0, batch: 10_000, ..EngineOptions::default() };
     let shape = Shape { engine, engines: 1, routers: 1, ..Shape::default() };
     let fleet = Fleet::ready(shape).await;
-    let ways = [
-        Way { name: "direct", url: fleet.engines[0].url().to_owned() },
-        Way { name: "router", url: fleet.router_url(0) },
+    let endpoints = [
+        Endpoint { name: "direct", url: fleet.engines[0].url().to_owned() },
+        Endpoint { name: "router", url: fleet.router_url(0) },
     ];
     let http = reqwest::Client::builder().no_proxy().build().expect("a client");
-    for way in &ways {
-        // Connections are made before anything is measured.
-        latency(&http, way, 0, false).await;
-        eprintln!("warmed up: {}", way.name);
+    for endpoint in &endpoints {
+        // Opens connections, so that the measurement does not include connecting.
+        latency(&http, endpoint, 0, false).await;
+        eprintln!("warmed up: {}", endpoint.name);
     }
-    compare(&http, &ways, false).await;
-    compare(&http, &ways, true).await;
+    compare(&http, &endpoints, false).await;
+    compare(&http, &endpoints, true).await;
 }
