--- a/examples/standin/engine.rs
+++ b/examples/standin/engine.rs
@@ -63,7 +63,7 @@
     /// Refuse, saying that it did not run.
     Refuse,
     /// The same, and ask for so many seconds of rest.
-    Rest(u64),
+    RetryAfter(u64),
     /// Run, then cut the connection before the answer begins.
     LoseAnswer,
     /// Run, and answer under another attempt's id.
@@ -176,12 +176,12 @@
     }
 
     /// Lets the next answers be right, before any later fault.
-    pub fn pass_next(&self, count: usize) {
+    pub fn succeed_next(&self, count: usize) {
         self.inner.state().faults.extend(std::iter::repeat_n(None, count));
     }
 
     /// Refuses new work as leaving.
-    pub fn leave(&self) {
+    pub fn drain(&self) {
         self.inner.state().leaving = true;
     }
 
@@ -246,10 +246,10 @@
         if leaving {
             header(res, "x-leaving", "1");
         }
-        if let Some(Fault::Rest(seconds)) = fault {
+        if let Some(Fault::RetryAfter(seconds)) = fault {
             header(res, "retry-after", &seconds.to_string());
         }
-        if leaving || matches!(fault, Some(Fault::Refuse | Fault::Rest(_))) {
+        if leaving || matches!(fault, Some(Fault::Refuse | Fault::RetryAfter(_))) {
             header(res, "x-not-run", "true");
             res.status_code(StatusCode::SERVICE_UNAVAILABLE);
             return;
--- a/examples/standin/platform.rs
+++ b/examples/standin/platform.rs
@@ -103,7 +103,7 @@
     }
 
     /// Answers no one while `silent` is set.
-    pub fn silence(&self, silent: bool) {
+    pub fn set_unavailable(&self, silent: bool) {
         self.state.lock().unwrap().silent = silent;
     }
 }
--- a/tests/promises/leaving_target.rs
+++ b/tests/promises/leaving_target.rs
@@ -50,7 +50,7 @@
 async fn a_targets_own_word_counts_before_a_lagging_list() {
     let fleet = Fleet::ready(Shape::default()).await;
     fleet.platform.lag(true);
-    fleet.engines[0].leave();
+    fleet.engines[0].drain();
     assert_eq!(ask(&fleet, 40, "own-word").await, 40, "a refusal as not run was not retried");
     let runs = fleet.engines[0].all_runs();
     assert_eq!(ask(&fleet, 40, "after").await, 40);
@@ -68,7 +68,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_asks_for_rest_gets_it() {
     let fleet = Fleet::ready(Shape::default()).await;
-    fleet.engines[0].fail_next(Fault::Rest(600));
+    fleet.engines[0].fail_next(Fault::RetryAfter(600));
     let runs = fleet.engines[0].all_runs();
     let rested = async || fleet.metric(0, "latchmount_retries_total", "target_refused").await;
     let mut asked = 0;
@@ -93,7 +93,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_service_whose_targets_all_rest_refuses_with_the_earliest_end() {
     let fleet = Fleet::ready(Shape { engines: 1, ..Shape::default() }).await;
-    fleet.engines[0].fail_next(Fault::Rest(600));
+    fleet.engines[0].fail_next(Fault::RetryAfter(600));
     for text in ["first", "later"] {
         let answer = fleet.chat(0, text, &[text], false).send().await.unwrap();
         assert_eq!(answer.status(), 503);
@@ -113,7 +113,7 @@
     let router = json!({ "list_max_age_ms": 1_500 });
     let fleet = Fleet::ready(Shape { router, ..Shape::default() }).await;
     // An engine that joined but never answered this router yet, and then the list falls silent.
-    fleet.platform.silence(true);
+    fleet.platform.set_unavailable(true);
     let started = std::time::Instant::now();
     let mut refused = None;
     while started.elapsed().as_secs() < 4 {
@@ -126,6 +126,6 @@
         tokio::time::sleep(std::time::Duration::from_millis(100)).await;
     }
     assert_eq!(refused.unwrap(), 503, "a target that nothing vouches for got work");
-    fleet.platform.silence(false);
+    fleet.platform.set_unavailable(false);
     eventually("it goes on", async || (ask(&fleet, 4, "back").await == 4).then_some(())).await;
 }
--- a/tests/promises/own_answer.rs
+++ b/tests/promises/own_answer.rs
@@ -74,7 +74,7 @@
     }
     for engine in &fleet.engines {
         for round in 0..80 {
-            engine.pass_next(9);
+            engine.succeed_next(9);
             let faults =
                 [Fault::WrongAttempt, Fault::LoseAnswer, Fault::BreakAfter(3), Fault::Refuse];
             engine.fail_next(faults[round % faults.len()]);
