--- a/examples/standin/engine.rs
+++ b/examples/standin/engine.rs
@@ -1,5 +1,5 @@
-//! An engine: continuous batching at a set token pace, a prefix cache in limited memory, priorities,
-//! resume, cancel, KV export and import, late cache events, a lagging load report, fenced orders.
+//! Stand-in for a model engine: continuous batching at a fixed token rate, a bounded prefix cache, priorities, resuming and
+//! cancelling of answers, KV export and import, delayed cache events, a delayed load report, and fenced orders.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -17,27 +17,27 @@
 
 use super::http::serve;
 
-/// Every how many cache events one is lost.
-const EVENT_GAP: u64 = 10;
+/// One in this many cache events is lost.
+const EVENT_LOSS_INTERVAL: u64 = 10;
 
 /// How an engine behaves.
 #[derive(Clone, Debug)]
 pub struct EngineOptions {
     /// Models loaded at the start.
     pub models: Vec<Spec>,
-    /// Time between two tokens.
+    /// Time between two tokens, in milliseconds.
     pub token_ms: u64,
-    /// Time to work through one message that is not cached.
+    /// Time to process one message that is not cached, in milliseconds.
     pub prefill_ms: u64,
-    /// Tokens of each answer.
+    /// Number of tokens of each answer.
     pub tokens: u64,
-    /// Requests worked on together; others wait by priority.
+    /// Number of requests processed at the same time; others wait by priority.
     pub batch: usize,
-    /// Prefixes kept in the cache.
+    /// Maximum number of prefixes in the cache.
     pub cache: usize,
-    /// How late the load report and cache events are.
+    /// Delay of the load report and of cache events.
     pub lag: Duration,
-    /// Whether orders of an older term or sequence are refused.
+    /// Whether orders that are not newer than the last one, by term and sequence, are refused.
     pub fenced: bool,
 }
 
@@ -56,46 +56,52 @@
     }
 }
 
-/// What goes wrong with the next answers.
+/// A fault of one answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[allow(dead_code)]
 pub enum Fault {
-    /// Refuse, saying that it did not run.
+    /// Refuse with status 503, and say that the request did not run.
     Refuse,
-    /// The same, and ask for so many seconds of rest.
+    /// The same, with a `retry-after` header of this many seconds.
     RetryAfter(u64),
-    /// Run, then cut the connection before the answer begins.
+    /// Run, then break the connection before the answer begins.
     LoseAnswer,
-    /// Run, and answer under another attempt's id.
+    /// Run, and answer with another attempt's ID.
     WrongAttempt,
-    /// Cut the stream after so many tokens; it can be taken up again.
+    /// Break the stream after this many tokens; it can be resumed.
     BreakAfter(u64),
-    /// Cut the stream after so many tokens and forget it.
+    /// Break the stream after this many tokens and forget it, so that it can't be resumed.
     ForgetAfter(u64),
 }
 
 #[derive(Default)]
 struct State {
+    /// Number of runs by last message.
     runs: BTreeMap<String, u64>,
     running: usize,
+    /// Waiting requests by inverted priority and order of arrival.
     waiting: BTreeMap<(u8, u64), oneshot::Sender<()>>,
     arrivals: u64,
-    /// Prefixes in the cache, the least recently used first.
+    /// Hashes of the cached prefixes, the least recently used first.
     cache: VecDeque<u64>,
+    /// Prefixes added to the cache, with the time.
     events: Vec<(Instant, u64)>,
+    /// Load at each report, from which the delayed one is taken.
     loads: VecDeque<(Instant, usize)>,
-    /// Answers that can be taken up again.
+    /// Events of the answers that can be resumed, by attempt ID.
     attempts: BTreeMap<String, Vec<String>>,
     cancelled: u64,
+    /// Faults of the next answers; `None` for an answer without fault.
     faults: VecDeque<Option<Fault>>,
+    /// Term and sequence of the last order.
     fence: (u64, u64),
-    /// Orders carried out, by term and sequence.
+    /// Executed orders, by term and sequence.
     orders: Vec<(u64, u64)>,
     models: Vec<Spec>,
-    leaving: bool,
+    draining: bool,
 }
 
-/// A running engine.
+/// A running engine; clones share it.
 #[derive(Clone)]
 pub struct Engine {
     url: String,
@@ -136,12 +142,12 @@
         &self.url
     }
 
-    /// Whether it refuses older orders.
+    /// Whether the engine refuses older orders.
     pub fn fenced(&self) -> bool {
         self.inner.options.fenced
     }
 
-    /// Models loaded now.
+    /// Currently loaded models.
     pub fn models(&self) -> Vec<Spec> {
         self.inner.state().models.clone()
     }
@@ -149,43 +155,43 @@
 
 #[allow(dead_code)]
 impl Engine {
-    /// How often a chat that ends with this message ran.
+    /// Number of runs of chats whose last message is this one.
     pub fn runs(&self, message: &str) -> u64 {
         *self.inner.state().runs.get(message).unwrap_or(&0)
     }
 
-    /// How many chats ran.
+    /// Total number of runs.
     pub fn all_runs(&self) -> u64 {
         self.inner.state().runs.values().sum()
     }
 
-    /// How many answers were cancelled.
+    /// Number of cancelled answers.
     pub fn cancelled(&self) -> u64 {
         self.inner.state().cancelled
     }
 
-    /// Requests worked on or waiting.
+    /// Number of requests that run or wait.
     pub fn load(&self) -> usize {
         let state = self.inner.state();
         state.running + state.waiting.len()
     }
 
-    /// Lets the next answer go wrong.
+    /// Adds a fault for the next answer that has none assigned yet.
     pub fn fail_next(&self, fault: Fault) {
         self.inner.state().faults.push_back(Some(fault));
     }
 
-    /// Lets the next answers be right, before any later fault.
+    /// Answers the next `count` requests without fault, before any fault added later.
     pub fn succeed_next(&self, count: usize) {
         self.inner.state().faults.extend(std::iter::repeat_n(None, count));
     }
 
-    /// Refuses new work as leaving.
+    /// Refuses new requests and announces a shutdown.
     pub fn drain(&self) {
-        self.inner.state().leaving = true;
+        self.inner.state().draining = true;
     }
 
-    /// Orders carried out, by term and sequence.
+    /// Executed orders, by term and sequence.
     pub fn orders(&self) -> Vec<(u64, u64)> {
         self.inner.state().orders.clone()
     }
@@ -234,22 +240,22 @@
             res.status_code(StatusCode::BAD_REQUEST);
             return;
         };
-        let (fault, leaving) = {
+        let (fault, draining) = {
             let mut state = self.inner.state();
-            (state.faults.pop_front().flatten(), state.leaving)
+            (state.faults.pop_front().flatten(), state.draining)
         };
         header(
             res,
             "x-attempt-id",
             if fault == Some(Fault::WrongAttempt) { "other" } else { &attempt },
         );
-        if leaving {
+        if draining {
             header(res, "x-leaving", "1");
         }
         if let Some(Fault::RetryAfter(seconds)) = fault {
             header(res, "retry-after", &seconds.to_string());
         }
-        if leaving || matches!(fault, Some(Fault::Refuse | Fault::RetryAfter(_))) {
+        if draining || matches!(fault, Some(Fault::Refuse | Fault::RetryAfter(_))) {
             header(res, "x-not-run", "true");
             res.status_code(StatusCode::SERVICE_UNAVAILABLE);
             return;
@@ -260,11 +266,11 @@
             res.stream(stream::iter([Err::<String, _>(std::io::Error::other("cut"))]));
             return;
         }
-        let running = Running::start(&self.inner, priority).await;
+        let running = BatchSlot::start(&self.inner, priority).await;
         let uncached = chat.messages.len() - cached;
         let prefill = self.inner.options.prefill_ms * uncached as u64;
         pause(Duration::from_millis(prefill)).await;
-        let words: Vec<String> = (0..self.inner.options.tokens)
+        let tokens: Vec<String> = (0..self.inner.options.tokens)
             .map(|at| if at == 0 { format!("re:{last}") } else { format!(" t{at}") })
             .collect();
         if !chat.stream {
@@ -273,20 +279,20 @@
             drop(running);
             res.render(Json(json!({
                 "object": "chat.completion",
-                "choices": [{"index": 0, "message": {"role": "assistant", "content": words.concat()}}],
+                "choices": [{"index": 0, "message": {"role": "assistant", "content": tokens.concat()}}],
                 "usage": {"prompt_messages": chat.messages.len(), "cached_messages": cached},
             })));
             return;
         }
-        let mut events: Vec<String> = words
+        let mut events: Vec<String> = tokens
             .iter()
             .enumerate()
-            .map(|(at, word)| {
+            .map(|(at, token)| {
                 event(
                     at,
                     &json!({
                         "object": "chat.completion.chunk",
-                        "choices": [{"index": 0, "delta": {"content": word}}],
+                        "choices": [{"index": 0, "delta": {"content": token}}],
                         "usage": {"cached_messages": cached},
                     })
                     .to_string(),
@@ -314,8 +320,8 @@
             prefix = xxhash_rust::xxh3::xxh3_64_with_seed(message.to_string().as_bytes(), prefix);
             let found = state.cache.iter().position(|held| *held == prefix);
             match found {
-                Some(place) => {
-                    state.cache.remove(place);
+                Some(position) => {
+                    state.cache.remove(position);
                     cached = at + 1;
                 }
                 None => state.events.push((Instant::now(), prefix)),
@@ -328,12 +334,13 @@
         cached
     }
 
+    /// Streams the events; breaks the stream after `cut` of them, if set. The batch slot is held until the end.
     fn send(
         &self,
         res: &mut Response,
         events: Vec<String>,
         cut: Option<usize>,
-        running: Option<Running>,
+        running: Option<BatchSlot>,
     ) {
         header(res, "content-type", "text/event-stream");
         let pace = Duration::from_millis(self.inner.options.token_ms);
@@ -349,7 +356,7 @@
         }));
     }
 
-    /// Takes an answer up again, or cancels it.
+    /// Resumes an answer from an event, or cancels it.
     fn attempt(&self, req: &mut Request, res: &mut Response) {
         let id = req.param::<String>("id").unwrap_or_default();
         if req.method() == Method::DELETE {
@@ -368,6 +375,7 @@
         self.send(res, events[from.min(events.len())..].to_vec(), None, None);
     }
 
+    /// Reports the load as it was `lag` ago.
     fn load(&self, res: &mut Response) {
         let mut state = self.inner.state();
         let now = Instant::now();
@@ -380,10 +388,11 @@
         res.render(Json(json!({"load": state.loads[0].1})));
     }
 
+    /// Reports the cache events that are older than `lag`, except lost ones.
     fn events(&self, res: &mut Response) {
         let state = self.inner.state();
         let due = state.events.iter().enumerate().filter(|(at, (made, _))| {
-            let lost = (*at as u64).is_multiple_of(EVENT_GAP);
+            let lost = (*at as u64).is_multiple_of(EVENT_LOSS_INTERVAL);
             !lost && made.elapsed() >= self.inner.options.lag
         });
         let events: Vec<Value> =
@@ -391,7 +400,7 @@
         res.render(Json(events));
     }
 
-    /// Exports the most recently used prefixes, or imports some.
+    /// Exports the 100 most recently used prefixes, or imports prefixes.
     async fn kv(&self, req: &mut Request, res: &mut Response) {
         if req.method() == Method::GET {
             let state = self.inner.state();
@@ -404,6 +413,7 @@
         }
     }
 
+    /// Loads the models of an order; refuses it if it is fenced off by a newer one.
     async fn order(&self, req: &mut Request, res: &mut Response) {
         let Ok(order) = req.parse_json::<Order>().await else {
             res.status_code(StatusCode::BAD_REQUEST);
@@ -421,10 +431,10 @@
     }
 }
 
-/// A place in the batch, given up when it is dropped.
-struct Running(Arc<Inner>);
+/// A slot in the batch; dropping it starts the next waiting request.
+struct BatchSlot(Arc<Inner>);
 
-impl Running {
+impl BatchSlot {
     async fn start(inner: &Arc<Inner>, priority: u8) -> Self {
         let turn = {
             let mut state = inner.state();
@@ -434,19 +444,19 @@
             } else {
                 state.arrivals += 1;
                 let (turn, wait) = oneshot::channel();
-                let place = (u8::MAX - priority, state.arrivals);
-                state.waiting.insert(place, turn);
+                let position = (u8::MAX - priority, state.arrivals);
+                state.waiting.insert(position, turn);
                 Some(wait)
             }
         };
         if let Some(turn) = turn {
             let _ = turn.await;
         }
-        Running(inner.clone())
+        BatchSlot(inner.clone())
     }
 }
 
-impl Drop for Running {
+impl Drop for BatchSlot {
     fn drop(&mut self) {
         let mut state = self.0.state();
         while let Some((_, turn)) = state.waiting.pop_first() {
@@ -458,14 +468,14 @@
     }
 }
 
-/// Sleeps; no time at all where none is asked for, which a timer would round up.
+/// Sleeps; returns at once for a zero duration, which a timer would round up.
 async fn pause(time: Duration) {
     if !time.is_zero() {
         tokio::time::sleep(time).await;
     }
 }
 
-/// A model with its version, as the tests write it.
+/// Parses a model with its version, `MODEL@VERSION`.
 pub fn spec(text: &str) -> Spec {
     text.to_owned().try_into().expect("MODEL@VERSION")
 }
--- a/examples/standin/main.rs
+++ b/examples/standin/main.rs
@@ -1,7 +1,8 @@
-//! Stand-ins for what lies outside: engines, a plain service, the platform's list and weight store.
+//! Stand-ins for external systems: model engines, a plain HTTP service, and the platform with its list of targets and its
+//! weight store.
 //!
-//! `standin --engines 2 --model m7 --service porting` starts all on free ports, prints the URL of
-//! the platform's list on the first line, and runs until it is stopped.
+//! `standin --engines 2 --model m7 --service porting` starts all of them on free ports, prints the base URL of the platform
+//! on the first line, and runs until it is stopped.
 
 mod engine;
 mod http;
--- a/examples/standin/platform.rs
+++ b/examples/standin/platform.rs
@@ -1,4 +1,4 @@
-//! The platform: a lagging list of targets and a rate-limited weight store.
+//! Stand-in for the platform: a list of targets that can lag behind, and a rate-limited weight store.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::{Arc, Mutex};
@@ -12,7 +12,7 @@
 use super::engine::Engine;
 use super::http::serve;
 
-/// Weights that may be read in one second.
+/// Number of weights that may be read per second; more reads get status 429.
 const WEIGHTS_PER_SECOND: usize = 2;
 
 #[derive(Default)]
@@ -20,14 +20,16 @@
     targets: Vec<Listed>,
     /// Engines whose loaded models the list shows.
     engines: BTreeMap<String, Engine>,
-    /// What is published, while it lags behind.
+    /// While the list lags: since when, and the targets published instead of the current ones.
     stale: Option<(Instant, Vec<Listed>)>,
-    silent: bool,
+    /// Whether the list is answered with status 503.
+    unavailable: bool,
     weight_reads: VecDeque<Instant>,
 }
 
 impl State {
-    fn show_loaded(&mut self) {
+    /// Updates the models of listed engines to those that they have loaded.
+    fn update_models(&mut self) {
         for target in &mut self.targets {
             if let Some(engine) = self.engines.get(&target.name) {
                 target.serves = Serves::Models(engine.models());
@@ -36,7 +38,7 @@
     }
 }
 
-/// A running platform.
+/// A running platform; clones share it.
 #[derive(Clone)]
 pub struct Platform {
     url: String,
@@ -59,7 +61,7 @@
         &self.url
     }
 
-    /// Lists a target; it runs on a host of the same name with `-host` behind it.
+    /// Lists a target; its host is named after it, with `-host` appended.
     pub fn add(&self, name: &str, url: &str, serves: Serves) {
         self.state.lock().unwrap().targets.push(Listed {
             name: name.to_owned(),
@@ -74,14 +76,14 @@
         });
     }
 
-    /// Lists an engine with whatever it has loaded.
+    /// Lists an engine; the list follows the models that it has loaded.
     pub fn add_engine(&self, name: &str, engine: &Engine) {
         self.add(name, engine.url(), Serves::Models(engine.models()));
         self.change(name, |listed| listed.fenced = engine.fenced());
         self.state.lock().unwrap().engines.insert(name.to_owned(), engine.clone());
     }
 
-    /// Changes what is listed of a target.
+    /// Changes the list entry of a target.
     pub fn change(&self, name: &str, change: impl FnOnce(&mut Listed)) {
         let mut state = self.state.lock().unwrap();
         let target = state.targets.iter_mut().find(|target| target.name == name);
@@ -91,20 +93,20 @@
 
 #[allow(dead_code)]
 impl Platform {
-    /// Takes a target off the list.
+    /// Removes a target from the list.
     pub fn remove(&self, name: &str) {
         self.state.lock().unwrap().targets.retain(|target| target.name != name);
     }
 
-    /// Publishes the present list again and again, whatever changes, while `lag` is set.
+    /// Keeps publishing the present list despite later changes while `lag` is set.
     pub fn lag(&self, lag: bool) {
         let mut state = self.state.lock().unwrap();
         state.stale = lag.then(|| (Instant::now(), state.targets.clone()));
     }
 
-    /// Answers no one while `silent` is set.
-    pub fn set_unavailable(&self, silent: bool) {
-        self.state.lock().unwrap().silent = silent;
+    /// Answers requests for the list with status 503 while `unavailable` is set.
+    pub fn set_unavailable(&self, unavailable: bool) {
+        self.state.lock().unwrap().unavailable = unavailable;
     }
 }
 
@@ -114,8 +116,8 @@
 impl Handler for List {
     async fn handle(&self, req: &mut Request, _: &mut Depot, res: &mut Response, _: &mut FlowCtrl) {
         let mut state = self.0.lock().unwrap();
-        state.show_loaded();
-        if state.silent {
+        state.update_models();
+        if state.unavailable {
             res.status_code(StatusCode::SERVICE_UNAVAILABLE);
             return;
         }
--- a/examples/standin/service.rs
+++ b/examples/standin/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that counts how often each call ran.
+//! Stand-in for a plain HTTP service; it counts how often each call ran.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -8,12 +8,12 @@
 
 use super::http::serve;
 
-/// Names a call; its runs are counted under it.
+/// Header with the ID under which a call's runs are counted.
 pub const CALL_ID: &str = "x-call-id";
-/// Time that the call takes, in milliseconds.
+/// Header with the time until the call is answered, in milliseconds.
 pub const TAKES_MS: &str = "x-takes-ms";
 
-/// A running service.
+/// A running service; clones share it.
 #[derive(Clone)]
 pub struct Service {
     url: String,
