--- a/benches/fleet.rs
+++ b/benches/fleet.rs
@@ -14,6 +14,7 @@
 use serde_json::json;
 
 const SEED: u64 = 20_261_202;
+/// Maximum load of an engine, relative to the mean load.
 const LOAD_BOUND: f64 = 1.25;
 /// Number of engines that may refuse a request before it is refused.
 const MAX_ASKS: usize = 8;
@@ -82,13 +83,21 @@
     arrivals
 }
 
+/// How a router chooses an engine.
 #[derive(Clone, Copy, PartialEq)]
 enum Policy {
+    /// The ideal: every load and cache is known at once.
     Central,
+    /// Rendezvous hashing of the chat, whatever the load.
     Rendezvous,
+    /// The less loaded of two random engines, by the load board.
     TwoChoices,
+    /// Rendezvous hashing with a load bound, by the router's own requests.
     OwnCounts,
+    /// The same by the load board, plus the router's requests since then times the number of routers.
     Board,
+    /// Slots granted by the owner of each engine; with the load bound of first turns, and the number of engines in which a
+    /// returning chat looks for its prefix.
     Slots(f64, usize),
 }
 
@@ -225,8 +234,8 @@
         }
     }
 
-    /// Asks the owners of the engines in the chat's order of preference: a returning chat first tries the `homes` engines that
-    /// may have its prefix.
+    /// Asks the owners of the engines in the chat's order of preference: a returning chat first looks for its prefix in the
+    /// first `homes` engines.
     fn ask(&mut self, arrival: &Arrival, first_turn: f64, homes: usize) -> Option<usize> {
         let cached_chats = self.scenario.cache;
         let bounds =
@@ -269,6 +278,7 @@
         engine.cached.touch(Key(chat), self.scenario.cache)
     }
 
+    /// Ends an answer and releases its slot; nothing is released if the engine has been replaced.
     fn end(&mut self, router: usize, at: usize, name: NameHash) {
         self.total -= 1;
         self.own[router][at] = self.own[router][at].saturating_sub(1);
@@ -284,6 +294,7 @@
         }
     }
 
+    /// Broadcasts the load board and replaces some engines.
     fn tick(&mut self) {
         for (at, engine) in self.engines.iter().enumerate() {
             if !self.rng.random_bool(BOARD_LOSS) {
--- a/benches/poison.rs
+++ b/benches/poison.rs
@@ -10,7 +10,7 @@
 use latchmount::poison::{Identity, Rule};
 use model::{Model, Policy, Scenario, Totals, Trouble};
 
-/// Gateways, targets, and innocent requests a second.
+/// Numbers of gateways, of targets, and of innocent requests per second.
 const SIZES: [(usize, usize, f64); 3] = [(8, 18, 300.0), (65, 112, 1_500.0), (372, 790, 4_000.0)];
 const TROUBLES: [Trouble; 5] =
     [Trouble::None, Trouble::Crash, Trouble::Flapping, Trouble::HallLost, Trouble::Rolling];
--- a/tests/agreement/group.rs
+++ b/tests/agreement/group.rs
@@ -89,10 +89,12 @@
 /// The whole group, and models of what it must hold.
 pub struct Group {
     hosts: Vec<Host>,
+    /// Messages in transit, with the time of their delivery.
     network: Vec<(Duration, Envelope)>,
     time: Duration,
     rng: StdRng,
     next_id: u64,
+    /// Whether the network drops, duplicates and delays messages.
     lossy: bool,
     /// Every change ever proposed, by its position in a leader's log.
     proposals: BTreeMap<Position, Change>,
@@ -100,6 +102,7 @@
     /// Every evacuation order ever proposed, by its position in a leader's log.
     calls: BTreeMap<Position, Call>,
     order_model: OrderModel,
+    /// The leader of each term.
     leaders: BTreeMap<Term, StoreId>,
     /// Rules by which the group maintains its number of voters itself, if it does.
     rules: Option<MembershipRules>,
@@ -202,8 +205,8 @@
         self.hosts[number].replica.is_some()
     }
 
-    /// Empties the disk of a member and restarts it, but only while all voters hold the log on their
-    /// own disk: no protocol survives the loss of a quorum of disks.
+    /// Empties the disk of a member and restarts it, but only while the membership is complete: no
+    /// protocol survives the loss of a quorum of disks.
     pub fn lose_disk(&mut self, number: usize) {
         if !self.membership_complete() || !self.can_lose_a_disk() {
             return;
--- a/tests/agreement/replication.rs
+++ b/tests/agreement/replication.rs
@@ -57,6 +57,8 @@
     }
 }
 
+/// The follower refuses each message after the lost one; a leader that resends the missing entries for every refusal would
+/// flood the link.
 #[test]
 fn one_lost_message_has_entries_sent_again_once_and_not_for_each_refusal() {
     let mut pair = [replica(1), replica(2)];
--- a/tests/agreement/wal.rs
+++ b/tests/agreement/wal.rs
@@ -63,6 +63,7 @@
     }
 }
 
+/// A crash during an append leaves only the first bytes of the last record.
 #[test]
 fn a_torn_tail_is_cut_wherever_it_tears() {
     let (disk, mut replica) = disk_with_changes(3);
@@ -121,6 +122,7 @@
     assert_eq!(replica.store().templates()["t0"].version, 3);
 }
 
+/// The hint with the commit index is written without syncing, so a crash may roll it back or tear it.
 #[test]
 fn a_lost_or_torn_note_of_the_commit_index_is_passed_over() {
     for torn in [1, 2] {
@@ -179,6 +181,7 @@
     disk.bytes()[13]
 }
 
+/// A member may be downgraded until the level is raised, so until then it writes the old format.
 #[test]
 fn a_log_stays_readable_to_the_build_that_wrote_it_until_the_level_is_raised() {
     let disk = production_disk();
--- a/tests/poison/model.rs
+++ b/tests/poison/model.rs
@@ -26,7 +26,7 @@
     pub isolate_suspects: bool,
 }
 
-/// Crashes that poison does not cause.
+/// Crashes that no poison request causes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Trouble {
     None,
@@ -46,7 +46,7 @@
     pub targets: usize,
     /// Number of distinct poison requests (killers); each is repeated until the end.
     pub killers: usize,
-    /// Innocent requests a second.
+    /// Innocent requests per second.
     pub rate: f64,
     pub trouble: Trouble,
     /// Fraction of gateways whose reports and updates are delayed by 2 s.
@@ -112,6 +112,7 @@
         from: Node,
         reports: Vec<Report>,
     },
+    /// The scenario's [`Trouble`] crashes targets.
     TroubleStep,
 }
 
@@ -139,7 +140,7 @@
     next: u64,
     gateway_trackers: Vec<PoisonTracker>,
     member_trackers: Vec<PoisonTracker>,
-    /// Newest change that each gateway sent its member, each member the other members, and members each gateway.
+    /// Newest change that was sent: by each gateway to its member, by each member to the others, and to each gateway.
     sent_by_gateways: Vec<u64>,
     sent_to_members: Vec<u64>,
     sent_to_gateways: Vec<u64>,
--- a/tests/poison/tracker.rs
+++ b/tests/poison/tracker.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn three_targets_must_end_and_the_same_one_counts_once() {
+fn three_targets_must_crash_and_the_same_one_counts_once() {
     let (mut tracker, request) = (member_tracker(), suspect("t", "x"));
     let now = seconds(100);
     for by in 0..4 {
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_request_that_ends_well_is_cleared_and_older_ends_count_no_more() {
+fn a_request_that_succeeds_is_cleared_and_earlier_crashes_no_longer_count() {
     let (mut tracker, request) = (member_tracker(), suspect("t", "x"));
     block(&mut tracker, seconds(100), &request);
     tracker.apply(seconds(102), Origin::Local, cleared(&request, Duration::ZERO));
@@ -112,6 +112,8 @@
     assert_eq!(verdict(&others, now, last), Verdict::Blocked);
 }
 
+/// When a block expires, the gateways spread their trials over time, so that few of them crash a target before the first
+/// outcome is known to all.
 #[test]
 fn a_block_ends_with_a_trial_of_one_gateway_at_a_time() {
     let request = suspect("t", "x");
@@ -143,7 +145,7 @@
 }
 
 #[test]
-fn a_trial_that_ends_a_target_blocks_again_and_one_that_ends_well_frees() {
+fn a_trial_that_crashes_a_target_blocks_again_and_one_that_succeeds_frees() {
     let request = suspect("t", "x");
     let over = seconds(100) + Rule::default().block_duration + seconds(100);
     let mut tracker = member_tracker();
@@ -156,7 +158,7 @@
 }
 
 #[test]
-fn all_is_forgotten_long_after_the_last_end() {
+fn all_is_forgotten_long_after_the_last_crash() {
     let mut tracker = member_tracker();
     let request = suspect("t", "x");
     block(&mut tracker, seconds(100), &request);
--- a/tests/poison/ways.rs
+++ b/tests/poison/ways.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn several_at_once_end_hardly_more_each() {
+fn several_poison_requests_at_once_crash_hardly_more_targets_each() {
     let totals = simulate(scenario(6, Trouble::None));
     assert!(totals.crashed <= 4 * 6 * SEEDS as usize, "{totals:?}");
     assert!(totals.refused * 100 <= totals.attempts, "{totals:?}");
--- a/tests/rollout/simulation.rs
+++ b/tests/rollout/simulation.rs
@@ -72,7 +72,7 @@
 pub struct Scenario {
     pub lasts: Duration,
     pub gateways: u32,
-    /// Requests a second on each route.
+    /// Requests per second on each route.
     pub routes: Vec<f64>,
     /// Targets of each version.
     pub targets: usize,
@@ -192,7 +192,7 @@
         }
     }
 
-    /// Requests a second on each route.
+    /// Requests per second on each route at this time.
     fn rates(&self, now: Duration) -> impl Iterator<Item = f64> {
         self.routes.iter().enumerate().map(move |(route, per_s)| match self.surge {
             Some(surge) if surge.route == route && now >= self.lasts.mul_f64(surge.from) => {
