--- a/benches/agreement.rs
+++ b/benches/agreement.rs
@@ -10,7 +10,7 @@
 use latchmount::rpc::{ControlClient, Status, connect};
 use latchmount::store::Answer;
 use serde_json::{Value, json};
-use support::{Fleet, KEY, Shape, TOKEN, eventually, template};
+use support::{Fleet, FleetOptions, KEY, TOKEN, eventually, template};
 
 const MEMBERS: u16 = 5;
 const ROUTERS: u16 = 8;
@@ -152,8 +152,8 @@
 
 #[tokio::main]
 async fn main() {
-    let shape = Shape { controls: MEMBERS, routers: ROUTERS, ..Shape::default() };
-    let mut fleet = Fleet::ready(shape).await;
+    let shape = FleetOptions { controls: MEMBERS, routers: ROUTERS, ..FleetOptions::default() };
+    let mut fleet = Fleet::start_configured(shape).await;
     let mut base = 1;
 
     let alone = commits(&fleet, 1).await;
--- a/benches/capacity.rs
+++ b/benches/capacity.rs
@@ -13,7 +13,7 @@
 use latchmount::targets::Serves;
 use serde_json::{Value, json};
 use support::engine::{EngineOptions, spec};
-use support::{Fleet, KEY, Process, Shape, TOKEN, template};
+use support::{Fleet, FleetOptions, KEY, Process, TOKEN, template};
 
 const TICK_MS: f64 = 10.0;
 const QUIET: Duration = Duration::from_secs(5);
@@ -49,10 +49,10 @@
     (process.cpu_ticks() - before) as f64 * TICK_MS
 }
 
-fn one_of_each() -> Shape {
+fn one_of_each() -> FleetOptions {
     let engine = EngineOptions { token_ms: 0, prefill_ms: 0, batch: 10_000, ..Default::default() };
     let router = json!({ "max_in_flight_per_target": 5_000 });
-    Shape { engine, router, routers: 1, engines: 1, ..Shape::default() }
+    FleetOptions { engine, router, routers: 1, engines: 1, ..FleetOptions::default() }
 }
 
 /// Bytes, memory and processor time of a router by the number of targets listed.
@@ -60,7 +60,7 @@
     let (mut bytes, mut memory, mut cpu, mut list) = (vec![], vec![], vec![], vec![]);
     let mut shape = one_of_each();
     shape.router["list_poll_ms"] = json!(1_000);
-    let fleet = Fleet::ready(shape).await;
+    let fleet = Fleet::start_configured(shape).await;
     let mut listed = 2;
     for count in [24, 200, 400, 600, 790] {
         let before = control_bytes(&fleet, "platform_list").await;
@@ -99,7 +99,7 @@
         template["teams"]["agents"] = json!({ "share_percent": 100.0 / 201.0 });
         let before = control_bytes(&fleet, "config").await;
         fleet.submit(&template, "teams").await;
-        fleet.serving().await;
+        fleet.wait_until_serving().await;
         first.push((count as f64, control_bytes(&fleet, "config").await - before));
         memory.push((count as f64, fleet.routers[0].resident_kib() as f64));
     }
@@ -119,7 +119,7 @@
 
 /// Processor time of a router by request and by token.
 async fn requests() {
-    let fleet = Fleet::ready(one_of_each()).await;
+    let fleet = Fleet::start_configured(one_of_each()).await;
     chats(&fleet, 500, false).await;
     let mut by_request = vec![];
     for count in [1_000, 2_000, 4_000, 8_000] {
@@ -132,7 +132,7 @@
         let mut shape = one_of_each();
         shape.engine.tokens = tokens;
         shape.engine.token_ms = 2;
-        let fleet = Fleet::ready(shape).await;
+        let fleet = Fleet::start_configured(shape).await;
         let used = cpu_ms(&fleet.routers[0], chats(&fleet, 256, true)).await;
         by_token.push(((tokens * 256) as f64, used));
     }
@@ -145,7 +145,7 @@
     let mut shape = one_of_each();
     shape.engine.token_ms = 500;
     shape.engine.tokens = 200;
-    let fleet = Fleet::ready(shape).await;
+    let fleet = Fleet::start_configured(shape).await;
     let (mut open, mut points) = (vec![], vec![]);
     for count in [250, 500, 1_000, 2_000] {
         while open.len() < count {
@@ -182,7 +182,8 @@
 async fn followers() {
     let (mut cpu, mut change_cpu, mut in_force) = (vec![], vec![], vec![]);
     for count in FOLLOWERS {
-        let fleet = Fleet::ready(Shape { routers: 1, ..Shape::default() }).await;
+        let fleet =
+            Fleet::start_configured(FleetOptions { routers: 1, ..FleetOptions::default() }).await;
         let mut seen = vec![];
         for number in 0..count {
             let (sender, receiver) = tokio::sync::watch::channel(0);
@@ -222,7 +223,9 @@
     let (mut bytes, mut recovery) = (vec![], vec![]);
     let (mut claim_cpu, mut claim_memory) = (vec![], vec![]);
     let control = json!({ "compact_after_entries": 1_000_000 });
-    let mut fleet = Fleet::ready(Shape { routers: 1, control, ..Shape::default() }).await;
+    let mut fleet =
+        Fleet::start_configured(FleetOptions { routers: 1, control, ..FleetOptions::default() })
+            .await;
     let client = connect(fleet.control_addr(0), Duration::from_secs(30)).expect("a client");
     let mut done = 0;
     for count in [500, 1_000, 2_000, 4_000] {
--- a/benches/path.rs
+++ b/benches/path.rs
@@ -11,7 +11,7 @@
 use hdrhistogram::Histogram;
 use serde_json::json;
 use support::engine::{EngineOptions, Fault};
-use support::{Fleet, Shape};
+use support::{Fleet, FleetOptions};
 
 /// Requests a second while latency is measured.
 const RATE: u64 = 200;
@@ -130,7 +130,13 @@
         ..EngineOptions::default()
     };
     let router = json!({ "max_in_flight_per_target": OPEN_STREAMS });
-    let fleet = Fleet::ready(Shape { engine, router, routers: 1, ..Shape::default() }).await;
+    let fleet = Fleet::start_configured(FleetOptions {
+        engine,
+        router,
+        routers: 1,
+        ..FleetOptions::default()
+    })
+    .await;
     let before = fleet.routers[0].resident_kib();
     let mut streams = Vec::new();
     for number in 0..OPEN_STREAMS {
@@ -150,7 +156,12 @@
 
 /// What a claim adds to a call, and how many are granted a second.
 async fn claims() {
-    let fleet = Fleet::ready(Shape { controls: 5, routers: 2, ..Shape::default() }).await;
+    let fleet = Fleet::start_configured(FleetOptions {
+        controls: 5,
+        routers: 2,
+        ..FleetOptions::default()
+    })
+    .await;
     let mut taken =
         [Histogram::<u64>::new(3).expect("a histogram"), Histogram::new(3).expect("one")];
     for number in 0..2_000 {
@@ -215,8 +226,14 @@
             let engine = EngineOptions { token_ms: 10, tokens: 20, ..EngineOptions::default() };
             let router = json!({ "engine_slots": SLOTS, "queue_wait_ms": 200 });
             let control = json!({ "freshness_lease_ms": 2_500 });
-            let shape = Shape { engine, engines: ENGINES, router, control, ..Shape::default() };
-            let fleet = Fleet::ready(shape).await;
+            let shape = FleetOptions {
+                engine,
+                engines: ENGINES,
+                router,
+                control,
+                ..FleetOptions::default()
+            };
+            let fleet = Fleet::start_configured(shape).await;
             tokio::time::sleep(Duration::from_secs(4)).await;
             let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / (capacity * load)));
             let (started, mut number, mut answers) = (Instant::now(), 0usize, Vec::new());
@@ -277,8 +294,8 @@
 async fn compare_ways() {
     let engine =
         EngineOptions { token_ms: 0, prefill_ms: 0, batch: 10_000, ..EngineOptions::default() };
-    let shape = Shape { engine, engines: 1, routers: 1, ..Shape::default() };
-    let fleet = Fleet::ready(shape).await;
+    let shape = FleetOptions { engine, engines: 1, routers: 1, ..FleetOptions::default() };
+    let fleet = Fleet::start_configured(shape).await;
     let ways = [
         Way { name: "direct", url: fleet.engines[0].url().to_owned() },
         Way { name: "router", url: fleet.router_url(0) },
--- a/tests/path.rs
+++ b/tests/path.rs
@@ -2,15 +2,15 @@
 
 mod support;
 
-use support::{Fleet, Shape, template, text};
+use support::{Fleet, FleetOptions, template, text};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_is_served_end_to_end() {
-    let fleet = Fleet::start(Shape::default()).await;
+    let fleet = Fleet::start(FleetOptions::default()).await;
     let revision = fleet.submit(&template(), "first").await;
     let waited = fleet.operator(&["template", "wait", &revision.to_string()]);
     assert!(waited.status.success(), "{}", text(&waited.stderr));
-    fleet.serving().await;
+    fleet.wait_until_serving().await;
 
     // A returning chat meets its cached prefix through either router.
     let first = fleet.chat(0, "chat-1", &["hello"], true).send().await.unwrap();
--- a/tests/promises/accepted_config.rs
+++ b/tests/promises/accepted_config.rs
@@ -9,18 +9,18 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-use crate::support::{Fleet, KEY, Shape, TOKEN, eventually, template, text, word_after};
+use crate::support::{Fleet, FleetOptions, KEY, TOKEN, eventually, template, text, word_after};
 
 /// Longer than any hiccup of a busy machine, so that only a lost quorum lets it run out.
 const LONG_LEASE_MS: u64 = 19_000;
 /// Short, where a test waits for it to run out.
 const SHORT_LEASE_MS: u64 = 2_500;
 
-fn group_of(controls: u16, lease_ms: u64) -> Shape {
-    Shape {
+fn group_of(controls: u16, lease_ms: u64) -> FleetOptions {
+    FleetOptions {
         controls,
         control: json!({ "freshness_lease_ms": lease_ms, "compact_after_entries": 4 }),
-        ..Shape::default()
+        ..FleetOptions::default()
     }
 }
 
@@ -79,7 +79,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn killing_leaders_loses_no_accepted_change_and_stops_no_router() {
-    let mut fleet = Fleet::ready(group_of(5, LONG_LEASE_MS)).await;
+    let mut fleet = Fleet::start_configured(group_of(5, LONG_LEASE_MS)).await;
     let mut at = 1;
     for round in 0..4 {
         let leader = leader(&fleet).await;
@@ -101,7 +101,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_loss_of_two_members_stops_neither_changes_nor_routers() {
-    let mut fleet = Fleet::ready(group_of(5, LONG_LEASE_MS)).await;
+    let mut fleet = Fleet::start_configured(group_of(5, LONG_LEASE_MS)).await;
     let leader = leader(&fleet).await;
     fleet.controls[leader].kill();
     fleet.controls[(leader + 1) % 5].kill();
@@ -114,7 +114,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_frozen_leader_that_wakes_serves_nothing_old() {
-    let fleet = Fleet::ready(group_of(3, LONG_LEASE_MS)).await;
+    let fleet = Fleet::start_configured(group_of(3, LONG_LEASE_MS)).await;
     let old = leader(&fleet).await;
     fleet.controls[old].signal(Signal::SIGSTOP);
     assert_eq!(revise(&fleet, 1, "while-frozen").await, 2);
@@ -127,7 +127,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_leader_cut_off_without_notice_serves_nothing_old() {
-    let fleet = Fleet::ready(group_of(3, LONG_LEASE_MS)).await;
+    let fleet = Fleet::start_configured(group_of(3, LONG_LEASE_MS)).await;
     let old = leader(&fleet).await;
     fleet.links[old].cut(true);
     assert_eq!(revise(&fleet, 1, "while-cut").await, 2);
@@ -154,7 +154,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_that_reaches_only_a_stale_member_admits_nothing() {
-    let mut fleet = Fleet::ready(group_of(3, LONG_LEASE_MS)).await;
+    let mut fleet = Fleet::start_configured(group_of(3, LONG_LEASE_MS)).await;
     let stale = (leader(&fleet).await + 1) % 3;
     fleet.routers[0].kill();
     let text = std::fs::read_to_string(&fleet.routers[0].settings).unwrap();
@@ -178,7 +178,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn without_a_quorum_routers_stop_admitting_when_their_lease_ends_and_go_on_after() {
-    let fleet = Fleet::ready(group_of(3, SHORT_LEASE_MS)).await;
+    let fleet = Fleet::start_configured(group_of(3, SHORT_LEASE_MS)).await;
     for control in &fleet.controls {
         control.signal(Signal::SIGSTOP);
     }
@@ -199,12 +199,12 @@
     for control in &fleet.controls {
         control.signal(Signal::SIGCONT);
     }
-    fleet.serving().await;
+    fleet.wait_until_serving().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn of_racing_operators_exactly_one_wins_each_version() {
-    let fleet = Fleet::ready(group_of(3, LONG_LEASE_MS)).await;
+    let fleet = Fleet::start_configured(group_of(3, LONG_LEASE_MS)).await;
     const OPERATORS: u64 = 8;
     for base in 1..4 {
         let changes = (0..OPERATORS).map(|operator| {
@@ -239,7 +239,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resent_change_gets_its_first_answer_after_failover_restart_and_snapshot() {
-    let mut fleet = Fleet::ready(group_of(3, LONG_LEASE_MS)).await;
+    let mut fleet = Fleet::start_configured(group_of(3, LONG_LEASE_MS)).await;
     let won = json!({ "id": "resent", "base": 1, "template": version("resent") });
     let lost = json!({ "id": "beaten", "base": 1, "template": version("beaten") });
     let first = change_anywhere(&fleet, 0, won.clone()).await;
@@ -290,7 +290,7 @@
     #[case] changed: fn(&str) -> Value,
     #[case] moves: bool,
 ) {
-    let mut fleet = Fleet::ready(group_of(3, LONG_LEASE_MS)).await;
+    let mut fleet = Fleet::start_configured(group_of(3, LONG_LEASE_MS)).await;
     for base in 1..40 {
         let id = format!("change-{base}");
         revise_to(&fleet, base, &id, &changed(&id)).await;
@@ -329,7 +329,7 @@
 /// What a control member logged of engines that it moved.
 fn moves_logged(fleet: &Fleet, number: usize) -> String {
     let name = format!("control-{number}");
-    let log = fleet.log_of(&name);
+    let log = fleet.read_log(&name);
     let moves = log.lines().filter(|line| line.contains("event=mov"));
     moves.map(|line| format!("{name}: {line}\n")).collect()
 }
@@ -343,7 +343,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_wrong_token_or_key_learns_and_changes_nothing() {
-    let fleet = Fleet::ready(group_of(1, LONG_LEASE_MS)).await;
+    let fleet = Fleet::start_configured(group_of(1, LONG_LEASE_MS)).await;
     let before = status(&fleet).await.revision;
     let client = connect(fleet.control_addr(0), Duration::from_secs(5)).unwrap();
     let wrong = || String::from("another partner's");
@@ -386,7 +386,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn bad_content_is_refused_by_field_and_never_enters_the_log() {
-    let fleet = Fleet::ready(group_of(1, LONG_LEASE_MS)).await;
+    let fleet = Fleet::start_configured(group_of(1, LONG_LEASE_MS)).await;
     let commit = status(&fleet).await.commit;
     let mut bad = template();
     bad["teams"]["agents"]["share_percent"] = json!(140);
@@ -408,7 +408,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn more_than_a_hundred_routers_are_served_at_once() {
-    let fleet = Fleet::ready(group_of(1, LONG_LEASE_MS)).await;
+    let fleet = Fleet::start_configured(group_of(1, LONG_LEASE_MS)).await;
     let syncs = (0..200).map(|router| {
         let client = connect(fleet.control_addr(0), Duration::from_secs(30)).unwrap();
         let request = SyncRequest {
--- a/tests/promises/at_most_once.rs
+++ b/tests/promises/at_most_once.rs
@@ -6,7 +6,7 @@
 
 use crate::accepted_config::leader;
 use crate::own_answer::{call_hostile, with_hostile};
-use crate::support::{Fleet, Shape, eventually};
+use crate::support::{Fleet, FleetOptions, eventually};
 
 /// A request key made just now.
 fn new_key() -> String {
@@ -36,7 +36,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_resent_request_gets_the_stored_answer_at_any_router() {
-    let fleet = Fleet::ready(Shape::default()).await;
+    let fleet = Fleet::start_configured(FleetOptions::default()).await;
     let key = new_key();
     let first = call(&fleet, 0, "port-1", &key).await;
     assert_eq!(first.0, 200);
@@ -50,7 +50,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn of_many_resends_at_once_exactly_one_runs() {
-    let fleet = Fleet::ready(Shape { controls: 3, ..Shape::default() }).await;
+    let fleet =
+        Fleet::start_configured(FleetOptions { controls: 3, ..FleetOptions::default() }).await;
     for round in 0..10 {
         let (id, key) = (format!("race-{round}"), new_key());
         let calls = (0..8).map(|caller| call_taking(&fleet, caller % 2, &id, &key, "50"));
@@ -64,7 +65,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_router_killed_after_sending_leaves_an_unknown_outcome_and_no_second_run() {
-    let mut fleet = Fleet::ready(Shape::default()).await;
+    let mut fleet = Fleet::start_configured(FleetOptions::default()).await;
     let key = new_key();
     let sent = call_taking(&fleet, 0, "killed", &key, "5000");
     let started = eventually("it runs", async || (fleet.service.runs("killed") == 1).then_some(()));
@@ -76,14 +77,15 @@
     let resent = call(&fleet, 1, "killed", &key).await;
     assert_eq!((resent.0, code(&resent).as_str()), (409, "outcome_unknown"));
     fleet.routers[0] = fleet.start_router(0);
-    fleet.healthy(0).await;
+    fleet.wait_until_healthy(0).await;
     assert_eq!(code(&call(&fleet, 0, "killed", &key).await), "outcome_unknown");
     assert_eq!(fleet.service.runs("killed"), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_claim_outlives_failover_and_a_lost_disk() {
-    let mut fleet = Fleet::ready(Shape { controls: 3, ..Shape::default() }).await;
+    let mut fleet =
+        Fleet::start_configured(FleetOptions { controls: 3, ..FleetOptions::default() }).await;
     let key = new_key();
     let first = call(&fleet, 0, "once", &key).await;
     assert_eq!(first.0, 200);
@@ -99,7 +101,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_finds_the_answer_when_it_asks_again() {
-    let fleet = Fleet::ready(Shape::default()).await;
+    let fleet = Fleet::start_configured(FleetOptions::default()).await;
     let key = new_key();
     let sent = call_taking(&fleet, 0, "left", &key, "300");
     let started = eventually("it runs", async || (fleet.service.runs("left") == 1).then_some(()));
@@ -118,7 +120,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn no_layer_below_sends_a_request_a_second_time() {
-    let (fleet, hostile) = with_hostile(Shape { routers: 1, ..Shape::default() }).await;
+    let (fleet, hostile) =
+        with_hostile(FleetOptions { routers: 1, ..FleetOptions::default() }).await;
     for round in 0..50 {
         // A sound call leaves a connection in the pool; the next one breaks on it.
         call_hostile(&fleet, 0, &format!("/sound/{round}"), &[]).await.unwrap();
@@ -131,7 +134,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_did_not_run_may_be_sent_again_under_its_key() {
-    let fleet = Fleet::ready(Shape::default()).await;
+    let fleet = Fleet::start_configured(FleetOptions::default()).await;
     let key = new_key();
     fleet.platform.remove("porting");
     eventually("the target is gone", async || {
--- a/tests/promises/fenced_orders.rs
+++ b/tests/promises/fenced_orders.rs
@@ -7,7 +7,7 @@
 
 use crate::accepted_config::{leader, revise_to};
 use crate::support::engine::{EngineOptions, spec};
-use crate::support::{Fleet, Shape, eventually, template};
+use crate::support::{Fleet, FleetOptions, eventually, template};
 
 fn quick_loads() -> Value {
     json!({ "loads_per_minute": 6_000, "freshness_lease_ms": 2_500 })
@@ -16,7 +16,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_engine_moves_to_another_model_only_when_its_answers_have_ended() {
     let engine = EngineOptions { token_ms: 50, tokens: 100, ..EngineOptions::default() };
-    let fleet = Fleet::ready(Shape { engine, control: quick_loads(), ..Shape::default() }).await;
+    let fleet = Fleet::start_configured(FleetOptions {
+        engine,
+        control: quick_loads(),
+        ..FleetOptions::default()
+    })
+    .await;
     let streams = (0..8).map(|chat| {
         let chat = chat.to_string();
         let request = fleet.chat(0, &chat, &[&chat], true);
@@ -53,9 +58,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn orders_take_effect_in_the_order_of_their_leaders(#[case] fenced: bool) {
     let engine = EngineOptions { fenced, ..EngineOptions::default() };
-    let fleet =
-        Fleet::ready(Shape { controls: 3, engine, control: quick_loads(), ..Shape::default() })
-            .await;
+    let fleet = Fleet::start_configured(FleetOptions {
+        controls: 3,
+        engine,
+        control: quick_loads(),
+        ..FleetOptions::default()
+    })
+    .await;
     let mut frozen = None;
     for round in 0..6u64 {
         if round == 2 {
--- a/tests/promises/leaving_target.rs
+++ b/tests/promises/leaving_target.rs
@@ -4,7 +4,7 @@
 use serde_json::json;
 
 use crate::support::engine::Fault;
-use crate::support::{Fleet, Shape, eventually};
+use crate::support::{Fleet, FleetOptions, eventually};
 
 async fn ask(fleet: &Fleet, count: usize, label: &str) -> usize {
     let mut answered = 0;
@@ -28,7 +28,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_listed_as_leaving_gets_no_new_work() {
-    let fleet = Fleet::ready(Shape::default()).await;
+    let fleet = Fleet::start_configured(FleetOptions::default()).await;
     fleet.platform.change("engine-0", |listed| listed.leaving = true);
     list_read(&fleet).await;
     let runs = fleet.engines[0].all_runs();
@@ -48,7 +48,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_targets_own_word_counts_before_a_lagging_list() {
-    let fleet = Fleet::ready(Shape::default()).await;
+    let fleet = Fleet::start_configured(FleetOptions::default()).await;
     fleet.platform.lag(true);
     fleet.engines[0].leave();
     assert_eq!(ask(&fleet, 40, "own-word").await, 40, "a refusal as not run was not retried");
@@ -67,7 +67,7 @@
 /// answer, and that they want rest on none.
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_asks_for_rest_gets_it() {
-    let fleet = Fleet::ready(Shape::default()).await;
+    let fleet = Fleet::start_configured(FleetOptions::default()).await;
     fleet.engines[0].fail_next(Fault::Rest(600));
     let runs = fleet.engines[0].all_runs();
     let rested = async || fleet.metric(0, "latchmount_retries_total", "target_refused").await;
@@ -92,7 +92,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_service_whose_targets_all_rest_refuses_with_the_earliest_end() {
-    let fleet = Fleet::ready(Shape { engines: 1, ..Shape::default() }).await;
+    let fleet =
+        Fleet::start_configured(FleetOptions { engines: 1, ..FleetOptions::default() }).await;
     fleet.engines[0].fail_next(Fault::Rest(600));
     for text in ["first", "later"] {
         let answer = fleet.chat(0, text, &[text], false).send().await.unwrap();
@@ -111,7 +112,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_list_that_stops_coming_is_suspect_and_own_evidence_decides() {
     let router = json!({ "list_max_age_ms": 1_500 });
-    let fleet = Fleet::ready(Shape { router, ..Shape::default() }).await;
+    let fleet = Fleet::start_configured(FleetOptions { router, ..FleetOptions::default() }).await;
     // An engine that joined but never answered this router yet, and then the list falls silent.
     fleet.platform.silence(true);
     let started = std::time::Instant::now();
--- a/tests/promises/load_bound.rs
+++ b/tests/promises/load_bound.rs
@@ -5,19 +5,26 @@
 use serde_json::json;
 
 use crate::support::engine::EngineOptions;
-use crate::support::{Fleet, Shape, eventually};
+use crate::support::{Fleet, FleetOptions, eventually};
 
 const ROUTERS: u16 = 4;
 const ENGINES: usize = 4;
 const STREAMS: usize = 40;
 const BOUND: f64 = 1.25;
 
-fn shape() -> Shape {
+fn options() -> FleetOptions {
     let engine = EngineOptions { token_ms: 100, tokens: 60, batch: 1_000, ..Default::default() };
     let router = json!({ "queue_wait_ms": 5_000, "queue_len": 500 });
     // Short, so that a lost router is soon known as lost.
     let control = json!({ "freshness_lease_ms": 2_500 });
-    Shape { routers: ROUTERS, engines: ENGINES, engine, router, control, ..Shape::default() }
+    FleetOptions {
+        routers: ROUTERS,
+        engines: ENGINES,
+        engine,
+        router,
+        control,
+        ..FleetOptions::default()
+    }
 }
 
 /// Most and sum of the requests at the engines, by their own count.
@@ -28,7 +35,7 @@
 
 /// Waits until every router knows of every other, so that slots are granted.
 async fn slots_ready(fleet: &Fleet) {
-    fleet.routers_know_each_other().await;
+    fleet.wait_for_router_discovery().await;
     eventually("owners know every slot", async || {
         let answer = fleet.chat(0, "probe", &["probe"], true).send().await.ok()?;
         answer.status().is_success().then_some(())
@@ -55,7 +62,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_surge_through_all_routers_stays_within_the_bound() {
-    let fleet = Fleet::ready(shape()).await;
+    let fleet = Fleet::start_configured(options()).await;
     slots_ready(&fleet).await;
     let open = surge(&fleet).await;
     assert!(open.len() > STREAMS * 9 / 10, "only {} streams were admitted", open.len());
@@ -70,7 +77,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_bound_holds_when_routers_are_lost_and_restarted_with_streams_open() {
-    let mut fleet = Fleet::ready(shape()).await;
+    let mut fleet = Fleet::start_configured(options()).await;
     slots_ready(&fleet).await;
     for lost in 0..2usize {
         let open = surge(&fleet).await;
@@ -83,7 +90,7 @@
         .await;
         assert_bound(&fleet, "after the loss");
         fleet.routers[lost] = fleet.start_router(lost as u16);
-        fleet.healthy(lost).await;
+        fleet.wait_until_healthy(lost).await;
         drop(open);
         eventually("the engines are idle", async || (loads(&fleet).1 == 0).then_some(())).await;
         tokio::time::sleep(Duration::from_millis(500)).await;
@@ -99,7 +106,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn engines_that_take_no_work_do_not_count_in_the_mean() {
-    let fleet = Fleet::ready(shape()).await;
+    let fleet = Fleet::start_configured(options()).await;
     slots_ready(&fleet).await;
     for engine in ["engine-0", "engine-1", "engine-2"] {
         assert!(fleet.operator(&["drain", engine]).status.success());
--- a/tests/promises/not_run.rs
+++ b/tests/promises/not_run.rs
@@ -9,7 +9,7 @@
 
 use crate::own_answer::{call_hostile, with_hostile};
 use crate::support::engine::{EngineOptions, Fault};
-use crate::support::{Fleet, Shape, eventually};
+use crate::support::{Fleet, FleetOptions, eventually};
 
 /// Code and `not_run` of a refusal, which must say when to come back if it may be tried again.
 async fn refusal(answer: reqwest::Response) -> (String, bool) {
@@ -24,7 +24,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refusal_as_not_run_means_that_no_target_ran_it() {
     let router = json!({ "max_in_flight_per_target": 1, "queue_wait_ms": 100, "max_body_kib": 1 });
-    let fleet = Fleet::ready(Shape { engines: 1, router, ..Shape::default() }).await;
+    let fleet =
+        Fleet::start_configured(FleetOptions { engines: 1, router, ..FleetOptions::default() })
+            .await;
     let call = async |id: &str, headers: &[(&str, &str)]| {
         refusal(fleet.call(0, id, headers).await.expect("an answer")).await
     };
@@ -72,7 +74,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn targets_that_refuse_or_cannot_be_reached_did_not_run_it() {
     let router = json!({ "retry_percent": 0, "connect_timeout_ms": 300 });
-    let fleet = Fleet::ready(Shape { engines: 1, router, ..Shape::default() }).await;
+    let fleet =
+        Fleet::start_configured(FleetOptions { engines: 1, router, ..FleetOptions::default() })
+            .await;
     fleet.engines[0].fail_next(Fault::Refuse);
     let refused = fleet.chat(0, "refused", &["refused"], false).send().await.unwrap();
     assert_eq!(refusal(refused).await, ("target_refused".into(), true));
@@ -93,7 +97,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn what_may_have_run_is_never_called_not_run() {
-    let (fleet, hostile) = with_hostile(Shape::default()).await;
+    let (fleet, hostile) = with_hostile(FleetOptions::default()).await;
     let lost = call_hostile(&fleet, 0, "/lost/1", &[]).await.unwrap();
     assert_eq!(refusal(lost).await, ("answer_lost".into(), false));
     assert_eq!(hostile.runs("/lost/1"), 1);
@@ -111,7 +115,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_refusal_is_answered_at_once_and_not_held_until_the_deadline() {
     let router = json!({ "max_in_flight_per_target": 1, "queue_wait_ms": 50 });
-    let fleet = Fleet::ready(Shape { engines: 1, router, ..Shape::default() }).await;
+    let fleet =
+        Fleet::start_configured(FleetOptions { engines: 1, router, ..FleetOptions::default() })
+            .await;
     let held = fleet.call(0, "holds", &[("x-takes-ms", "8000")]);
     let refused = async {
         eventually("the slot is taken", async || (fleet.service.runs("holds") == 1).then_some(()))
@@ -127,7 +133,8 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_killed_router_says_nothing_and_the_request_ran_at_most_once() {
     let engine = EngineOptions { token_ms: 20, ..EngineOptions::default() };
-    let mut fleet = Fleet::ready(Shape { engine, ..Shape::default() }).await;
+    let mut fleet =
+        Fleet::start_configured(FleetOptions { engine, ..FleetOptions::default() }).await;
     for step in 0..6u64 {
         let id = format!("step-{step}");
         let call = fleet.call(0, &id, &[("x-takes-ms", "40")]);
@@ -142,7 +149,7 @@
         fleet.routers[0].kill();
         assert!(fleet.service.runs(&id) <= 1);
         fleet.routers[0] = fleet.start_router(0);
-        fleet.healthy(0).await;
+        fleet.wait_until_healthy(0).await;
     }
 }
 
@@ -167,7 +174,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn slow_callers_passed_deadlines_and_failed_claims_ran_nowhere() {
     let router = json!({ "body_timeout_ms": 500 });
-    let fleet = Fleet::ready(Shape { router, ..Shape::default() }).await;
+    let fleet = Fleet::start_configured(FleetOptions { router, ..FleetOptions::default() }).await;
     let slow = call_with_late_body(&fleet, "", None).await;
     assert!(slow.contains("408") && slow.contains("slow_caller"), "{slow}");
     let hurry = "latchmount-deadline-ms: 20\r\n";
--- a/tests/promises/own_answer.rs
+++ b/tests/promises/own_answer.rs
@@ -8,14 +8,14 @@
 
 use crate::support::engine::{EngineOptions, Fault};
 use crate::support::hostile::Hostile;
-use crate::support::{Fleet, Shape, eventually, template};
+use crate::support::{Fleet, FleetOptions, eventually, template};
 use latchmount::targets::Serves;
 
 const CALLERS: usize = 2_000;
 
 /// A fleet with a hostile service named `hostile`, whose calls may not be repeated.
-pub async fn with_hostile(shape: Shape) -> (Fleet, Hostile) {
-    let fleet = Fleet::ready(shape).await;
+pub async fn with_hostile(options: FleetOptions) -> (Fleet, Hostile) {
+    let fleet = Fleet::start_configured(options).await;
     let hostile = Hostile::start().await;
     fleet.platform.add("hostile", &hostile.url, Serves::Service("hostile".into()));
     for router in 0..fleet.routers.len() {
@@ -67,10 +67,10 @@
     let router = json!({ "max_in_flight_per_target": CALLERS, "engine_slots": CALLERS });
     // Longer than any hiccup of a busy machine: no router refuses for want of news.
     let control = json!({ "freshness_lease_ms": 19_000 });
-    let shape = Shape { engine, router, routers, control, ..Shape::default() };
-    let fleet = Fleet::ready(shape).await;
+    let options = FleetOptions { engine, router, routers, control, ..FleetOptions::default() };
+    let fleet = Fleet::start_configured(options).await;
     if know_each_other {
-        fleet.routers_know_each_other().await;
+        fleet.wait_for_router_discovery().await;
     }
     for engine in &fleet.engines {
         for round in 0..80 {
@@ -112,7 +112,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_stream_goes_on_where_it_broke() {
-    let fleet = Fleet::ready(Shape { engines: 1, ..Shape::default() }).await;
+    let fleet =
+        Fleet::start_configured(FleetOptions { engines: 1, ..FleetOptions::default() }).await;
     for cut in 1..8 {
         fleet.engines[0].fail_next(Fault::BreakAfter(cut));
         let text = format!("cut after {cut}");
@@ -127,7 +128,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_cannot_go_on_ends_in_an_explicit_error() {
-    let fleet = Fleet::ready(Shape { engines: 1, ..Shape::default() }).await;
+    let fleet =
+        Fleet::start_configured(FleetOptions { engines: 1, ..FleetOptions::default() }).await;
     fleet.engines[0].fail_next(Fault::ForgetAfter(3));
     let mut answer = fleet.chat(0, "lost", &["lost"], true).send().await.unwrap();
     let mut body = Vec::new();
@@ -146,7 +148,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_that_ends_short_is_never_passed_on_as_whole() {
-    let (fleet, _) = with_hostile(Shape::default()).await;
+    let (fleet, _) = with_hostile(FleetOptions::default()).await;
     for path in ["/truncated/1", "/undelimited/1", "/half-chunked/1"] {
         let answer = call_hostile(&fleet, 0, path, &[]).await.unwrap();
         assert_eq!(answer.status(), 502, "{path}");
@@ -158,7 +160,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn doubled_and_late_answers_never_cross_over_to_another_caller() {
-    let (fleet, _) = with_hostile(Shape { routers: 1, ..Shape::default() }).await;
+    let (fleet, _) = with_hostile(FleetOptions { routers: 1, ..FleetOptions::default() }).await;
     for round in 0..100 {
         let path = format!("/doubled/{round}");
         let answer = call_hostile(&fleet, 0, &path, &[]).await.unwrap();
@@ -178,7 +180,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_cancels_its_work() {
     let engine = EngineOptions { token_ms: 100, tokens: 1_000, ..EngineOptions::default() };
-    let fleet = Fleet::ready(Shape { engines: 1, engine, ..Shape::default() }).await;
+    let fleet =
+        Fleet::start_configured(FleetOptions { engines: 1, engine, ..FleetOptions::default() })
+            .await;
     let mut answer = fleet.chat(0, "leaves", &["leaves"], true).send().await.unwrap();
     answer.chunk().await.unwrap();
     drop(answer);
@@ -192,13 +196,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn forged_bytes_make_no_log_line() {
-    let fleet = Fleet::ready(Shape::default()).await;
+    let fleet = Fleet::start_configured(FleetOptions::default()).await;
     let mut forged = template();
     forged["name"] = json!("x");
     let url = format!("{}/services/a%0Aevent=forged/x", fleet.router_url(0));
     let answer = fleet.http.get(url).header("latchmount-team", "agents").send().await.unwrap();
     assert_eq!(answer.status(), 503);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let log = fleet.log_of("router-0");
+    let log = fleet.read_log("router-0");
     assert!(!log.lines().any(|line| line.starts_with("event=forged")), "{log}");
 }
--- a/tests/promises/planned_stop.rs
+++ b/tests/promises/planned_stop.rs
@@ -4,7 +4,7 @@
 use serde_json::{Value, json};
 
 use crate::support::engine::EngineOptions;
-use crate::support::{Fleet, Shape, eventually};
+use crate::support::{Fleet, FleetOptions, eventually};
 
 fn slow_engine() -> EngineOptions {
     EngineOptions { token_ms: 100, tokens: 30, ..EngineOptions::default() }
@@ -17,7 +17,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stopping_router_fails_its_health_refuses_new_work_and_ends_its_streams() {
     let router = json!({ "stop_notice_ms": 1_000 });
-    let mut fleet = Fleet::ready(Shape { engine: slow_engine(), router, ..Shape::default() }).await;
+    let mut fleet = Fleet::start_configured(FleetOptions {
+        engine: slow_engine(),
+        router,
+        ..FleetOptions::default()
+    })
+    .await;
     let requests = (0..20).map(|chat| fleet.chat(0, &chat.to_string(), &["long"], true).send());
     let streams = futures_util::future::join_all(requests).await;
     fleet.routers[0].signal(Signal::SIGTERM);
@@ -41,40 +46,44 @@
         let body = stream.unwrap().text().await.expect("a stream that is not cut");
         assert!(whole(&body), "{body}");
     }
-    assert_eq!(fleet.routers[0].ended().await, Some(0));
+    assert_eq!(fleet.routers[0].wait_for_exit().await, Some(0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_second_signal_ends_the_process_at_once() {
     let engine = EngineOptions { token_ms: 1_000, tokens: 1_000, ..EngineOptions::default() };
-    let mut fleet = Fleet::ready(Shape { engine, ..Shape::default() }).await;
+    let mut fleet =
+        Fleet::start_configured(FleetOptions { engine, ..FleetOptions::default() }).await;
     let _stream = fleet.chat(0, "endless", &["endless"], true).send().await.unwrap();
     fleet.routers[0].signal(Signal::SIGTERM);
     eventually("it stops", async || {
-        fleet.log_of("router-0").contains("event=stopping").then_some(())
+        fleet.read_log("router-0").contains("event=stopping").then_some(())
     })
     .await;
     fleet.routers[0].signal(Signal::SIGTERM);
-    assert_eq!(fleet.routers[0].ended().await, Some(0));
+    assert_eq!(fleet.routers[0].wait_for_exit().await, Some(0));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stop_that_takes_too_long_ends_and_says_what_it_cut() {
     let engine = EngineOptions { token_ms: 1_000, tokens: 1_000, ..EngineOptions::default() };
     let router = json!({ "stop_timeout_ms": 500 });
-    let mut fleet = Fleet::ready(Shape { engine, router, ..Shape::default() }).await;
+    let mut fleet =
+        Fleet::start_configured(FleetOptions { engine, router, ..FleetOptions::default() }).await;
     let _stream = fleet.chat(0, "endless", &["endless"], true).send().await.unwrap();
     fleet.routers[0].signal(Signal::SIGTERM);
-    assert_eq!(fleet.routers[0].ended().await, Some(0));
+    assert_eq!(fleet.routers[0].wait_for_exit().await, Some(0));
     eventually("it says so", async || {
-        fleet.log_of("router-0").contains("event=stop_timeout").then_some(())
+        fleet.read_log("router-0").contains("event=stop_timeout").then_some(())
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_drained_engine_and_service_end_what_they_have_and_get_nothing_new() {
-    let fleet = Fleet::ready(Shape { engine: slow_engine(), ..Shape::default() }).await;
+    let fleet =
+        Fleet::start_configured(FleetOptions { engine: slow_engine(), ..FleetOptions::default() })
+            .await;
     let requests = (0..10).map(|chat| fleet.chat(0, &chat.to_string(), &["long"], true).send());
     let streams = futures_util::future::join_all(requests).await;
     assert!(fleet.operator(&["drain", "engine-0"]).status.success());
@@ -96,7 +105,7 @@
         assert!(whole(&stream.unwrap().text().await.unwrap()));
     }
     assert!(fleet.operator(&["drain", "--undo", "porting-host"]).status.success());
-    fleet.healthy(0).await;
+    fleet.wait_until_healthy(0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -104,8 +113,13 @@
     const ROUTERS: u16 = 8;
     let engine = EngineOptions { token_ms: 10, ..EngineOptions::default() };
     let router = json!({ "stop_notice_ms": 500 });
-    let mut fleet =
-        Fleet::ready(Shape { routers: ROUTERS, engine, router, ..Shape::default() }).await;
+    let mut fleet = Fleet::start_configured(FleetOptions {
+        routers: ROUTERS,
+        engine,
+        router,
+        ..FleetOptions::default()
+    })
+    .await;
     let balancer = Balancer {
         urls: (0..usize::from(ROUTERS)).map(|number| fleet.router_url(number)).collect(),
         http: fleet.http.clone(),
@@ -116,9 +130,9 @@
         .collect();
     for number in 0..ROUTERS {
         fleet.routers[usize::from(number)].signal(Signal::SIGTERM);
-        assert_eq!(fleet.routers[usize::from(number)].ended().await, Some(0));
+        assert_eq!(fleet.routers[usize::from(number)].wait_for_exit().await, Some(0));
         fleet.routers[usize::from(number)] = fleet.start_router(number);
-        fleet.healthy(usize::from(number)).await;
+        fleet.wait_until_healthy(usize::from(number)).await;
     }
     stop.0.send_replace(true);
     let mut answered = 0;
--- a/tests/promises/shares.rs
+++ b/tests/promises/shares.rs
@@ -5,22 +5,22 @@
 use serde_json::json;
 
 use crate::support::engine::EngineOptions;
-use crate::support::{Fleet, Shape, eventually, template};
+use crate::support::{Fleet, FleetOptions, eventually, template};
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_surging_team_makes_room_for_another_teams_share() {
     let engine = EngineOptions { token_ms: 100, tokens: 15, batch: 1_000, ..Default::default() };
     let router = json!({ "engine_slots": 10, "queue_wait_ms": 60_000, "queue_len": 500 });
     let control = json!({ "freshness_lease_ms": 2_500 });
-    let shape = Shape { engines: 1, engine, router, control, ..Shape::default() };
-    let fleet = Fleet::start(shape).await;
+    let options = FleetOptions { engines: 1, engine, router, control, ..FleetOptions::default() };
+    let fleet = Fleet::start(options).await;
     let mut both = template();
     both["teams"] = json!({
         "agents": { "share_percent": 40 }, "checkers": { "share_percent": 40 },
     });
     fleet.submit(&both, "both").await;
-    fleet.serving().await;
-    fleet.routers_know_each_other().await;
+    fleet.wait_until_serving().await;
+    fleet.wait_for_router_discovery().await;
     let ask = async |team: &str, number: usize| {
         let chat = format!("{team}-{number}");
         let request = fleet.chat(number % 2, &chat, &[&chat], false);
--- a/tests/rollout/judging.rs
+++ b/tests/rollout/judging.rs
@@ -102,7 +102,7 @@
 }
 
 fn play(way: Way, kind: Kind, gateways: u32, seed: u64) -> Summary {
-    let rollouts = seeds::number("LATCHMOUNT_ROLLOUTS").unwrap_or(ROLLOUTS);
+    let rollouts = seeds::env_number("LATCHMOUNT_ROLLOUTS").unwrap_or(ROLLOUTS);
     play_so_many(way, kind, gateways, seed, rollouts)
 }
 
@@ -209,8 +209,8 @@
 /// Roll-outs of services with a rare route, each way and fleet.
 fn play_with_a_rare_route(way: Way, kind: Kind, routes: usize, besides: Besides) -> Summary {
     let seed = seeds::seed();
-    let rollouts = seeds::number("LATCHMOUNT_ROLLOUTS").unwrap_or(RARE_ROLLOUTS);
-    let longer = seeds::number("LATCHMOUNT_LONGER").unwrap_or(1) as u32;
+    let rollouts = seeds::env_number("LATCHMOUNT_ROLLOUTS").unwrap_or(RARE_ROLLOUTS);
+    let longer = seeds::env_number("LATCHMOUNT_LONGER").unwrap_or(1) as u32;
     let mut summary = Summary::default();
     for gateways in [8, 1_000] {
         for number in 0..rollouts {
--- a/tests/seeds/mod.rs
+++ b/tests/seeds/mod.rs
@@ -4,10 +4,10 @@
 
 use proptest::test_runner::{Config, RngSeed};
 
-/// A configuration of so many cases, or as many as the environment variable `cases_from` says.
-pub fn config(cases: u32, cases_from: &str) -> Config {
+/// A configuration of so many cases, or as many as the environment variable `cases_variable` says.
+pub fn config(cases: u32, cases_variable: &str) -> Config {
     let seed = seed::seed();
-    let cases = seed::number(cases_from).map_or(cases, |cases| cases as u32);
-    eprintln!("{cases_from}={cases}");
+    let cases = seed::env_number(cases_variable).map_or(cases, |cases| cases as u32);
+    eprintln!("{cases_variable}={cases}");
     Config { cases, rng_seed: RngSeed::Fixed(seed), failure_persistence: None, ..Config::default() }
 }
--- a/tests/seeds/seed.rs
+++ b/tests/seeds/seed.rs
@@ -4,12 +4,12 @@
 
 /// The seed to use.
 pub fn seed() -> u64 {
-    let seed = number("LATCHMOUNT_SEED").unwrap_or(SEED);
+    let seed = env_number("LATCHMOUNT_SEED").unwrap_or(SEED);
     eprintln!("LATCHMOUNT_SEED={seed}");
     seed
 }
 
 /// The number that an environment variable holds.
-pub fn number(variable: &str) -> Option<u64> {
+pub fn env_number(variable: &str) -> Option<u64> {
     std::env::var(variable).ok()?.parse().ok()
 }
--- a/tests/soak/checks.rs
+++ b/tests/soak/checks.rs
@@ -135,7 +135,7 @@
 
 /// EVAC: in calm times nothing arrives in a hall much later than its evacuation was acknowledged.
 fn check_evacuations(book: &Book, broken: &mut Vec<String>) {
-    let strict = seeds::number("LATCHMOUNT_SOAK_STRICT") == Some(1);
+    let strict = seeds::env_number("LATCHMOUNT_SOAK_STRICT") == Some(1);
     let bound = if strict { DRAIN_BOUND } else { DRAIN_BOUND_ANYWHERE };
     for (number, order) in book.orders.iter().enumerate().filter(|(_, order)| order.evacuate) {
         let Some(acknowledged) = order.acknowledged else { continue };
@@ -172,7 +172,7 @@
 
 /// BUDGET: a request under which three targets ended is sent on little, and innocent ones are hardly ever taken for one.
 fn check_poison(book: &Book, broken: &mut Vec<String>) {
-    let strict = seeds::number("LATCHMOUNT_SOAK_STRICT") == Some(1);
+    let strict = seeds::env_number("LATCHMOUNT_SOAK_STRICT") == Some(1);
     let bound = if strict { CONTACT } else { DRAIN_BOUND_ANYWHERE };
     for (poison, bites) in &book.poisoned {
         // Two tries may run at the same target; it ends once.
@@ -227,7 +227,7 @@
 
 /// DRAIN: in calm times nothing arrives at a target much later than its drain was acknowledged.
 fn check_drains(book: &Book, broken: &mut Vec<String>) {
-    let strict = seeds::number("LATCHMOUNT_SOAK_STRICT") == Some(1);
+    let strict = seeds::env_number("LATCHMOUNT_SOAK_STRICT") == Some(1);
     let bound = if strict { DRAIN_BOUND } else { DRAIN_BOUND_ANYWHERE };
     for (id, run) in book.runs.iter().flat_map(|(id, runs)| runs.iter().map(move |run| (id, run))) {
         if let Some(drained) = book.drained.get(&run.target)
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -79,14 +79,14 @@
 
 #[tokio::test]
 async fn no_promise_is_broken_whatever_fails() {
-    let size = match seeds::number("LATCHMOUNT_SOAK_LARGE") {
+    let size = match seeds::env_number("LATCHMOUNT_SOAK_LARGE") {
         Some(1) => LARGE,
         _ => SMALL,
     };
-    let length = seeds::number("LATCHMOUNT_SOAK_LENGTH_MS").map(Duration::from_millis);
+    let length = seeds::env_number("LATCHMOUNT_SOAK_LENGTH_MS").map(Duration::from_millis);
     let size = Size { length: length.unwrap_or(size.length), ..size };
     let first = seeds::seed();
-    for seed in first..first + seeds::number("LATCHMOUNT_SOAK_SEEDS").unwrap_or(2) {
+    for seed in first..first + seeds::env_number("LATCHMOUNT_SOAK_SEEDS").unwrap_or(2) {
         soak(size, seed, None).await;
     }
 }
@@ -104,7 +104,7 @@
     let earlier = std::env::var_os("LATCHMOUNT_EARLIER").map(PathBuf::from);
     assert!(earlier.is_some(), "LATCHMOUNT_EARLIER names the binary of an earlier build");
     let first = seeds::seed();
-    for seed in first..first + seeds::number("LATCHMOUNT_SOAK_SEEDS").unwrap_or(2) {
+    for seed in first..first + seeds::env_number("LATCHMOUNT_SOAK_SEEDS").unwrap_or(2) {
         soak(Size { poison: 0, unheard: false, ..SMALL }, seed, earlier.clone()).await;
     }
 }
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -33,7 +33,7 @@
 use service::Service;
 
 /// Longest wait for anything that must happen.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+pub const EVENTUALLY_TIMEOUT: Duration = Duration::from_secs(60);
 pub const TOKEN: &str = "an operator's token";
 pub const KEY: &str = "a secret of this partner's hosts";
 /// Lines of each log that a failing test shows.
@@ -45,17 +45,17 @@
 /// Waits until `done` gives a value, and says what did not happen otherwise.
 pub async fn eventually<T>(what: &str, mut done: impl AsyncFnMut() -> Option<T>) -> T {
     let started = Instant::now();
-    while started.elapsed() < PATIENCE {
+    while started.elapsed() < EVENTUALLY_TIMEOUT {
         if let Some(value) = done().await {
             return value;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("{what}: not within {PATIENCE:?}");
+    panic!("{what}: not within {EVENTUALLY_TIMEOUT:?}");
 }
 
 /// Addresses of the loopback that no other fleet of this or another test process uses.
-fn own_ip() -> Ipv4Addr {
+fn allocate_ip() -> Ipv4Addr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [low, middle, ..] = std::process::id().to_le_bytes();
     loop {
@@ -101,7 +101,7 @@
     }
 
     /// Waits until it has ended by itself; gives its exit code.
-    pub async fn ended(&mut self) -> Option<i32> {
+    pub async fn wait_for_exit(&mut self) -> Option<i32> {
         let child = &mut self.child;
         let status = eventually("the process ends", async || child.try_wait().ok().flatten()).await;
         status.code()
@@ -115,7 +115,7 @@
 }
 
 /// How a fleet differs from the usual one.
-pub struct Shape {
+pub struct FleetOptions {
     pub controls: u16,
     pub routers: u16,
     pub engines: usize,
@@ -125,9 +125,9 @@
     pub control: Value,
 }
 
-impl Default for Shape {
+impl Default for FleetOptions {
     fn default() -> Self {
-        Shape {
+        FleetOptions {
             controls: 1,
             routers: 2,
             engines: 2,
@@ -142,7 +142,7 @@
 pub struct Fleet {
     pub folder: tempfile::TempDir,
     ip: Ipv4Addr,
-    shape: Shape,
+    options: FleetOptions,
     pub controls: Vec<Process>,
     /// The links through which each control member is reached.
     pub links: Vec<Link>,
@@ -155,11 +155,11 @@
 
 impl Fleet {
     /// Starts all processes and forms the group.
-    pub async fn start(shape: Shape) -> Self {
+    pub async fn start(options: FleetOptions) -> Self {
         let platform = Platform::start().await;
         let mut engines = Vec::new();
-        for number in 0..shape.engines {
-            let engine = Engine::start(shape.engine.clone()).await;
+        for number in 0..options.engines {
+            let engine = Engine::start(options.engine.clone()).await;
             platform.add_engine(&format!("engine-{number}"), &engine);
             engines.push(engine);
         }
@@ -167,7 +167,7 @@
         platform.add("porting", service.url(), Serves::Service("porting".into()));
         let mut fleet = Fleet {
             folder: tempfile::tempdir().expect("a folder"),
-            ip: own_ip(),
+            ip: allocate_ip(),
             controls: Vec::new(),
             links: Vec::new(),
             routers: Vec::new(),
@@ -175,16 +175,16 @@
             service,
             platform,
             http: reqwest::Client::builder().no_proxy().build().expect("a client"),
-            shape,
+            options,
         };
         std::fs::write(fleet.folder.path().join("token"), TOKEN).expect("a token file");
-        for number in 0..fleet.shape.controls {
+        for number in 0..fleet.options.controls {
             let to = (fleet.ip, CONTROL_PORT + number).into();
             fleet.links.push(Link::start(fleet.control_addr(number), to).await);
             let control = fleet.start_control(number);
             fleet.controls.push(control);
         }
-        for number in 0..fleet.shape.routers {
+        for number in 0..fleet.options.routers {
             let router = fleet.start_router(number);
             fleet.routers.push(router);
         }
@@ -197,10 +197,10 @@
     }
 
     /// Starts all and puts a template in force.
-    pub async fn ready(shape: Shape) -> Self {
-        let fleet = Fleet::start(shape).await;
+    pub async fn start_configured(options: FleetOptions) -> Self {
+        let fleet = Fleet::start(options).await;
         fleet.submit(&template(), "1").await;
-        fleet.serving().await;
+        fleet.wait_until_serving().await;
         fleet
     }
 
@@ -242,14 +242,14 @@
         self.folder.path().join(format!("data-{number}"))
     }
 
-    pub fn log_of(&self, name: &str) -> String {
+    pub fn read_log(&self, name: &str) -> String {
         let path = self.folder.path().join(format!("{name}.log"));
         std::fs::read_to_string(path).unwrap_or_default()
     }
 
     pub fn start_control(&self, number: u16) -> Process {
         let peers: Vec<SocketAddr> =
-            (0..self.shape.controls).map(|peer| self.control_addr(peer)).collect();
+            (0..self.options.controls).map(|peer| self.control_addr(peer)).collect();
         let control = json!({
             "listen": SocketAddr::from((self.ip, CONTROL_PORT + number)),
             "advertise": self.control_addr(number),
@@ -257,20 +257,20 @@
             "data_dir": self.data_dir(number),
             "operators": [{ "name": "olga", "token_sha256": sha256(TOKEN) }],
         });
-        let control = merged(control, &self.shape.control);
+        let control = merged(control, &self.options.control);
         self.spawn(&format!("control-{number}"), "control", json!({ "control": control }))
     }
 
     pub fn start_router(&self, number: u16) -> Process {
         let control: Vec<SocketAddr> =
-            (0..self.shape.controls).map(|peer| self.control_addr(peer)).collect();
+            (0..self.options.controls).map(|peer| self.control_addr(peer)).collect();
         let router = json!({
             "listen": SocketAddr::from((self.ip, ROUTER_PORT + number)),
             "control": control,
             "list_poll_ms": 100,
             "stop_notice_ms": 100,
         });
-        let router = merged(router, &self.shape.router);
+        let router = merged(router, &self.options.router);
         self.spawn(&format!("router-{number}"), "router", json!({ "router": router }))
     }
 
@@ -278,7 +278,7 @@
     pub fn operator(&self, args: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_latchmount"));
         command.args(args).arg("--token-file").arg(self.folder.path().join("token"));
-        for number in 0..self.shape.controls {
+        for number in 0..self.options.controls {
             command.arg("--control").arg(self.control_addr(number).to_string());
         }
         command.output().expect("the binary")
@@ -301,18 +301,18 @@
     }
 
     /// Waits until every router says that it is healthy.
-    pub async fn serving(&self) {
-        for number in 0..self.shape.routers as usize {
-            self.healthy(number).await;
+    pub async fn wait_until_serving(&self) {
+        for number in 0..self.options.routers as usize {
+            self.wait_until_healthy(number).await;
         }
     }
 
     /// Waits until every router knows of every other, and asks owners for slots.
-    pub async fn routers_know_each_other(&self) {
-        let count = format!("count={} ", self.shape.routers);
-        for number in 0..self.shape.routers {
+    pub async fn wait_for_router_discovery(&self) {
+        let count = format!("count={} ", self.options.routers);
+        for number in 0..self.options.routers {
             eventually("the routers know each other", async || {
-                let log = self.log_of(&format!("router-{number}"));
+                let log = self.read_log(&format!("router-{number}"));
                 let mut lines = log.lines().filter(|line| line.contains("event=routers"));
                 lines.any(|line| line.contains(&count)).then_some(())
             })
@@ -320,7 +320,7 @@
         }
     }
 
-    pub async fn healthy(&self, number: usize) {
+    pub async fn wait_until_healthy(&self, number: usize) {
         let url = format!("{}/healthz", self.router_url(number));
         eventually("the router is healthy", async || {
             let answer = self.http.get(&url).send().await.ok()?;
@@ -389,7 +389,7 @@
         let entries = std::fs::read_dir(self.folder.path()).into_iter().flatten().flatten();
         let names = entries.filter_map(|entry| entry.file_name().into_string().ok());
         for name in names.filter_map(|name| name.strip_suffix(".log").map(str::to_owned)) {
-            let log = self.log_of(&name);
+            let log = self.read_log(&name);
             let lines: Vec<&str> = log.lines().collect();
             let last = &lines[lines.len().saturating_sub(LOG_LINES_SHOWN)..];
             eprintln!("== {name}\n{}", last.join("\n"));
