--- a/tests/seeds/seed.rs
+++ b/tests/seeds/seed.rs
@@ -1,15 +1,15 @@
-//! The seed of random tests: fixed, printed, and set by `LATCHMOUNT_SEED`.
+//! The seed of random tests: a fixed default, printed on use, and overridden by `LATCHMOUNT_SEED`.
 
-const SEED: u64 = 20_261_202;
+const DEFAULT_SEED: u64 = 20_261_202;
 
-/// The seed to use.
+/// Returns the seed to use and prints it.
 pub fn seed() -> u64 {
-    let seed = env_number("LATCHMOUNT_SEED").unwrap_or(SEED);
+    let seed = env_number("LATCHMOUNT_SEED").unwrap_or(DEFAULT_SEED);
     eprintln!("LATCHMOUNT_SEED={seed}");
     seed
 }
 
-/// The number that an environment variable holds.
+/// The value of an environment variable, if it is set to a number.
 pub fn env_number(variable: &str) -> Option<u64> {
     std::env::var(variable).ok()?.parse().ok()
 }
--- a/tests/support/hostile.rs
+++ b/tests/support/hostile.rs
@@ -1,4 +1,5 @@
-//! A target that breaks the rules of HTTP on purpose, and counts what it was sent.
+//! A target that violates HTTP on purpose, for example by truncated or doubled responses, and counts
+//! the requests per path.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
@@ -7,7 +8,8 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-/// A running target; what it does wrong is the first part of a call's path.
+/// A running target. The first segment of a request's path selects the fault, see `serve`; any other
+/// value gives a correct response.
 #[derive(Clone)]
 pub struct Hostile {
     pub url: String,
@@ -29,7 +31,7 @@
         hostile
     }
 
-    /// How often a call to this path came.
+    /// Number of requests received for this path.
     pub fn runs(&self, path: &str) -> u64 {
         *self.runs.lock().unwrap().get(path).unwrap_or(&0)
     }
@@ -40,7 +42,7 @@
             *self.runs.lock().unwrap().entry(path.clone()).or_default() += 1;
             let body = format!("answer to {path}");
             let whole = format!("HTTP/1.1 200 OK\r\ncontent-length: {}\r\n\r\n{body}", body.len());
-            let (answer, goes_on) = match path.split('/').nth(1).unwrap_or_default() {
+            let (answer, keep_alive) = match path.split('/').nth(1).unwrap_or_default() {
                 "lost" => (String::new(), false),
                 "truncated" => (whole[..whole.len() - 4].to_owned(), false),
                 "undelimited" => (format!("HTTP/1.1 200 OK\r\n\r\n{}", &body[..5]), false),
@@ -55,14 +57,14 @@
                 }
                 _ => (whole, true),
             };
-            if stream.write_all(answer.as_bytes()).await.is_err() || !goes_on {
+            if stream.write_all(answer.as_bytes()).await.is_err() || !keep_alive {
                 return;
             }
         }
     }
 }
 
-/// Path of the next request without a body.
+/// Reads the head of the next request, which has no body, and returns its path without the query.
 async fn next_request(stream: &mut TcpStream, pending: &mut Vec<u8>) -> Option<String> {
     loop {
         if let Some(end) = pending.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Real processes of one partner on the loopback, and the stand-ins they talk to.
+//! Starts the binary's `control` and `router` processes on the loopback for one partner, with
+//! stand-ins (fake servers) for engines, a plain service and the platform.
 
 #![allow(dead_code)]
 
@@ -32,17 +33,17 @@
 use platform::Platform;
 use service::Service;
 
-/// Longest wait for anything that must happen.
+/// Limit on each wait of `eventually`.
 pub const EVENTUALLY_TIMEOUT: Duration = Duration::from_secs(60);
 pub const TOKEN: &str = "an operator's token";
 pub const KEY: &str = "a secret of this partner's hosts";
-/// Lines of each log that a failing test shows.
+/// Last lines of each process log that a failing test prints.
 const LOG_LINES_SHOWN: usize = 12;
 const CONTROL_PORT: u16 = 7000;
 const LINK_PORT: u16 = 9000;
 const ROUTER_PORT: u16 = 8080;
 
-/// Waits until `done` gives a value, and says what did not happen otherwise.
+/// Polls `done` until it returns a value; panics with `what` after the timeout.
 pub async fn eventually<T>(what: &str, mut done: impl AsyncFnMut() -> Option<T>) -> T {
     let started = Instant::now();
     while started.elapsed() < EVENTUALLY_TIMEOUT {
@@ -54,7 +55,7 @@
     panic!("{what}: not within {EVENTUALLY_TIMEOUT:?}");
 }
 
-/// Addresses of the loopback that no other fleet of this or another test process uses.
+/// A loopback address that no other fleet of this or another test process uses.
 fn allocate_ip() -> Ipv4Addr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [low, middle, ..] = std::process::id().to_le_bytes();
@@ -66,7 +67,7 @@
     }
 }
 
-/// A process of the binary; killed when dropped.
+/// A running process of the binary; killed when dropped.
 pub struct Process {
     child: Child,
     pub settings: PathBuf,
@@ -85,7 +86,7 @@
         word_after(&status, "VmRSS:").parse().expect("a number")
     }
 
-    /// Processor time used so far, in clock ticks of 10 ms.
+    /// CPU time used so far (user and system), in clock ticks of 10 ms.
     pub fn cpu_ticks(&self) -> u64 {
         let path = format!("/proc/{}/stat", self.child.id());
         let stat = std::fs::read_to_string(path).expect("a running process");
@@ -94,16 +95,17 @@
         fields[11..13].iter().filter_map(|field| field.parse::<u64>().ok()).sum()
     }
 
-    /// Ends it without notice.
+    /// Kills the process with SIGKILL and reaps it.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits until it has ended by itself; gives its exit code.
+    /// Waits until the process exits by itself; returns its exit code.
     pub async fn wait_for_exit(&mut self) -> Option<i32> {
         let child = &mut self.child;
-        let status = eventually("the process ends", async || child.try_wait().ok().flatten()).await;
+        let status =
+            eventually("the process exits", async || child.try_wait().ok().flatten()).await;
         status.code()
     }
 }
@@ -114,13 +116,13 @@
     }
 }
 
-/// How a fleet differs from the usual one.
+/// Sizes and settings of a fleet; the defaults suit most tests.
 pub struct FleetOptions {
     pub controls: u16,
     pub routers: u16,
     pub engines: usize,
     pub engine: EngineOptions,
-    /// Merged into each process's section `router` or `control`.
+    /// Settings merged into the section `router` or `control` of each process, here and below.
     pub router: Value,
     pub control: Value,
 }
@@ -138,13 +140,13 @@
     }
 }
 
-/// A partner's processes and the stand-ins around them.
+/// One partner's processes and the stand-ins around them.
 pub struct Fleet {
     pub folder: tempfile::TempDir,
     ip: Ipv4Addr,
     options: FleetOptions,
     pub controls: Vec<Process>,
-    /// The links through which each control member is reached.
+    /// For each control member the link in front of it, through which all others connect.
     pub links: Vec<Link>,
     pub routers: Vec<Process>,
     pub engines: Vec<Engine>,
@@ -154,7 +156,7 @@
 }
 
 impl Fleet {
-    /// Starts all processes and forms the group.
+    /// Starts all processes and forms the control group.
     pub async fn start(options: FleetOptions) -> Self {
         let platform = Platform::start().await;
         let mut engines = Vec::new();
@@ -196,7 +198,7 @@
         fleet
     }
 
-    /// Starts all and puts a template in force.
+    /// Starts a fleet, submits `template()` and waits until all routers serve.
     pub async fn start_configured(options: FleetOptions) -> Self {
         let fleet = Fleet::start(options).await;
         fleet.submit(&template(), "1").await;
@@ -204,7 +206,7 @@
         fleet
     }
 
-    /// Where a control member is reached: a link to it.
+    /// Address at which others reach a control member: that of its link.
     pub fn control_addr(&self, number: u16) -> SocketAddr {
         (self.ip, LINK_PORT + number).into()
     }
@@ -213,7 +215,7 @@
         format!("http://{}:{}", self.ip, ROUTER_PORT + number as u16)
     }
 
-    /// Starts a process with other settings than the usual ones.
+    /// Starts a process with these settings; `spawn` adds the common ones.
     pub fn restart_with(&self, name: &str, command: &str, settings: &Value) -> Process {
         self.spawn(name, command, settings.clone())
     }
@@ -274,7 +276,7 @@
         self.spawn(&format!("router-{number}"), "router", json!({ "router": router }))
     }
 
-    /// Runs the operators' client.
+    /// Runs an operator command of the binary against all control members.
     pub fn operator(&self, args: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_latchmount"));
         command.args(args).arg("--token-file").arg(self.folder.path().join("token"));
@@ -291,7 +293,7 @@
         path.display().to_string()
     }
 
-    /// Submits a new template until it is accepted; gives its revision.
+    /// Submits a new template, which must be accepted; returns its revision.
     pub async fn submit(&self, template: &Value, id: &str) -> u64 {
         let file = self.template_file(template);
         let out = self.operator(&["template", "submit", "--change-id", id, &file]);
@@ -300,14 +302,15 @@
         word_after(&text, "revision").parse().expect("a revision")
     }
 
-    /// Waits until every router says that it is healthy.
+    /// Waits until every router is healthy and knows targets.
     pub async fn wait_until_serving(&self) {
         for number in 0..self.options.routers as usize {
             self.wait_until_healthy(number).await;
         }
     }
 
-    /// Waits until every router knows of every other, and asks owners for slots.
+    /// Waits until every router has logged that it knows all others, and so requests slots from their
+    /// owners.
     pub async fn wait_for_router_discovery(&self) {
         let count = format!("count={} ", self.options.routers);
         for number in 0..self.options.routers {
@@ -327,15 +330,15 @@
             answer.status().is_success().then_some(())
         })
         .await;
-        // Its list of targets may come a moment later.
-        eventually("the router knows targets", async || {
+        // The router may receive its list of targets a moment later.
+        eventually("the router knows its targets", async || {
             let answer = self.call(number, "ping", &[]).await.ok()?;
             (answer.status() != 503).then_some(())
         })
         .await;
     }
 
-    /// A chat through a router.
+    /// Builds a chat completion request to a router.
     pub fn chat(
         &self,
         router: usize,
@@ -352,7 +355,7 @@
             .json(&json!({ "model": "any", "stream": stream, "messages": messages }))
     }
 
-    /// A call of the plain service through a router.
+    /// Sends a request to the plain service through a router.
     pub async fn call(
         &self,
         router: usize,
@@ -370,7 +373,7 @@
         request.send().await
     }
 
-    /// The value of a metric at a router, summed over the series whose line holds `part`.
+    /// The value of a router's metric, summed over the series whose line contains `part`.
     pub async fn metric(&self, router: usize, name: &str, part: &str) -> f64 {
         let url = format!("{}/metrics", self.router_url(router));
         let answer = self.http.get(url).send().await.expect("metrics");
@@ -381,7 +384,7 @@
 }
 
 impl Drop for Fleet {
-    /// Shows what the processes wrote last when a test fails.
+    /// Prints the last log lines of each process when a test fails.
     fn drop(&mut self) {
         if !std::thread::panicking() {
             return;
@@ -397,7 +400,7 @@
     }
 }
 
-/// The template that most tests put in force.
+/// The template that most tests submit.
 pub fn template() -> Value {
     json!({
         "name": "disputes", "model": "m7", "version": "3", "priority": 5,
@@ -421,7 +424,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// The word that follows `name` in a line of the client.
+/// The word after the first occurrence of `name` in the client's output.
 pub fn word_after(text: &str, name: &str) -> String {
     let mut words = text.split_whitespace().skip_while(|word| *word != name);
     words.nth(1).unwrap_or_default().to_owned()
