--- a/tests/soak/caller.rs
+++ b/tests/soak/caller.rs
@@ -1,4 +1,4 @@
-//! Callers that keep their connections for as long as they last, and check every answer.
+//! Clients that send random requests over persistent connections and check every response.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,17 +13,17 @@
 use rand::{RngExt, SeedableRng};
 use tokio::net::TcpStream;
 
-use crate::ledger::{Ended, Kind, LeavingTold, Ledger, Seen};
-use crate::target::{EVENTS, LEAVING, RAN_AT, event};
+use crate::recorder::{Kind, Outcome, Recorder, Seen, ShutdownNotice};
+use crate::target::{EVENTS, SHUTDOWN_HEADER, TARGET_NAME_HEADER, event};
 
-/// Longest time that a caller waits.
-pub const PATIENCE: Duration = Duration::from_secs(4);
-/// Beyond its own patience a caller gives a gateway this long for the final answer.
-const BEYOND: Duration = Duration::from_secs(2);
+/// Deadline that callers set in their requests.
+pub const REQUEST_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time beyond the deadline that a caller waits for the gateway's response.
+const RESPONSE_GRACE: Duration = Duration::from_secs(2);
 
-/// Part of the requests that name headers which only the system sets.
-const FORGING: f64 = 0.2;
-/// Those headers.
+/// Share of the requests with forged system headers.
+const FORGED_SHARE: f64 = 0.2;
+/// Headers that only the system itself may set on the way to a target.
 pub const SYSTEM_HEADERS: [&str; 9] = [
     "x-hold",
     "x-pin-ms",
@@ -35,33 +35,33 @@
     "x-request-priority",
     "x-tenant",
 ];
-/// What callers put there.
-pub const FORGED: &str = "forged";
+/// Value that callers give these headers.
+pub const FORGED_VALUE: &str = "forged";
 
-/// One caller.
+/// A client that sends requests one after the other.
 pub struct Caller {
     pub number: usize,
-    /// Gateways with their addresses.
-    pub fronts: Vec<(usize, SocketAddr)>,
-    pub ledger: Ledger,
+    /// Numbers and addresses of the gateways to call.
+    pub gateways: Vec<(usize, SocketAddr)>,
+    pub recorder: Recorder,
     pub seed: u64,
 }
 
 impl Caller {
-    /// Asks again and again until it is aborted.
+    /// Sends requests until the task is aborted.
     pub async fn run(self) {
         let mut rng = StdRng::seed_from_u64(self.seed);
-        let mut asked = 0;
+        let mut sent_count = 0;
         loop {
-            let (gateway, front) = self.fronts[rng.random_range(0..self.fronts.len())];
-            let Some(mut connection) = open(front).await else {
+            let (gateway, addr) = self.gateways[rng.random_range(0..self.gateways.len())];
+            let Some(mut connection) = connect(addr).await else {
                 tokio::time::sleep(Duration::from_millis(30)).await;
                 continue;
             };
             while connection.ready().await.is_ok() {
-                asked += 1;
-                let id = format!("c{}-{asked}", self.number);
-                if !self.ask(&mut connection, gateway, id, &mut rng).await {
+                sent_count += 1;
+                let id = format!("c{}-{sent_count}", self.number);
+                if !self.send_one(&mut connection, gateway, id, &mut rng).await {
                     break;
                 }
                 let pause = rng.random_range(2..60);
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Asks once; false when the connection is not to be used again.
-    async fn ask(
+    /// Sends one request and records how it ended; returns whether the connection may be used again.
+    async fn send_one(
         &self,
         connection: &mut SendRequest<Full<Bytes>>,
         gateway: usize,
@@ -83,29 +83,31 @@
             .header("host", "h.example")
             .header("x-request-id", &id)
             .header("x-credential", "key-a")
-            .header("x-deadline-ms", PATIENCE.as_millis() as u64);
-        if rng.random_bool(FORGING) {
+            .header("x-deadline-ms", REQUEST_TIMEOUT.as_millis() as u64);
+        if rng.random_bool(FORGED_SHARE) {
             for name in SYSTEM_HEADERS {
-                request = request.header(name, FORGED);
+                request = request.header(name, FORGED_VALUE);
             }
         }
         let request = request
             .body(Full::new(Bytes::from(vec![b'x'; rng.random_range(0..2_000)])))
-            .expect("a sound request");
-        self.ledger.book().sent_ids.insert(id.clone());
-        let sent = self.ledger.now();
-        let asking = self.exchange(connection, request, gateway, &id, kind);
-        let asked = tokio::time::timeout(PATIENCE + BEYOND, asking).await;
-        let (ended, goes_on) = match asked {
-            Ok(Ok((status, goes_on))) => (Ended::Status(status), goes_on),
-            Ok(Err(_)) => (Ended::Cut, false),
-            Err(_) => (Ended::Cut, false),
+            .expect("a valid request");
+        self.recorder.lock().sent_ids.insert(id.clone());
+        let sent = self.recorder.now();
+        let exchange = self.exchange(connection, request, gateway, &id, kind);
+        let result = tokio::time::timeout(REQUEST_TIMEOUT + RESPONSE_GRACE, exchange).await;
+        let (ended, reusable) = match result {
+            Ok(Ok((status, reusable))) => (Outcome::Status(status), reusable),
+            Ok(Err(_)) => (Outcome::Cut, false),
+            Err(_) => (Outcome::Cut, false),
         };
         let seen = Seen { id, kind, gateway, sent, ended };
-        self.ledger.book().seen.push(seen);
-        goes_on
+        self.recorder.lock().seen.push(seen);
+        reusable
     }
 
+    /// Sends the request and checks the response; returns its status and whether the connection may be
+    /// used again.
     async fn exchange(
         &self,
         connection: &mut SendRequest<Full<Bytes>>,
@@ -116,18 +118,19 @@
     ) -> Result<(u16, bool), hyper::Error> {
         let response = connection.send_request(request).await?;
         let status = response.status().as_u16();
-        let closes = response.headers().get("connection").is_some_and(|value| value == "close");
+        let closing = response.headers().get("connection").is_some_and(|value| value == "close");
         let head = Head::of(&response);
         if let Some(target) = head.leaves.clone() {
-            let at = self.ledger.now();
-            self.ledger.book().leaving_told.push(LeavingTold { target, gateway, at });
+            let at = self.recorder.now();
+            self.recorder.lock().shutdown_notices.push(ShutdownNotice { target, gateway, at });
         }
         let body = response.into_body().collect().await?.to_bytes();
         self.check(id, kind, status, &head, &body);
-        Ok((status, !closes))
+        Ok((status, !closing))
     }
 
-    /// A success is the target's whole answer to this very request, and a refusal is unsigned.
+    /// Checks that a success is the target's whole response to this request, and that a refusal (except a 500, which a
+    /// target may send) has no target's stamp. A 500 without a stamp is the gateway's refusal of a poison request.
     fn check(&self, id: &str, kind: Kind, status: u16, head: &Head, body: &[u8]) {
         let stamp = format!("stamp-{id}");
         let whole = match kind {
@@ -136,43 +139,45 @@
         };
         if status == 200 {
             if head.stamp.as_deref() != Some(&stamp) || head.id.as_deref() != Some(id) {
-                self.ledger.broken(format!("MIXED: {id} got the head of another: {head:?}"));
+                self.recorder
+                    .record_violation(format!("MIXED: {id} got the head of another: {head:?}"));
             }
             if body != whole.as_bytes() {
                 let text = String::from_utf8_lossy(body);
-                self.ledger.broken(format!("MIXED or ORDER: {id} ({kind:?}) got {text:?}"));
+                self.recorder
+                    .record_violation(format!("MIXED or ORDER: {id} ({kind:?}) got {text:?}"));
             }
         } else if status == 500 && head.stamp.is_none() {
-            self.ledger.book().accused += 1;
+            self.recorder.lock().blocked_innocent += 1;
         } else if head.stamp.is_some() && status != 500 {
-            self.ledger.broken(format!("MIXED: {id} got a signed {status}"));
+            self.recorder.record_violation(format!("MIXED: {id} got a signed {status}"));
         }
     }
 }
 
-/// Repeats one request that ends each target that runs it, at any gateway.
-pub async fn repeat_poison(number: usize, fronts: Vec<SocketAddr>, seed: u64) {
+/// Repeats one poison request, which ends each target that runs it, at random gateways.
+pub async fn repeat_poison(number: usize, gateways: Vec<SocketAddr>, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     for attempt in 0.. {
         let pause = rng.random_range(50..500);
         tokio::time::sleep(Duration::from_millis(pause)).await;
-        let front = fronts[rng.random_range(0..fronts.len())];
-        let Some(mut connection) = open(front).await else {
+        let addr = gateways[rng.random_range(0..gateways.len())];
+        let Some(mut connection) = connect(addr).await else {
             continue;
         };
         let request = Request::post("/resumable/x")
             .header("host", "h.example")
             .header("x-request-id", format!("poison{number}-{attempt}"))
             .header("x-credential", "key-a")
-            .header("x-deadline-ms", PATIENCE.as_millis() as u64)
+            .header("x-deadline-ms", REQUEST_TIMEOUT.as_millis() as u64)
             .body(Full::new(Bytes::from(format!("poison {number}"))))
-            .expect("a sound request");
-        let asking = async {
+            .expect("a valid request");
+        let exchange = async {
             let response = connection.send_request(request).await?;
             response.into_body().collect().await
         };
-        // It earns nothing, and nobody misses its answer.
-        let _ = tokio::time::timeout(PATIENCE + BEYOND, asking).await;
+        // The response does not matter: the targets record what the request does.
+        let _ = tokio::time::timeout(REQUEST_TIMEOUT + RESPONSE_GRACE, exchange).await;
     }
 }
 
@@ -180,7 +185,7 @@
 struct Head {
     stamp: Option<String>,
     id: Option<String>,
-    /// The target that gave it, where it says that it leaves.
+    /// Name of the target that sent the response, if a header says that it is shutting down.
     leaves: Option<String>,
 }
 
@@ -193,13 +198,13 @@
         Head {
             stamp: text("x-server-stamp"),
             id: text("x-request-id"),
-            leaves: text(LEAVING).and_then(|_| text(RAN_AT)),
+            leaves: text(SHUTDOWN_HEADER).and_then(|_| text(TARGET_NAME_HEADER)),
         }
     }
 }
 
-async fn open(front: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
-    let connecting = TcpStream::connect(front);
+async fn connect(addr: SocketAddr) -> Option<SendRequest<Full<Bytes>>> {
+    let connecting = TcpStream::connect(addr);
     let stream = tokio::time::timeout(Duration::from_secs(1), connecting).await.ok()?.ok()?;
     let (sender, driver) = handshake(TokioIo::new(stream)).await.ok()?;
     tokio::spawn(driver);
--- a/tests/soak/fault.rs
+++ b/tests/soak/fault.rs
@@ -1,47 +1,64 @@
-//! What may happen to a fleet.
+//! The kinds of faults and operator actions in a run.
 
-/// What may happen.
+/// A fault or an operator action. Its Debug name is printed in the soak's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     KillGateway,
     StopGateway,
     PauseGateway,
+    /// Sends SIGHUP.
     HangUpGateway,
+    /// Blocks traffic between a gateway and all members.
     CutGateway,
     KillMember,
     StopMember,
     PauseMember,
     LoseDisk,
+    /// Kills a member and appends half a record to its log.
     TearLog,
+    /// Kills a member and leaves a half-written `log.new`, as from an interrupted snapshot.
     LeaveNewLog,
+    /// Kills a member and overwrites its file of the commit index with garbage.
     ScribbleNote,
+    /// Blocks bytes to a member.
     DeafenMember,
+    /// Blocks bytes from a member in connections that it accepted.
     MuteMember,
+    /// Blocks a member's inbound connections from one other member.
     CutMemberFromMember,
     KillAllMembers,
     DelayMember,
+    /// Resets the connections; the same for gateways and targets.
     ResetMember,
     ResetGateway,
     ResetTarget,
     DelayTarget,
     MuteTarget,
+    /// Raises the share of a target's responses that fail.
     FaultyTarget,
+    /// Resets a target's connections and blocks bytes to it, so that it cannot be reached.
     CrashTarget,
+    /// Ends a target, which starts again after a while.
     RestartTarget,
     ReplaceTarget,
+    /// Makes all targets of a data hall unreachable at once.
     LoseHall,
     Evacuate,
     Withdraw,
     EvacuateAndWithdraw,
     Configure,
+    /// Sends eight configurations in quick succession.
     Storm,
+    /// Sends two configurations at once to random members.
     Race,
+    /// Sends a configuration again that was sent before.
     OldConfiguration,
+    /// Sends an invalid configuration.
     FaultyConfiguration,
 }
 
 impl Fault {
-    /// All of them, one of which is drawn at a time.
+    /// All kinds, in the order that a random index selects from.
     pub const ALL: [Fault; 35] = [
         Fault::KillGateway,
         Fault::StopGateway,
@@ -80,7 +97,7 @@
         Fault::FaultyConfiguration,
     ];
 
-    /// Whether every build has the calls that it needs.
+    /// Whether earlier builds support it too: those have no evacuations.
     pub fn known_to_all_builds(self) -> bool {
         !matches!(self, Fault::Evacuate | Fault::Withdraw | Fault::EvacuateAndWithdraw)
     }
--- a/tests/soak/faults.rs
+++ b/tests/soak/injector.rs
@@ -1,4 +1,5 @@
-//! Draws faults from a seed, and brings them about; several at once, and in series.
+//! Injects random faults, several at once and one after the other, and repairs each after a random time.
+//! All random choices come from the world's seeded generator.
 
 use std::time::Duration;
 
@@ -8,10 +9,10 @@
 
 use crate::fault::Fault;
 use crate::harness::call;
-use crate::ledger::{Ledger, Order, Party};
-use crate::world::{HALLS, World, order, put};
+use crate::recorder::{Component, Order, Recorder};
+use crate::world::{HALLS, World, put_configuration, send_order};
 
-/// What ends a fault.
+/// What ends a fault. Its Debug name is printed in the soak's log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Repair {
     StartGateway(usize),
@@ -23,29 +24,32 @@
     HealMember(usize),
     HealTarget(usize),
 
+    /// Removes a replaced target, after its drain or shutdown notice.
     DropTarget(usize),
 }
 
-/// Time between two lost disks: the member must count again before another may go.
-const BETWEEN_LOST_DISKS: Duration = Duration::from_secs(12);
-/// Longest time that a target keeps asking for its drain to be acknowledged.
-const DRAIN_WITHIN: Duration = Duration::from_secs(3);
+/// Time between two lost disks: the member must be a voter again before the next disk is lost.
+const DISK_LOSS_INTERVAL: Duration = Duration::from_secs(12);
+/// Time within which a target repeats its drain until a member acknowledges it.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Brings faults about for as long as a run lasts.
-pub struct Storm<'a> {
+/// Injects faults into a world and schedules their repairs.
+pub struct FaultInjector<'a> {
     world: &'a mut World,
+    /// Scheduled repairs with their times.
     repairs: Vec<(Instant, Repair)>,
-    /// Processes that have a fault of their own now.
+    /// Numbers of the processes and targets that have a fault now and get no second one.
     busy_members: Vec<usize>,
     busy_gateways: Vec<usize>,
     busy_targets: Vec<usize>,
     lost_disk_at: Option<Instant>,
+    /// The faults and repairs with their times, printed when the run fails.
     pub log: Vec<String>,
 }
 
-impl<'a> Storm<'a> {
+impl<'a> FaultInjector<'a> {
     pub fn new(world: &'a mut World) -> Self {
-        Storm {
+        FaultInjector {
             world,
             repairs: Vec::new(),
             busy_members: Vec::new(),
@@ -56,15 +60,15 @@
         }
     }
 
-    /// Draws faults for so long, then repairs everything.
-    pub async fn rage(&mut self, length: Duration) {
+    /// Injects faults for this time, then repairs everything.
+    pub async fn run(&mut self, length: Duration) {
         let end = Instant::now() + length;
         while Instant::now() < end {
             let pause = self.world.rng.random_range(20..700);
             tokio::time::sleep(Duration::from_millis(pause)).await;
             let fault = Fault::ALL[self.world.rng.random_range(0..Fault::ALL.len())];
-            if self.world.earlier.is_none() || fault.known_to_all_builds() {
-                self.strike(fault).await;
+            if self.world.earlier_build.is_none() || fault.known_to_all_builds() {
+                self.inject(fault).await;
             }
             self.repair(false).await;
         }
@@ -73,12 +77,13 @@
         }
     }
 
+    /// Logs a fault or a repair and records its time.
     fn note(&mut self, what: String) {
-        self.world.ledger.disturb();
-        self.log.push(format!("{:>7} ms  {what}", self.world.ledger.now().as_millis()));
+        self.world.recorder.record_fault();
+        self.log.push(format!("{:>7} ms  {what}", self.world.recorder.now().as_millis()));
     }
 
-    /// Some process without a fault of its own, of `count`.
+    /// Draws one of the numbers up to `count` that are not in `busy`.
     fn draw(&mut self, count: usize, busy: &[usize]) -> Option<usize> {
         let free: Vec<usize> = (0..count).filter(|at| !busy.contains(at)).collect();
         if free.is_empty() {
@@ -87,24 +92,25 @@
         Some(free[self.world.rng.random_range(0..free.len())])
     }
 
-    fn later(&mut self, repair: Repair) {
+    /// Schedules a repair after a random time.
+    fn schedule(&mut self, repair: Repair) {
         let after = Duration::from_millis(self.world.rng.random_range(100..4_000));
         self.repairs.push((Instant::now() + after, repair));
     }
 
-    async fn strike(&mut self, fault: Fault) {
+    async fn inject(&mut self, fault: Fault) {
         use Fault::*;
         match fault {
             KillGateway | StopGateway | PauseGateway | HangUpGateway | CutGateway
-            | ResetGateway => self.strike_gateway(fault),
+            | ResetGateway => self.fault_gateway(fault),
             KillMember | StopMember | PauseMember | LoseDisk | TearLog | LeaveNewLog
             | ScribbleNote | DeafenMember | MuteMember | CutMemberFromMember | DelayMember
             | ResetMember => {
-                self.strike_member(fault);
+                self.fault_member(fault);
             }
             KillAllMembers => self.kill_all_members(),
             ResetTarget | DelayTarget | MuteTarget | FaultyTarget | CrashTarget | RestartTarget => {
-                self.strike_target(fault);
+                self.fault_target(fault);
             }
             LoseHall => self.lose_hall(),
             Evacuate => self.order(&[true]).await,
@@ -112,14 +118,14 @@
             EvacuateAndWithdraw => self.order(&[true, false, true, false]).await,
             ReplaceTarget => self.replace_target().await,
             Configure | Storm | Race | OldConfiguration | FaultyConfiguration => {
-                self.operate(fault).await;
+                self.change_configuration(fault).await;
             }
         }
     }
 
-    fn strike_gateway(&mut self, fault: Fault) {
+    fn fault_gateway(&mut self, fault: Fault) {
         let busy = self.busy_gateways.clone();
-        // One gateway at least stays whole.
+        // At least one gateway stays without a fault.
         if busy.len() + 1 >= self.world.fleet.gateways.len() {
             return;
         }
@@ -128,7 +134,7 @@
         };
         self.note(format!("{fault:?} {at}"));
         let process = &mut self.world.fleet.gateways[at];
-        self.world.ledger.strike(Party::Gateway(process.ip));
+        self.world.recorder.record_fault_of(Component::Gateway(process.ip));
         let repair = match fault {
             Fault::KillGateway => {
                 process.kill();
@@ -148,26 +154,26 @@
                 let ip = process.ip;
                 for network in &self.world.member_networks {
                     network.change(|faults| {
-                        faults.cut_from.insert(ip);
+                        faults.blocked_sources.insert(ip);
                     });
                 }
                 Repair::HealGateway(at)
             }
         };
         self.busy_gateways.push(at);
-        self.later(repair);
+        self.schedule(repair);
     }
 
-    fn strike_member(&mut self, fault: Fault) {
+    fn fault_member(&mut self, fault: Fault) {
         let busy = self.busy_members.clone();
-        // Two of five may be lost at once.
+        // Five members have a quorum with at most two lost at once.
         if busy.len() >= 2 {
             return;
         }
         let Some(at) = self.draw(self.world.fleet.members.len(), &busy) else {
             return;
         };
-        let lately = self.lost_disk_at.is_some_and(|lost| lost.elapsed() < BETWEEN_LOST_DISKS);
+        let lately = self.lost_disk_at.is_some_and(|lost| lost.elapsed() < DISK_LOSS_INTERVAL);
         if fault == Fault::LoseDisk && (lately || !busy.is_empty()) {
             return;
         }
@@ -211,11 +217,11 @@
             }
             Fault::ResetMember => return network.reset(),
             Fault::DeafenMember => {
-                network.change(|faults| faults.deaf = true);
+                network.change(|faults| faults.inbound_blocked = true);
                 Repair::HealMember(at)
             }
             Fault::MuteMember => {
-                network.change(|faults| faults.mute = true);
+                network.change(|faults| faults.outbound_blocked = true);
                 Repair::HealMember(at)
             }
             Fault::DelayMember => {
@@ -226,13 +232,13 @@
                 let others = self.world.fleet.members.iter().map(|member| member.ip);
                 let other = others.collect::<Vec<_>>()[(at + 1) % self.world.fleet.members.len()];
                 network.change(|faults| {
-                    faults.cut_from.insert(other);
+                    faults.blocked_sources.insert(other);
                 });
                 Repair::HealMember(at)
             }
         };
         self.busy_members.push(at);
-        self.later(repair);
+        self.schedule(repair);
     }
 
     fn kill_all_members(&mut self) {
@@ -243,11 +249,12 @@
         for at in 0..self.world.fleet.members.len() {
             self.world.fleet.members[at].kill();
             self.busy_members.push(at);
-            self.later(Repair::StartMember(at));
+            self.schedule(Repair::StartMember(at));
         }
     }
 
-    fn strike_target(&mut self, fault: Fault) {
+    /// Injects a fault at a target; fewer than or just half of the targets have one at once.
+    fn fault_target(&mut self, fault: Fault) {
         let busy = self.busy_targets.clone();
         if 2 * (busy.len() + 1) > self.world.targets.len() {
             return;
@@ -256,7 +263,7 @@
             return;
         };
         self.note(format!("{fault:?} {}", self.world.targets[at].0.id()));
-        self.strike_party_of_target(at);
+        self.record_fault_of_target(at);
         let (target, network) = &self.world.targets[at];
         match fault {
             Fault::ResetTarget => return network.reset(),
@@ -264,23 +271,23 @@
             Fault::DelayTarget => {
                 network.change(|faults| faults.delay = Duration::from_millis(80));
             }
-            Fault::MuteTarget => network.change(|faults| faults.mute = true),
-            Fault::FaultyTarget => target.set_faulty(0.4),
+            Fault::MuteTarget => network.change(|faults| faults.outbound_blocked = true),
+            Fault::FaultyTarget => target.set_fault_rate(0.4),
             _ => {
                 network.reset();
-                network.change(|faults| faults.deaf = true);
+                network.change(|faults| faults.inbound_blocked = true);
             }
         }
         self.busy_targets.push(at);
-        self.later(Repair::HealTarget(at));
+        self.schedule(Repair::HealTarget(at));
     }
 
-    fn strike_party_of_target(&self, at: usize) {
+    fn record_fault_of_target(&self, at: usize) {
         let name = self.world.targets[at].0.name();
-        self.world.ledger.strike(Party::Target(name));
+        self.world.recorder.record_fault_of(Component::Target(name));
     }
 
-    /// Every target of a hall is out of reach at once, and back at once.
+    /// Makes all targets of a data hall unreachable at once, and schedules their repair for the same time.
     fn lose_hall(&mut self) {
         let lost = HALLS[1 + 2 * self.world.rng.random_range(0..2)];
         let of_hall = |at: &usize| {
@@ -289,10 +296,10 @@
         let lost_ones: Vec<usize> = (0..self.world.targets.len()).filter(of_hall).collect();
         self.note(format!("LoseHall {lost}"));
         for at in &lost_ones {
-            self.strike_party_of_target(*at);
+            self.record_fault_of_target(*at);
             let network = &self.world.targets[*at].1;
             network.reset();
-            network.change(|faults| faults.deaf = true);
+            network.change(|faults| faults.inbound_blocked = true);
         }
         let after = Duration::from_millis(self.world.rng.random_range(100..4_000));
         for at in lost_ones {
@@ -301,27 +308,29 @@
         }
     }
 
-    /// Orders and withdrawals about one hall, in series; each is acknowledged or given up before the next.
+    /// Sends orders to evacuate a data hall (`true`) or to withdraw that (`false`) one after the other;
+    /// each is acknowledged or given up before the next.
     async fn order(&mut self, evacuate: &[bool]) {
         let data_hall = HALLS[1 + 2 * self.world.rng.random_range(0..2)];
         for evacuate in evacuate {
             self.note(format!("Order {data_hall} evacuate={evacuate}"));
-            let now = self.world.ledger.now();
+            let now = self.world.recorder.now();
             let made = Order {
                 data_hall: data_hall.to_owned(),
                 evacuate: *evacuate,
                 made: now,
                 acknowledged: None,
             };
-            self.world.ledger.book().orders.push(made);
+            self.world.recorder.lock().orders.push(made);
             let (at, twice) = (self.world.rng.random_range(0..8), self.world.rng.random_bool(0.5));
-            order(&self.world.ledger, &self.world.doors, at, *evacuate, twice).await;
+            send_order(&self.world.recorder, &self.world.member_addrs, at, *evacuate, twice).await;
             let pause = self.world.rng.random_range(0..200);
             tokio::time::sleep(Duration::from_millis(pause)).await;
         }
     }
 
-    /// A new target comes, an old one drains and then leaves.
+    /// Adds a target and shuts an old one down: it drains, or announces its shutdown only in response headers,
+    /// and is removed later.
     async fn replace_target(&mut self) {
         let busy = self.busy_targets.clone();
         let Some(at) = self.draw(self.world.targets.len(), &busy) else {
@@ -330,13 +339,13 @@
         let id = self.world.targets[at].0.id();
         self.note(format!("ReplaceTarget {id}"));
         self.world.add_target().await;
-        let doors = self.world.doors.clone();
-        let unheard = self.world.next_leaves_unheard();
+        let member_addrs = self.world.member_addrs.clone();
+        let header_only_shutdowns = self.world.next_shutdown_is_header_only();
         let target = &self.world.targets[at].0;
-        if unheard {
-            target.leave_unheard();
+        if header_only_shutdowns {
+            target.announce_shutdown_in_headers_only();
             self.log.push(format!("            {id} leaves unheard"));
-        } else if !target.drain(&doors, DRAIN_WITHIN).await {
+        } else if !target.drain(&member_addrs, DRAIN_TIMEOUT).await {
             self.log.push(format!("            the drain of {id} was not acknowledged"));
         }
         self.busy_targets.push(at);
@@ -344,53 +353,58 @@
         self.repairs.push((Instant::now() + after, Repair::DropTarget(at)));
     }
 
-    async fn operate(&mut self, fault: Fault) {
+    /// Sends configurations: new, concurrent, old or invalid ones.
+    async fn change_configuration(&mut self, fault: Fault) {
         self.note(format!("{fault:?}"));
-        let doors = self.world.doors.clone();
-        let ledger: Ledger = self.world.ledger.clone();
-        let door = |world: &mut World| doors[world.rng.random_range(0..doors.len())];
+        let member_addrs = self.world.member_addrs.clone();
+        let recorder: Recorder = self.world.recorder.clone();
+        let addr = |world: &mut World| member_addrs[world.rng.random_range(0..member_addrs.len())];
         match fault {
             Fault::Storm | Fault::Configure => {
                 let changes = if fault == Fault::Storm { 8 } else { 1 };
                 for _ in 0..changes {
                     let (version, text) = self.world.next_configuration();
-                    let door = door(self.world);
-                    let ledger = ledger.clone();
-                    tokio::spawn(async move { put(&ledger, door, version, &text).await });
+                    let addr = addr(self.world);
+                    let recorder = recorder.clone();
+                    tokio::spawn(async move {
+                        put_configuration(&recorder, addr, version, &text).await
+                    });
                     tokio::time::sleep(Duration::from_millis(60)).await;
                 }
             }
             Fault::Race => {
                 let (one, other) =
                     (self.world.next_configuration(), self.world.next_configuration());
-                let (at, beside) = (door(self.world), door(self.world));
+                let (at, beside) = (addr(self.world), addr(self.world));
                 tokio::join!(
-                    put(&ledger, at, other.0, &other.1),
-                    put(&ledger, beside, one.0, &one.1)
+                    put_configuration(&recorder, at, other.0, &other.1),
+                    put_configuration(&recorder, beside, one.0, &one.1)
                 );
             }
             Fault::OldConfiguration => {
-                let sent = ledger.book().configurations.clone();
+                let sent = recorder.lock().configurations.clone();
                 let which = self.world.rng.random_range(0..sent.len());
                 let (version, text) = sent.iter().nth(which).expect("in range");
-                put(&ledger, door(self.world), *version, text).await;
+                put_configuration(&recorder, addr(self.world), *version, text).await;
             }
             _ => {
                 let (version, text) = self.world.next_configuration();
-                ledger.book().configurations.remove(&version);
+                recorder.lock().configurations.remove(&version);
                 let faulty = text.replace("\"service\":\"s\"", "\"service\":\"nobody\"");
-                let calling = call(door(self.world), "PUT", "/config", &faulty);
-                let answer = tokio::time::timeout(Duration::from_secs(1), calling).await;
+                let request = call(addr(self.world), "PUT", "/config", &faulty);
+                let answer = tokio::time::timeout(Duration::from_secs(1), request).await;
                 if let Ok(Some(answer)) = answer
                     && answer.status == 200
                 {
-                    ledger.broken(format!("CONFIG: faulty version {version} was acknowledged"));
+                    recorder.record_violation(format!(
+                        "CONFIG: faulty version {version} was acknowledged"
+                    ));
                 }
             }
         }
     }
 
-    /// Carries out the repairs that are due, or, at the end, all of them.
+    /// Carries out the repairs that are due, or all of them.
     async fn repair(&mut self, all: bool) {
         let now = Instant::now();
         let (due, later) = std::mem::take(&mut self.repairs)
@@ -403,6 +417,7 @@
         }
     }
 
+    /// Carries out a repair, and records it where it acts on a gateway or a target.
     async fn carry_out(&mut self, repair: Repair) {
         match repair {
             Repair::StartGateway(at)
@@ -410,9 +425,9 @@
             | Repair::ResumeGateway(at)
             | Repair::HealGateway(at) => {
                 let ip = self.world.fleet.gateways[at].ip;
-                self.world.ledger.strike(Party::Gateway(ip));
+                self.world.recorder.record_fault_of(Component::Gateway(ip));
             }
-            Repair::HealTarget(at) => self.strike_party_of_target(at),
+            Repair::HealTarget(at) => self.record_fault_of_target(at),
             _ => {}
         }
         match repair {
@@ -421,24 +436,24 @@
                 let process = &mut self.world.fleet.gateways[at];
                 build.iter().for_each(|build| process.as_set_for(build));
                 process.start();
-                self.world.ledger.book().gateway_starts += 1;
+                self.world.recorder.lock().gateway_starts += 1;
             }
             Repair::AwaitGateway(at) => {
                 let build = self.world.draw_build(None);
                 let process = &mut self.world.fleet.gateways[at];
                 if !process.ended().await {
-                    self.world.ledger.broken(format!("gateway {at} did not stop well"));
+                    self.world.recorder.record_violation(format!("gateway {at} did not stop well"));
                 }
                 build.iter().for_each(|build| process.as_set_for(build));
                 process.start();
-                self.world.ledger.book().gateway_starts += 1;
+                self.world.recorder.lock().gateway_starts += 1;
             }
             Repair::ResumeGateway(at) => self.world.fleet.gateways[at].signal(Signal::SIGCONT),
             Repair::HealGateway(at) => {
                 let ip = self.world.fleet.gateways[at].ip;
                 for network in &self.world.member_networks {
                     network.change(|faults| {
-                        faults.cut_from.remove(&ip);
+                        faults.blocked_sources.remove(&ip);
                     });
                 }
             }
@@ -453,26 +468,27 @@
                 let gateways: Vec<_> =
                     self.world.fleet.gateways.iter().map(|gateway| gateway.ip).collect();
                 self.world.member_networks[at].change(|faults| {
-                    faults.deaf = false;
-                    faults.mute = false;
+                    faults.inbound_blocked = false;
+                    faults.outbound_blocked = false;
                     faults.delay = Duration::ZERO;
-                    faults.cut_from.retain(|ip| gateways.contains(ip));
+                    faults.blocked_sources.retain(|ip| gateways.contains(ip));
                 });
             }
             Repair::HealTarget(at) => {
                 let (target, network) = &self.world.targets[at];
                 network.change(|faults| *faults = Default::default());
-                target.set_faulty(0.02);
+                target.set_fault_rate(0.02);
             }
 
             Repair::DropTarget(at) => {
-                let doors = self.world.doors.clone();
-                self.world.targets[at].0.leave(&doors).await;
+                let member_addrs = self.world.member_addrs.clone();
+                self.world.targets[at].0.leave(&member_addrs).await;
             }
         }
         self.release(repair);
     }
 
+    /// Lets the repaired process have faults again.
     fn release(&mut self, repair: Repair) {
         match repair {
             Repair::StartGateway(at)
@@ -483,7 +499,7 @@
                 self.busy_members.retain(|busy| *busy != at);
             }
             Repair::HealTarget(at) => self.busy_targets.retain(|busy| *busy != at),
-            // A target that left stays out of the draw.
+            // A removed target stays excluded from further faults.
             Repair::DropTarget(_) => {}
         }
     }
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,22 +1,25 @@
-//! A fault soak: the real programs as processes, faults drawn from a seed, and the promises checked
-//! from what callers, targets and operators see.
+//! Fault soak: runs members and gateways as processes, injects random faults drawn from a seed, and
+//! checks the promised guarantees against what callers, targets and operators observed.
 //!
-//! `LATCHMOUNT_SEED` sets the first seed, `LATCHMOUNT_SOAK_SEEDS` how many are run,
-//! `LATCHMOUNT_SOAK_LENGTH_MS` how long the faults last, and `LATCHMOUNT_SOAK_LARGE=1` plays a fleet of
-//! a few dozen processes; `LATCHMOUNT_EARLIER` names the binary of an earlier build, which then takes part by hand; `LATCHMOUNT_SOAK_STRICT=1` also holds to the bound on drains.
+//! - `LATCHMOUNT_SEED`: first seed; `LATCHMOUNT_SOAK_SEEDS`: number of seeds to run
+//! - `LATCHMOUNT_SOAK_LENGTH_MS`: duration of the faults
+//! - `LATCHMOUNT_SOAK_LARGE=1`: a fleet of a few dozen processes
+//! - `LATCHMOUNT_EARLIER`: binary of an earlier build, for the ignored test that replaces builds
+//! - `LATCHMOUNT_SOAK_STRICT=1`: checks the documented bounds on drains, evacuations and poison requests,
+//!   which a busy machine may exceed
 //!
-//! Faults of storage are lost disks, torn logs, half-written new logs and garbage in the note of what
-//! is committed; full and stalled disks are tested with the log itself, as are clocks of different
-//! rates. The time of day decides nothing: `clippy.toml` refuses to read it.
+//! Storage faults are lost disks, torn logs, half-written new logs and garbage in the file of the commit
+//! index. Full and stalled disks and clocks of different rates are tested with the log itself. No
+//! decision depends on the wall clock, which `clippy.toml` forbids reading.
 
 mod caller;
 mod checks;
 mod fault;
-mod faults;
 #[path = "../fleet/harness.rs"]
 mod harness;
-mod ledger;
+mod injector;
 mod proxy;
+mod recorder;
 #[path = "../seeds/seed.rs"]
 mod seeds;
 mod target;
@@ -25,7 +28,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use faults::Storm;
+use injector::FaultInjector;
 use world::{Size, World};
 
 const SMALL: Size = Size {
@@ -34,7 +37,7 @@
     targets: 4,
     callers: 8,
     poison: 1,
-    unheard: true,
+    header_only_shutdowns: true,
     length: Duration::from_secs(8),
 };
 const LARGE: Size = Size {
@@ -43,13 +46,13 @@
     targets: 24,
     callers: 64,
     poison: 3,
-    unheard: true,
+    header_only_shutdowns: true,
     length: Duration::from_secs(25),
 };
 
-/// Seeds that failed once, and whether targets left unheard then: targets that started again under their identity got more
-/// than they bear while cold.
-const FAILED_ONCE: [(u64, bool); 7] = [
+/// Seeds that failed once, each with the value of `header_only_shutdowns` that it failed with. The
+/// failure: targets that restarted under the same id got more requests than a cold target can serve.
+const REGRESSION_SEEDS: [(u64, bool); 7] = [
     (120_005, false),
     (120_102, false),
     (120_201, false),
@@ -59,20 +62,21 @@
     (570_008, true),
 ];
 
-async fn soak(size: Size, seed: u64, earlier: Option<PathBuf>) {
+/// Runs one fleet with the faults of one seed, then checks the promises.
+async fn soak(size: Size, seed: u64, earlier_build: Option<PathBuf>) {
     eprintln!("soak: LATCHMOUNT_SEED={seed}");
-    let mut world = World::start(size, seed, earlier).await;
+    let mut world = World::start(size, seed, earlier_build).await;
     let log = {
-        let mut storm = Storm::new(&mut world);
-        storm.rage(size.length).await;
-        storm.log
+        let mut injector = FaultInjector::new(&mut world);
+        injector.run(size.length).await;
+        injector.log
     };
     world.replace_builds().await;
-    // Shown only when the test fails.
+    // The test harness shows this only when the test fails.
     eprintln!("{}", log.join("\n"));
     checks::check(&mut world).await;
-    let book = world.ledger.book();
-    let (requests, reads) = (book.seen.len(), book.reads);
+    let observed = world.recorder.lock();
+    let (requests, reads) = (observed.seen.len(), observed.reads);
     let faults = log.len();
     eprintln!("soak: seed {seed}: {faults} faults and repairs, {requests} requests, {reads} reads");
 }
@@ -93,18 +97,23 @@
 
 #[tokio::test]
 async fn seeds_that_failed_once_hold() {
-    for (seed, unheard) in FAILED_ONCE {
-        soak(Size { unheard, ..SMALL }, seed, None).await;
+    for (seed, header_only_shutdowns) in REGRESSION_SEEDS {
+        soak(Size { header_only_shutdowns, ..SMALL }, seed, None).await;
     }
 }
 
 #[tokio::test]
 #[ignore = "needs LATCHMOUNT_EARLIER, the binary of an earlier build"]
 async fn no_promise_is_broken_while_builds_are_replaced_and_taken_back() {
-    let earlier = std::env::var_os("LATCHMOUNT_EARLIER").map(PathBuf::from);
-    assert!(earlier.is_some(), "LATCHMOUNT_EARLIER names the binary of an earlier build");
+    let earlier_build = std::env::var_os("LATCHMOUNT_EARLIER").map(PathBuf::from);
+    assert!(earlier_build.is_some(), "LATCHMOUNT_EARLIER names the binary of an earlier build");
     let first = seeds::seed();
     for seed in first..first + seeds::env_number("LATCHMOUNT_SOAK_SEEDS").unwrap_or(2) {
-        soak(Size { poison: 0, unheard: false, ..SMALL }, seed, earlier.clone()).await;
+        soak(
+            Size { poison: 0, header_only_shutdowns: false, ..SMALL },
+            seed,
+            earlier_build.clone(),
+        )
+        .await;
     }
 }
--- a/tests/soak/proxy.rs
+++ b/tests/soak/proxy.rs
@@ -1,4 +1,4 @@
-//! A loopback proxy before each process, at which its network fails.
+//! A loopback proxy in front of each process that simulates network faults.
 
 use std::collections::BTreeSet;
 use std::net::{IpAddr, SocketAddr};
@@ -10,23 +10,23 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// How often a held connection looks whether it may go on.
-const LOOK: Duration = Duration::from_millis(10);
+/// How often a blocked connection checks whether it may continue.
+const HOLD_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What is wrong with the network of a process now.
+/// Present network faults of a process.
 #[derive(Clone, Debug, Default)]
 pub struct Faults {
-    /// Nothing arrives at the process.
-    pub deaf: bool,
-    /// Nothing of what the process answers leaves.
-    pub mute: bool,
-    /// Sources between which and the process nothing passes.
-    pub cut_from: BTreeSet<IpAddr>,
-    /// Time that each piece is late.
+    /// No bytes arrive at the process.
+    pub inbound_blocked: bool,
+    /// No bytes that the process sends in its accepted connections leave it.
+    pub outbound_blocked: bool,
+    /// Source addresses whose connections to the process carry no bytes in either direction.
+    pub blocked_sources: BTreeSet<IpAddr>,
+    /// Delay of each chunk of data.
     pub delay: Duration,
 }
 
-/// Proxies of one process; they share its faults.
+/// The proxies of one process, which share its faults.
 #[derive(Clone)]
 pub struct Network {
     faults: Arc<Mutex<Faults>>,
@@ -35,7 +35,7 @@
 }
 
 #[derive(Clone, Copy, PartialEq)]
-enum Way {
+enum Direction {
     In,
     Out,
 }
@@ -45,22 +45,23 @@
         Network { faults: Arc::default(), resets: watch::Sender::new(0), tasks: Arc::default() }
     }
 
-    /// Lets `public` stand before `private`.
+    /// Starts a proxy that listens at `public` and relays to `private`.
     pub async fn proxy(&self, public: SocketAddr, private: SocketAddr) {
-        let listener = TcpListener::bind(public).await.expect("an own address");
+        let listener = TcpListener::bind(public).await.expect("a free address");
         let network = self.clone();
         let task = tokio::spawn(async move {
             loop {
                 if let Ok((client, source)) = listener.accept().await {
-                    tokio::spawn(network.clone().join(client, source.ip(), private));
+                    tokio::spawn(network.clone().relay(client, source.ip(), private));
                 }
             }
         });
-        self.tasks.lock().expect("no panic").push(task);
+        self.tasks.lock().expect("the lock is not poisoned").push(task);
     }
 
+    /// Changes the faults; they apply to open connections as well.
     pub fn change(&self, change: impl FnOnce(&mut Faults)) {
-        change(&mut self.faults.lock().expect("no panic"));
+        change(&mut self.faults.lock().expect("the lock is not poisoned"));
     }
 
     /// Resets every connection.
@@ -68,15 +69,20 @@
         self.resets.send_modify(|resets| *resets += 1);
     }
 
+    /// Stops all proxies and resets their connections.
     pub fn stop(&self) {
-        self.tasks.lock().expect("no panic").drain(..).for_each(|task| task.abort());
+        self.tasks
+            .lock()
+            .expect("the lock is not poisoned")
+            .drain(..)
+            .for_each(|task| task.abort());
         self.reset();
     }
 
-    async fn join(self, client: TcpStream, source: IpAddr, private: SocketAddr) {
+    async fn relay(self, client: TcpStream, source: IpAddr, private: SocketAddr) {
         let mut resets = self.resets.subscribe();
         resets.mark_unchanged();
-        self.wait(source, Way::In).await;
+        self.wait_until_open(source, Direction::In).await;
         let Ok(server) = connect_as(source, private).await else {
             abort(&client);
             return;
@@ -84,10 +90,10 @@
         let _ = client.set_nodelay(true);
         let _ = server.set_nodelay(true);
         let (client, server) = (Arc::new(client), Arc::new(server));
-        let inward = self.clone().pump(client.clone(), server.clone(), source, Way::In);
-        let outward = self.clone().pump(server.clone(), client.clone(), source, Way::Out);
+        let inbound = self.clone().copy(client.clone(), server.clone(), source, Direction::In);
+        let outbound = self.clone().copy(server.clone(), client.clone(), source, Direction::Out);
         let ended = tokio::select! {
-            ended = async { tokio::join!(inward, outward) } => ended.0.and(ended.1),
+            ended = async { tokio::join!(inbound, outbound) } => ended.0.and(ended.1),
             _ = resets.changed() => Err(std::io::ErrorKind::ConnectionReset.into()),
         };
         if ended.is_err() {
@@ -96,36 +102,37 @@
         }
     }
 
-    async fn wait(&self, source: IpAddr, way: Way) {
+    /// Waits until no fault blocks this direction, then for the delay.
+    async fn wait_until_open(&self, source: IpAddr, direction: Direction) {
         loop {
-            let (held, delay) = {
-                let faults = self.faults.lock().expect("no panic");
-                let held = match way {
-                    Way::In => faults.deaf,
-                    Way::Out => faults.mute,
+            let (blocked, delay) = {
+                let faults = self.faults.lock().expect("the lock is not poisoned");
+                let blocked = match direction {
+                    Direction::In => faults.inbound_blocked,
+                    Direction::Out => faults.outbound_blocked,
                 };
-                (held || faults.cut_from.contains(&source), faults.delay)
+                (blocked || faults.blocked_sources.contains(&source), faults.delay)
             };
-            if !held {
+            if !blocked {
                 tokio::time::sleep(delay).await;
                 return;
             }
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(HOLD_POLL_INTERVAL).await;
         }
     }
 
-    /// Passes bytes on one way until their end, which is passed on too.
-    async fn pump(
+    /// Copies bytes in one direction until the end of the stream, which it forwards.
+    async fn copy(
         self,
         from: Arc<TcpStream>,
         to: Arc<TcpStream>,
         source: IpAddr,
-        way: Way,
+        direction: Direction,
     ) -> std::io::Result<()> {
         let mut buffer = vec![0; 16 * 1024];
         loop {
             let read = read(&from, &mut buffer).await;
-            self.wait(source, way).await;
+            self.wait_until_open(source, direction).await;
             match read? {
                 0 => return SockRef::from(&*to).shutdown(std::net::Shutdown::Write),
                 len => write_all(&to, &buffer[..len]).await?,
@@ -134,7 +141,7 @@
     }
 }
 
-/// Connects from the address of whoever connected here, so that the process behind sees who calls.
+/// Connects from the client's own source address, so that the process behind the proxy sees who connects.
 async fn connect_as(source: IpAddr, private: SocketAddr) -> std::io::Result<TcpStream> {
     let socket = TcpSocket::new_v4()?;
     socket.bind(SocketAddr::new(source, 0))?;
@@ -163,7 +170,7 @@
     Ok(())
 }
 
-/// Makes a connection end by a reset.
+/// Makes a connection end with a TCP reset when it is dropped.
 fn abort(stream: &TcpStream) {
     let _ = SockRef::from(stream).set_linger(Some(Duration::ZERO));
 }
--- a/tests/soak/target.rs
+++ b/tests/soak/target.rs
@@ -1,4 +1,5 @@
-//! Targets that announce themselves, run requests, and misbehave at times.
+//! Simulated targets: they send heartbeats to members, run requests, fail some of them at random, and
+//! restart.
 
 use std::convert::Infallible;
 use std::net::{IpAddr, SocketAddr};
@@ -23,199 +24,208 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-use crate::caller::{FORGED, SYSTEM_HEADERS};
+use crate::caller::{FORGED_VALUE, SYSTEM_HEADERS};
 use crate::harness::call;
-use crate::ledger::{Arrival, Bite, Ledger, Place, Rest, Run};
 use crate::proxy::Network;
+use crate::recorder::{Arrival, Place, PoisonEvent, Recorder, Rest, Run};
 
-const HEARTBEAT: Duration = Duration::from_millis(300);
-/// How long a target that comes during the run is cold after its start.
-pub const COLD_FOR: Duration = Duration::from_millis(1_200);
-/// Events of a stream.
+/// Time between two heartbeats.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(300);
+/// How long a target is cold after its start.
+pub const COLD_PERIOD: Duration = Duration::from_millis(1_200);
+/// Number of events of a stream.
 pub const EVENTS: u32 = 8;
 
-/// Headers by which an answer names the start of the target that gave it, and says that it leaves.
-pub const RAN_AT: &str = "x-ran-at";
-pub const LEAVING: &str = "server-leaving";
-/// Rest that a target asks for when it turns a request away, in milliseconds.
-const RESTS_MS: std::ops::Range<u64> = 200..3_000;
+/// Response header with the name of the target's instance, for the checks.
+pub const TARGET_NAME_HEADER: &str = "x-ran-at";
+/// Response header that says that the target is shutting down.
+pub const SHUTDOWN_HEADER: &str = "server-leaving";
+/// Retry-After that a target sends when it rejects a request, in milliseconds.
+const BACKOFF_MS: std::ops::Range<u64> = 200..3_000;
 
-/// Makes the library cut the connection.
+/// Error by which hyper closes the connection without a complete response.
 #[derive(Debug, thiserror::Error)]
 #[error("cut")]
 pub struct Cut;
 
 type Body = UnsyncBoxBody<Bytes, Cut>;
 
-/// Beginning of the body of a request that ends each target that runs it.
+/// Prefix of the body of a poison request, which ends each target that runs it.
 pub const POISON: &[u8] = b"poison";
-/// What targets say of their first start, in Unix milliseconds.
-const BORN_MS: u64 = 1_769_600_000_000;
-/// Time from its start until its target ends, and until that is started again, in milliseconds.
-const ENDS_AFTER_MS: u64 = 50;
-const STARTS_AFTER_MS: std::ops::Range<u64> = 600..2_500;
-
-/// Where a target runs, and where it is started again under another id when it has ended.
+/// Start time that a target's first instance reports, in Unix milliseconds.
+const FIRST_START_MS: u64 = 1_769_600_000_000;
+/// Time from the start of a poison request until its target exits, in milliseconds.
+const POISON_EXIT_DELAY_MS: u64 = 50;
+/// Time from the exit of an instance until the next one starts, in milliseconds.
+const RESTART_DELAY_MS: std::ops::Range<u64> = 600..2_500;
+
+/// A target at a fixed address. When its instance exits, the next one is started.
 pub struct Target {
     pub data_hall: &'static str,
-    site: Site,
-    serving: Arc<Mutex<Arc<Serving>>>,
-    keeper: JoinHandle<()>,
+    config: TargetConfig,
+    instance: Arc<Mutex<Arc<Instance>>>,
+    supervisor: JoinHandle<()>,
 }
 
-/// What stays the same over the starts of a target.
+/// What all instances of a target have in common.
 #[derive(Clone)]
-struct Site {
+struct TargetConfig {
     name: String,
     data_hall: &'static str,
     private: SocketAddr,
     public: SocketAddr,
     network: Network,
-    doors: Vec<SocketAddr>,
-    ledger: Ledger,
+    members: Vec<SocketAddr>,
+    recorder: Recorder,
 }
 
-/// One start of a target; ends when dropped.
-struct Start(Vec<JoinHandle<()>>);
+/// The tasks of a running instance, which end when this is dropped.
+struct InstanceTasks(Vec<JoinHandle<()>>);
 
-impl Drop for Start {
+impl Drop for InstanceTasks {
     fn drop(&mut self) {
         self.0.iter().for_each(JoinHandle::abort);
     }
 }
 
-struct Serving {
+/// One start of a target (incarnation).
+struct Instance {
     id: String,
-    /// The id and the start, for the ledger.
+    /// Id and number of the start, by which the recorder knows the instance.
     name: String,
-    /// When it says that it started.
-    born_ms: u64,
+    /// Start time that its heartbeats report, in Unix milliseconds.
+    start_time_ms: u64,
     data_hall: &'static str,
     cold_until: Duration,
-    ledger: Ledger,
+    recorder: Recorder,
     rng: Mutex<StdRng>,
-    /// Draws rests, apart from what goes wrong.
-    rest_rng: Mutex<StdRng>,
-    /// Part of the requests that go wrong.
-    faulty: Mutex<f64>,
+    /// Draws the lengths of Retry-After, independently of the faults.
+    backoff_rng: Mutex<StdRng>,
+    /// Share of the requests that fail.
+    fault_rate: Mutex<f64>,
     state: Mutex<&'static str>,
-    /// Whether its answers say that it leaves, though its heartbeats do not.
-    leaves_unheard: AtomicBool,
+    /// Whether its response headers announce its shutdown although its heartbeats do not.
+    shutdown_in_headers_only: AtomicBool,
     sequence: AtomicU64,
-    /// Woken when a request ends it.
-    ends: Notify,
+    /// Notified when a poison request or `crash` ends the instance.
+    exit: Notify,
 }
 
 impl Drop for Target {
     fn drop(&mut self) {
-        self.keeper.abort();
+        self.supervisor.abort();
     }
 }
 
 impl Target {
-    /// Starts a target at `private`, which others reach at `public` through its network.
+    /// Starts a target that listens at `private`; others reach it at `public` through `network`.
     pub async fn start(
         name: String,
         data_hall: &'static str,
         (private, public): (SocketAddr, SocketAddr),
         network: Network,
-        doors: Vec<SocketAddr>,
-        ledger: Ledger,
+        members: Vec<SocketAddr>,
+        recorder: Recorder,
         seed: u64,
     ) -> Self {
-        let site = Site { name, data_hall, private, public, network, doors, ledger };
-        let first = site.serving(0, seed);
-        let start = site.start(&first).await;
-        let serving = Arc::new(Mutex::new(first));
-        let keeper = tokio::spawn(site.clone().keep(start, serving.clone(), seed));
-        Target { data_hall, site, serving, keeper }
+        let config = TargetConfig { name, data_hall, private, public, network, members, recorder };
+        let first = config.new_instance(0, seed);
+        let start = config.start(&first).await;
+        let instance = Arc::new(Mutex::new(first));
+        let supervisor = tokio::spawn(config.clone().supervise(start, instance.clone(), seed));
+        Target { data_hall, config, instance, supervisor }
     }
 
-    /// Its id of now.
+    /// Id of the present instance.
     pub fn id(&self) -> String {
-        self.serving().id.clone()
+        self.instance().id.clone()
     }
 
-    /// Its id of now and its start, as the ledger has them.
+    /// Name of the present instance in the recorder: its id and the number of its start.
     pub fn name(&self) -> String {
-        self.serving().name.clone()
+        self.instance().name.clone()
     }
 
-    fn serving(&self) -> Arc<Serving> {
-        self.serving.lock().expect("no panic").clone()
+    fn instance(&self) -> Arc<Instance> {
+        self.instance.lock().expect("the lock is not poisoned").clone()
     }
 
-    /// Ends it as a crash does; it is started again after a while.
+    /// Ends the instance like a crash; the next one starts after `RESTART_DELAY_MS`.
     pub fn crash(&self) {
-        self.serving().ends.notify_one();
+        self.instance().exit.notify_one();
     }
 
-    pub fn set_faulty(&self, part: f64) {
-        *self.serving().faulty.lock().expect("no panic") = part;
+    pub fn set_fault_rate(&self, rate: f64) {
+        *self.instance().fault_rate.lock().expect("the lock is not poisoned") = rate;
     }
 
-    /// Says that it drains, to one member after the other until one acknowledges.
-    pub async fn drain(&self, doors: &[SocketAddr], within: Duration) -> bool {
-        let serving = self.serving();
-        *serving.state.lock().expect("no panic") = "draining";
+    /// Sends heartbeats with the state draining to the members in turn until one acknowledges; returns
+    /// false if none does so in time.
+    pub async fn drain(&self, members: &[SocketAddr], within: Duration) -> bool {
+        let instance = self.instance();
+        *instance.state.lock().expect("the lock is not poisoned") = "draining";
         let started = tokio::time::Instant::now();
-        for door in doors.iter().cycle() {
+        for member in members.iter().cycle() {
             if started.elapsed() >= within {
                 return false;
             }
-            if beat(&serving, self.site.public, *door).await {
-                let now = serving.ledger.now();
-                serving.ledger.book().drained.entry(serving.name.clone()).or_insert(now);
+            if send_heartbeat(&instance, self.config.public, *member).await {
+                let now = instance.recorder.now();
+                instance.recorder.lock().drained.entry(instance.name.clone()).or_insert(now);
                 return true;
             }
         }
         false
     }
 
-    /// Says in its answers that it leaves, as one does whose heartbeats come to members that nobody hears.
-    pub fn leave_unheard(&self) {
-        self.serving().leaves_unheard.store(true, Ordering::Relaxed);
+    /// Announces the shutdown only in response headers, as if its heartbeats reached only members that are cut off from
+    /// the gateways.
+    pub fn announce_shutdown_in_headers_only(&self) {
+        self.instance().shutdown_in_headers_only.store(true, Ordering::Relaxed);
     }
 
-    /// Says that it leaves for good.
-    pub async fn leave(&self, doors: &[SocketAddr]) {
-        for door in doors {
+    /// Removes the target from the directory by a request to the members in turn until one acknowledges.
+    pub async fn leave(&self, members: &[SocketAddr]) {
+        for member in members {
             let path = format!("/instances/{}", self.id());
-            if call(*door, "DELETE", &path, "").await.is_some_and(|answer| answer.status == 200) {
+            if call(*member, "DELETE", &path, "").await.is_some_and(|answer| answer.status == 200) {
                 return;
             }
         }
     }
 }
 
-impl Site {
-    /// What the target is in its start of this number.
-    fn serving(&self, start: u64, seed: u64) -> Arc<Serving> {
-        // Each second start is under the id that it had, with a clock that goes on or, at times, has stepped back.
+impl TargetConfig {
+    /// Creates the instance for the start with this number.
+    fn new_instance(&self, start: u64, seed: u64) -> Arc<Instance> {
+        // Two starts in a row share an id. The reported start time increases, but at start 5 of each 8 it is
+        // earlier than before, as after a clock that was set back.
         let id = format!("{}-{}", self.name, start / 2);
         let name = format!("{id}@{start}");
-        let step = if start % 8 == 5 { BORN_MS - start } else { BORN_MS + start };
-        let started = self.ledger.now();
+        let reported_start_ms =
+            if start % 8 == 5 { FIRST_START_MS - start } else { FIRST_START_MS + start };
+        let started = self.recorder.now();
         let place = Place { data_hall: self.data_hall.to_owned(), started };
-        self.ledger.book().targets.insert(name.clone(), place);
-        Arc::new(Serving {
+        self.recorder.lock().targets.insert(name.clone(), place);
+        Arc::new(Instance {
             id,
             name,
-            born_ms: step,
+            start_time_ms: reported_start_ms,
             data_hall: self.data_hall,
-            cold_until: started + COLD_FOR,
-            ledger: self.ledger.clone(),
+            cold_until: started + COLD_PERIOD,
+            recorder: self.recorder.clone(),
             rng: Mutex::new(StdRng::seed_from_u64(seed.wrapping_add(start))),
-            rest_rng: Mutex::new(StdRng::seed_from_u64(!seed.wrapping_add(start))),
-            faulty: Mutex::new(0.02),
+            backoff_rng: Mutex::new(StdRng::seed_from_u64(!seed.wrapping_add(start))),
+            fault_rate: Mutex::new(0.02),
             state: Mutex::new("ready"),
-            leaves_unheard: AtomicBool::new(false),
+            shutdown_in_headers_only: AtomicBool::new(false),
             sequence: AtomicU64::new(0),
-            ends: Notify::new(),
+            exit: Notify::new(),
         })
     }
 
-    async fn start(&self, serving: &Arc<Serving>) -> Start {
+    /// Binds the address, starts the proxy and the tasks that serve requests and send heartbeats.
+    async fn start(&self, instance: &Arc<Instance>) -> InstanceTasks {
         let listener = loop {
             match TcpListener::bind(self.private).await {
                 Ok(listener) => break listener,
@@ -223,53 +233,63 @@
             }
         };
         self.network.proxy(self.public, self.private).await;
-        let heartbeats = heartbeats(serving.clone(), self.public, self.doors.clone());
-        Start(vec![tokio::spawn(listen(listener, serving.clone())), tokio::spawn(heartbeats)])
+        let heartbeats = heartbeats(instance.clone(), self.public, self.members.clone());
+        InstanceTasks(vec![
+            tokio::spawn(listen(listener, instance.clone())),
+            tokio::spawn(heartbeats),
+        ])
     }
 
-    /// Starts the target again whenever a request has ended it, unless it was about to leave.
-    async fn keep(self, first: Start, current: Arc<Mutex<Arc<Serving>>>, seed: u64) {
+    /// Starts the next instance whenever one has ended, unless it was shutting down.
+    async fn supervise(self, first: InstanceTasks, current: Arc<Mutex<Arc<Instance>>>, seed: u64) {
         let mut running = first;
         for start in 1.. {
-            let serving = current.lock().expect("no panic").clone();
-            serving.ends.notified().await;
+            let instance = current.lock().expect("the lock is not poisoned").clone();
+            instance.exit.notified().await;
             self.network.stop();
             drop(running);
-            self.ledger.disturb();
-            let draining = *serving.state.lock().expect("no panic") == "draining";
-            if draining || serving.leaves_unheard.load(Ordering::Relaxed) {
+            self.recorder.record_fault();
+            let draining = *instance.state.lock().expect("the lock is not poisoned") == "draining";
+            if draining || instance.shutdown_in_headers_only.load(Ordering::Relaxed) {
                 return;
             }
-            let away = serving.rng.lock().expect("no panic").random_range(STARTS_AFTER_MS);
-            tokio::time::sleep(Duration::from_millis(away)).await;
-            let next = self.serving(start, seed);
+            let downtime = instance
+                .rng
+                .lock()
+                .expect("the lock is not poisoned")
+                .random_range(RESTART_DELAY_MS);
+            tokio::time::sleep(Duration::from_millis(downtime)).await;
+            let next = self.new_instance(start, seed);
             running = self.start(&next).await;
-            *current.lock().expect("no panic") = next;
+            *current.lock().expect("the lock is not poisoned") = next;
         }
     }
 }
 
-async fn beat(serving: &Serving, addr: SocketAddr, door: SocketAddr) -> bool {
-    let cold_left = serving.cold_until.saturating_sub(serving.ledger.now()).as_millis() as u64;
+/// Sends one heartbeat; returns whether the member acknowledged it.
+async fn send_heartbeat(instance: &Instance, addr: SocketAddr, member: SocketAddr) -> bool {
+    let cold_left = instance.cold_until.saturating_sub(instance.recorder.now()).as_millis() as u64;
     let body = json!({
-        "service": "s", "address": addr, "zone": serving.data_hall, "version": "v1", "slots": 16,
-        "state": *serving.state.lock().expect("no panic"), "cold-left-ms": cold_left,
+        "service": "s", "address": addr, "zone": instance.data_hall, "version": "v1", "slots": 16,
+        "state": *instance.state.lock().expect("the lock is not poisoned"), "cold-left-ms": cold_left,
         "stage": "both",
-        "born": serving.born_ms,
-        "sequence": serving.sequence.fetch_add(1, Ordering::Relaxed) + 1,
+        "born": instance.start_time_ms,
+        "sequence": instance.sequence.fetch_add(1, Ordering::Relaxed) + 1,
     });
-    let path = format!("/instances/{}", serving.id);
+    let path = format!("/instances/{}", instance.id);
     let text = body.to_string();
-    let calling = call(door, "PUT", &path, &text);
-    let answer = tokio::time::timeout(Duration::from_secs(1), calling).await;
+    let request = call(member, "PUT", &path, &text);
+    let answer = tokio::time::timeout(Duration::from_secs(1), request).await;
     matches!(answer, Ok(Some(answer)) if answer.status == 200)
 }
 
-async fn heartbeats(serving: Arc<Serving>, addr: SocketAddr, doors: Vec<SocketAddr>) {
-    let mut at = serving.rng.lock().expect("no panic").random_range(0..doors.len());
+/// Sends heartbeats to one member, and to the next one after a failure.
+async fn heartbeats(instance: Arc<Instance>, addr: SocketAddr, members: Vec<SocketAddr>) {
+    let mut at =
+        instance.rng.lock().expect("the lock is not poisoned").random_range(0..members.len());
     loop {
-        if beat(&serving, addr, doors[at % doors.len()]).await {
-            tokio::time::sleep(HEARTBEAT).await;
+        if send_heartbeat(&instance, addr, members[at % members.len()]).await {
+            tokio::time::sleep(HEARTBEAT_INTERVAL).await;
         } else {
             at += 1;
             tokio::time::sleep(Duration::from_millis(50)).await;
@@ -277,105 +297,119 @@
     }
 }
 
-async fn listen(listener: TcpListener, serving: Arc<Serving>) {
+async fn listen(listener: TcpListener, instance: Arc<Instance>) {
     let mut connections = tokio::task::JoinSet::new();
     loop {
         let Ok((stream, peer)) = listener.accept().await else {
             continue;
         };
-        let serving = serving.clone();
+        let instance = instance.clone();
         connections.spawn(async move {
             let service = service_fn(|request| {
-                let serving = serving.clone();
-                async move { serving.answer(peer.ip(), request).await }
+                let instance = instance.clone();
+                async move { instance.answer(peer.ip(), request).await }
             });
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-fn whole(text: String) -> Body {
+fn full_body(text: String) -> Body {
     Full::new(Bytes::from(text)).map_err(|never: Infallible| match never {}).boxed_unsync()
 }
 
-/// What goes wrong with a request.
+/// How the response to a request fails.
 #[derive(Clone, Copy, PartialEq)]
-enum Wrong {
-    Nothing,
-    TurnedAway,
-    Lost,
-    Failed,
-    Mute,
-    Another,
-    Broken(u32),
+enum ResponseFault {
+    None,
+    /// 503 as not run, with a Retry-After.
+    Rejected,
+    /// The connection is closed after the request ran.
+    Dropped,
+    /// Status 500.
+    ServerError,
+    /// No response ever comes.
+    Unanswered,
+    /// The response to another request.
+    OtherResponse,
+    /// A stream breaks after this event.
+    Truncated(u32),
 }
 
-impl Serving {
-    fn draw(&self) -> Wrong {
-        let mut rng = self.rng.lock().expect("no panic");
-        if !rng.random_bool(*self.faulty.lock().expect("no panic")) {
-            return Wrong::Nothing;
+impl Instance {
+    /// Draws whether and how the response to a request fails.
+    fn draw_fault(&self) -> ResponseFault {
+        let mut rng = self.rng.lock().expect("the lock is not poisoned");
+        if !rng.random_bool(*self.fault_rate.lock().expect("the lock is not poisoned")) {
+            return ResponseFault::None;
         }
         match rng.random_range(0..6) {
-            0 => Wrong::TurnedAway,
-            1 => Wrong::Lost,
-            2 => Wrong::Failed,
-            3 => Wrong::Mute,
-            4 => Wrong::Another,
-            _ => Wrong::Broken(rng.random_range(0..EVENTS)),
+            0 => ResponseFault::Rejected,
+            1 => ResponseFault::Dropped,
+            2 => ResponseFault::ServerError,
+            3 => ResponseFault::Unanswered,
+            4 => ResponseFault::OtherResponse,
+            _ => ResponseFault::Truncated(rng.random_range(0..EVENTS)),
         }
     }
 
-    /// Begins to answer, and ends.
+    /// Begins to send a stream and ends the instance shortly after.
     fn run_poison(self: &Arc<Self>, id: &str, body: &[u8]) -> Response<Body> {
         let poison = String::from_utf8_lossy(body).into_owned();
-        let now = self.ledger.now();
-        self.ledger.book().poisoned.entry(poison.clone()).or_default().push(Bite::Reached(now));
-        let serving = self.clone();
+        let now = self.recorder.now();
+        self.recorder
+            .lock()
+            .poison_events
+            .entry(poison.clone())
+            .or_default()
+            .push(PoisonEvent::Reached(now));
+        let instance = self.clone();
         tokio::spawn(async move {
-            tokio::time::sleep(Duration::from_millis(ENDS_AFTER_MS)).await;
-            let now = serving.ledger.now();
-            let ended = Bite::Ended { at: now, target: serving.name.clone() };
-            serving.ledger.book().poisoned.entry(poison).or_default().push(ended);
-            serving.ends.notify_one();
+            tokio::time::sleep(Duration::from_millis(POISON_EXIT_DELAY_MS)).await;
+            let now = instance.recorder.now();
+            let ended = PoisonEvent::Ended { at: now, target: instance.name.clone() };
+            instance.recorder.lock().poison_events.entry(poison).or_default().push(ended);
+            instance.exit.notify_one();
         });
         self.head(id)
             .header("content-type", "text/event-stream")
             .body(stream(0, EVENTS, false))
-            .expect("sound")
+            .expect("a valid response")
     }
 
-    /// The head of an answer, with all that it says of this target.
+    /// The head of a response, with the headers that describe this target.
     fn head(&self, id: &str) -> http::response::Builder {
         let head = Response::builder()
             .header("x-request-id", id)
             .header("x-server-load", "1,0,16")
             .header("x-server-stamp", format!("stamp-{id}"))
-            .header(RAN_AT, &self.name);
-        let draining = *self.state.lock().expect("no panic") == "draining";
-        match draining || self.leaves_unheard.load(Ordering::Relaxed) {
-            true => head.header(LEAVING, "1"),
+            .header(TARGET_NAME_HEADER, &self.name);
+        let draining = *self.state.lock().expect("the lock is not poisoned") == "draining";
+        match draining || self.shutdown_in_headers_only.load(Ordering::Relaxed) {
+            true => head.header(SHUTDOWN_HEADER, "1"),
             false => head,
         }
     }
 
-    /// Turns a request away and asks for rest.
-    fn turn_away(&self, gateway: IpAddr, id: &str) -> Response<Body> {
-        let rest = self.rest_rng.lock().expect("no panic").random_range(RESTS_MS);
-        let (at, target) = (self.ledger.now(), self.name.clone());
+    /// Rejects a request as not run, with a random Retry-After.
+    fn reject(&self, gateway: IpAddr, id: &str) -> Response<Body> {
+        let rest =
+            self.backoff_rng.lock().expect("the lock is not poisoned").random_range(BACKOFF_MS);
+        let (at, target) = (self.recorder.now(), self.name.clone());
         let until = at + Duration::from_millis(rest);
-        let mut book = self.ledger.book();
-        *book.turned_away.entry(id.to_owned()).or_default() += 1;
-        book.rests.push(Rest { target, gateway, at, until });
+        let mut observations = self.recorder.lock();
+        *observations.turned_away.entry(id.to_owned()).or_default() += 1;
+        observations.backoffs.push(Rest { target, gateway, at, until });
         let seconds = format!("{:.3}", Duration::from_millis(rest).as_secs_f64());
         self.head(id)
             .status(503)
             .header("x-not-run", "1")
             .header("retry-after", seconds)
-            .body(whole(String::new()))
-            .expect("sound")
+            .body(full_body(String::new()))
+            .expect("a valid response")
     }
 
+    /// Handles a request: records its arrival, draws a fault, records the run and responds.
     async fn answer(
         self: &Arc<Self>,
         gateway: IpAddr,
@@ -388,58 +422,63 @@
         let id = text("x-request-id");
         let body = body.collect().await.map_err(|_| Cut)?.to_bytes();
         for name in SYSTEM_HEADERS {
-            if head.headers.get_all(name).iter().any(|value| value == FORGED) {
-                self.ledger.broken(format!("UNASKED: {id} came with its caller's {name}"));
+            if head.headers.get_all(name).iter().any(|value| value == FORGED_VALUE) {
+                self.recorder
+                    .record_violation(format!("UNASKED: {id} came with its caller's {name}"));
             }
         }
         if text("x-expect-instance") != self.id {
-            return Ok(Response::builder().status(421).body(whole(String::new())).expect("sound"));
+            return Ok(Response::builder()
+                .status(421)
+                .body(full_body(String::new()))
+                .expect("a valid response"));
         }
-        let arrival = Arrival { target: self.name.clone(), gateway, at: self.ledger.now() };
-        self.ledger.book().arrivals.push(arrival);
+        let arrival = Arrival { target: self.name.clone(), gateway, at: self.recorder.now() };
+        self.recorder.lock().arrivals.push(arrival);
         if body.starts_with(POISON) {
             return Ok(self.run_poison(&id, &body));
         }
-        let wrong = self.draw();
-        if wrong == Wrong::TurnedAway {
-            return Ok(self.turn_away(gateway, &id));
+        let fault = self.draw_fault();
+        if fault == ResponseFault::Rejected {
+            return Ok(self.reject(gateway, &id));
         }
-        let (target, at, team) = (self.name.clone(), self.ledger.now(), text("x-tenant"));
+        let (target, at, team) = (self.name.clone(), self.recorder.now(), text("x-tenant"));
         let run = Run { target, gateway, at, team };
-        self.ledger.book().runs.entry(id.clone()).or_default().push(run);
+        self.recorder.lock().runs.entry(id.clone()).or_default().push(run);
         tokio::time::sleep(Duration::from_millis(5)).await;
         let answer = self.head(&id);
-        let streams =
+        let streaming =
             head.uri.path().starts_with("/stream/") || head.uri.path().starts_with("/resumable/");
         let last: u32 = text("last-event-id").parse().unwrap_or(0);
-        let answer = match wrong {
-            Wrong::Lost => return Err(Cut),
-            Wrong::Mute => std::future::pending().await,
-            Wrong::Failed => answer.status(500).body(whole("failed".into())),
-            Wrong::Another => Response::builder()
+        let answer = match fault {
+            ResponseFault::Dropped => return Err(Cut),
+            ResponseFault::Unanswered => std::future::pending().await,
+            ResponseFault::ServerError => answer.status(500).body(full_body("failed".into())),
+            ResponseFault::OtherResponse => Response::builder()
                 .header("x-request-id", "another")
                 .header("x-server-stamp", "stamp-another")
-                .body(whole("answer to another".into())),
-            Wrong::Broken(after) if streams => answer
+                .body(full_body("answer to another".into())),
+            ResponseFault::Truncated(after) if streaming => answer
                 .header("content-type", "text/event-stream")
                 .body(stream(last, after.max(last), true)),
-            _ if streams => {
+            _ if streaming => {
                 answer.header("content-type", "text/event-stream").body(stream(last, EVENTS, false))
             }
-            _ => answer.body(whole(format!("answer to {id}"))),
+            _ => answer.body(full_body(format!("answer to {id}"))),
         };
-        Ok(answer.expect("sound"))
+        Ok(answer.expect("a valid response"))
     }
 }
 
-/// The text of one event.
+/// The text of the event with this number.
 pub fn event(at: u32) -> String {
     format!("id: {at}\ndata: event {at}\n\n")
 }
 
-fn stream(last: u32, events: u32, breaks: bool) -> Body {
+/// A stream of the events after `last` up to `events`; with `truncated` it breaks off within the next one.
+fn stream(last: u32, events: u32, truncated: bool) -> Body {
     let whole = (last + 1..=events).map(|at| Ok(event(at)));
-    let rest = if breaks { vec![Ok("id: ".to_owned()), Err(Cut)] } else { Vec::new() };
+    let rest = if truncated { vec![Ok("id: ".to_owned()), Err(Cut)] } else { Vec::new() };
     let pieces = futures_util::stream::iter(whole.chain(rest)).then(|piece| async move {
         tokio::time::sleep(Duration::from_millis(20)).await;
         piece.map(|text| Frame::data(Bytes::from(text)))
--- a/tests/soak/world.rs
+++ b/tests/soak/world.rs
@@ -1,4 +1,4 @@
-//! The fleet of one run: processes, the networks before them, targets, callers and an operator.
+//! The environment of one run: processes, the proxies in front of them, targets, callers and operators.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -12,53 +12,58 @@
 
 use crate::caller::{Caller, repeat_poison};
 use crate::harness::{Fleet, call, eventually, this_build};
-use crate::ledger::Ledger;
 use crate::proxy::Network;
-use crate::target::{COLD_FOR, Target};
+use crate::recorder::Recorder;
+use crate::target::{COLD_PERIOD, Target};
 
-/// How many of each take part.
+/// Sizes and duration of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     pub members: usize,
     pub gateways: usize,
     pub targets: usize,
     pub callers: usize,
-    /// Requests that end each target that runs them, repeated all the while.
+    /// Number of poison requests, which end each target that runs them and are repeated during the run.
     pub poison: usize,
-    /// Whether of each second target that leaves only its answers tell, until it is gone.
-    pub unheard: bool,
-    /// Length of the time with faults.
+    /// Whether every second target that shuts down announces this only in response headers.
+    pub header_only_shutdowns: bool,
+    /// How long faults are injected.
     pub length: Duration,
 }
 
-/// Longest time in which an operator sends an order again.
-const ORDER_FOR: Duration = Duration::from_secs(4);
-/// Between two processes that are replaced.
-const BETWEEN_REPLACED: Duration = Duration::from_millis(1_500);
-/// Routes that make a configuration a large one.
-const LARGE_BY: u64 = 200;
-/// Data halls that targets come to in turn. The first is never evacuated nor lost.
+/// Time within which an operator repeats an order until it is acknowledged.
+const ORDER_TIMEOUT: Duration = Duration::from_secs(4);
+/// Time between the replacements of two processes' builds.
+const REPLACE_INTERVAL: Duration = Duration::from_millis(1_500);
+/// Number of additional routes in a large configuration.
+const EXTRA_ROUTES: u64 = 200;
+/// Data halls to which targets are assigned in turn. hall-a is never evacuated nor lost.
 pub const HALLS: [&str; 4] = ["hall-a", "hall-b", "hall-a", "hall-c"];
-/// Requests a second that a cold target bears, the multiple of that which does no harm, and requests beyond.
-pub const COLD: (f64, f64, f64) = (4.0, 1.5, 8.0);
-/// Everything that takes part in one run.
+/// Limits on the requests to a cold target: the requests per second that it serves (`cold-per-s`), the
+/// tolerated multiple of these (`cold_over`), and a number of requests beyond (`cold_slack`).
+pub const COLD_LIMITS: (f64, f64, f64) = (4.0, 1.5, 8.0);
+
+/// All participants of one run.
 pub struct World {
     pub fleet: Fleet,
-    pub ledger: Ledger,
+    pub recorder: Recorder,
+    /// Source of all random choices of the run, or of the seeds of others.
     pub rng: StdRng,
     pub member_networks: Vec<Network>,
     pub gateway_networks: Vec<Network>,
-    /// Targets with the networks before them.
+    /// Targets with the proxies in front of them.
     pub targets: Vec<(Target, Network)>,
-    pub doors: Vec<SocketAddr>,
+    /// Addresses of the members' API, through their proxies.
+    pub member_addrs: Vec<SocketAddr>,
+    /// Version of the last configuration that was drawn.
     pub version: u64,
-    fronts: Vec<SocketAddr>,
+    gateway_addrs: Vec<SocketAddr>,
     next_target: usize,
-    /// Targets that have left, or are about to.
-    leaving: usize,
-    unheard: bool,
-    /// The build that all begin with, in runs that replace it.
-    pub earlier: Option<PathBuf>,
+    /// Number of targets that have shut down or are about to.
+    shutdowns: usize,
+    header_only_shutdowns: bool,
+    /// The binary that all processes start with in runs that replace builds.
+    pub earlier_build: Option<PathBuf>,
     callers: Vec<JoinHandle<()>>,
 }
 
@@ -71,11 +76,11 @@
 }
 
 impl World {
-    /// Starts everything and waits until all gateways serve.
-    pub async fn start(size: Size, seed: u64, earlier: Option<PathBuf>) -> Self {
+    /// Starts everything; callers start when all gateways have the configuration and know all targets.
+    pub async fn start(size: Size, seed: u64, earlier_build: Option<PathBuf>) -> Self {
         let mut fleet = Fleet::prepare(size.members, size.gateways);
         let ports = fleet.addresses.ports;
-        let ledger = Ledger::new();
+        let recorder = Recorder::new();
         let mut member_networks = Vec::new();
         let mut member_ips = Vec::new();
         for member in 0..size.members {
@@ -90,9 +95,9 @@
             member_networks.push(network);
             member_ips.push(public);
         }
-        let doors: Vec<SocketAddr> =
+        let member_addrs: Vec<SocketAddr> =
             member_ips.iter().map(|ip| SocketAddr::new(*ip, ports.control)).collect();
-        let seeds: Vec<SocketAddr> = doors.iter().take(3).copied().collect();
+        let seeds: Vec<SocketAddr> = member_addrs.iter().take(3).copied().collect();
         for (member, public) in member_ips.iter().enumerate() {
             let process = &mut fleet.members[member];
             process.set("advertise", json!(public));
@@ -100,7 +105,7 @@
             process.set("seeds", json!(seeds));
         }
         let mut gateway_networks = Vec::new();
-        let mut fronts = Vec::new();
+        let mut gateway_addrs = Vec::new();
         for gateway in 0..size.gateways {
             let public = SocketAddr::new(fleet.addresses.host(), ports.front);
             let network = Network::new();
@@ -109,31 +114,31 @@
             process.set("source", json!(process.ip));
             process.set("members", json!(seeds));
             process.set("retry_slack", json!(200));
-            process.set("cold_over", json!(COLD.1));
-            process.set("cold_slack", json!(COLD.2));
+            process.set("cold_over", json!(COLD_LIMITS.1));
+            process.set("cold_slack", json!(COLD_LIMITS.2));
             gateway_networks.push(network);
-            fronts.push(public);
+            gateway_addrs.push(public);
         }
         for process in fleet.members.iter_mut().chain(&mut fleet.gateways) {
-            if let Some(earlier) = &earlier {
-                process.as_set_for(earlier);
+            if let Some(earlier_build) = &earlier_build {
+                process.as_set_for(earlier_build);
             }
             process.start();
         }
         let mut world = World {
             fleet,
-            ledger,
+            recorder,
             rng: StdRng::seed_from_u64(seed),
             member_networks,
             gateway_networks,
             targets: Vec::new(),
-            doors,
+            member_addrs,
             version: 0,
-            fronts,
+            gateway_addrs,
             next_target: 0,
-            leaving: 0,
-            unheard: size.unheard,
-            earlier,
+            shutdowns: 0,
+            header_only_shutdowns: size.header_only_shutdowns,
+            earlier_build,
             callers: Vec::new(),
         };
         for _ in 0..size.targets {
@@ -147,36 +152,36 @@
         for number in 0..size.callers {
             let caller = Caller {
                 number,
-                fronts: world.fronts.iter().copied().enumerate().collect(),
-                ledger: world.ledger.clone(),
+                gateways: world.gateway_addrs.iter().copied().enumerate().collect(),
+                recorder: world.recorder.clone(),
                 seed: world.rng.random(),
             };
             world.callers.push(tokio::spawn(caller.run()));
         }
         let seed = world.rng.random();
-        let reading = keep_reading(world.ledger.clone(), world.doors.clone(), seed);
-        world.callers.push(tokio::spawn(reading));
-        world.ledger.book().gateway_starts = size.gateways;
-        world.ledger.book().gateways = world.fleet.gateways.iter().map(|one| one.ip).collect();
+        let reader = read_configurations(world.recorder.clone(), world.member_addrs.clone(), seed);
+        world.callers.push(tokio::spawn(reader));
+        world.recorder.lock().gateway_starts = size.gateways;
+        world.recorder.lock().gateways = world.fleet.gateways.iter().map(|one| one.ip).collect();
         for number in 0..size.poison {
             let seed = world.rng.random();
-            let repeating = repeat_poison(number, world.fronts.clone(), seed);
-            world.callers.push(tokio::spawn(repeating));
+            let repeater = repeat_poison(number, world.gateway_addrs.clone(), seed);
+            world.callers.push(tokio::spawn(repeater));
         }
         world
     }
 
-    /// Draws the build that a process runs from its next start on, where builds are replaced. The first member keeps the
-    /// earlier one, so that there is always a way back.
+    /// Draws the build that a process runs from its next start on, in runs that replace builds. The first
+    /// member keeps the earlier build, so that other processes can always go back to it.
     pub fn draw_build(&mut self, member: Option<usize>) -> Option<PathBuf> {
-        let earlier = self.earlier.clone()?;
+        let earlier_build = self.earlier_build.clone()?;
         let replaced = member != Some(0) && self.rng.random_bool(0.6);
-        Some(if replaced { this_build() } else { earlier })
+        Some(if replaced { this_build() } else { earlier_build })
     }
 
-    /// Replaces the build of all processes that still run the earlier one, one after the other.
+    /// Restarts all processes with this build one after the other, in runs that replace builds.
     pub async fn replace_builds(&mut self) {
-        if self.earlier.is_none() {
+        if self.earlier_build.is_none() {
             return;
         }
         for process in self.fleet.members.iter_mut().chain(&mut self.fleet.gateways) {
@@ -184,36 +189,36 @@
             process.kill_after_signal();
             process.as_set_for(&this_build());
             process.start();
-            tokio::time::sleep(BETWEEN_REPLACED).await;
+            tokio::time::sleep(REPLACE_INTERVAL).await;
         }
-        self.ledger.book().gateway_starts += self.fleet.gateways.len();
+        self.recorder.lock().gateway_starts += self.fleet.gateways.len();
     }
 
-    /// Starts one more caller for each gateway, that asks there alone.
+    /// Starts one more caller for each gateway, which sends only to that gateway.
     pub fn add_caller_at_each_gateway(&mut self) {
-        for (gateway, front) in self.fronts.clone().into_iter().enumerate() {
+        for (gateway, addr) in self.gateway_addrs.clone().into_iter().enumerate() {
             let caller = Caller {
                 number: 1_000 + gateway,
-                fronts: vec![(gateway, front)],
-                ledger: self.ledger.clone(),
+                gateways: vec![(gateway, addr)],
+                recorder: self.recorder.clone(),
                 seed: self.rng.random(),
             };
             self.callers.push(tokio::spawn(caller.run()));
         }
     }
 
-    /// Whether only its answers tell of the next target that leaves.
-    pub fn next_leaves_unheard(&mut self) -> bool {
-        self.leaving += 1;
-        self.unheard && self.leaving.is_multiple_of(2)
+    /// Whether the next target that shuts down announces this only in response headers.
+    pub fn next_shutdown_is_header_only(&mut self) -> bool {
+        self.shutdowns += 1;
+        self.header_only_shutdowns && self.shutdowns.is_multiple_of(2)
     }
 
-    /// Lets callers ask no more.
+    /// Stops all callers, also those that repeat poison requests or read the configuration.
     pub fn stop_callers(&mut self) {
         self.callers.drain(..).for_each(|caller| caller.abort());
     }
 
-    /// Starts one more target, at an address of its own.
+    /// Starts one more target at a new address.
     pub async fn add_target(&mut self) {
         let port = self.fleet.addresses.ports.front;
         let private = SocketAddr::new(self.fleet.addresses.host(), port);
@@ -221,17 +226,18 @@
         let network = Network::new();
         self.next_target += 1;
         let id = format!("i-{}", self.next_target);
-        let (doors, ledger) = (self.doors.clone(), self.ledger.clone());
+        let (member_addrs, recorder) = (self.member_addrs.clone(), self.recorder.clone());
         let seed = self.rng.random();
         let data_hall = HALLS[self.next_target % HALLS.len()];
         let addrs = (private, public);
         let target =
-            Target::start(id, data_hall, addrs, network.clone(), doors, ledger, seed).await;
+            Target::start(id, data_hall, addrs, network.clone(), member_addrs, recorder, seed)
+                .await;
         self.targets.push((target, network));
     }
 
-    /// A configuration with the routes of all kinds, and one more for each version so far. Every third
-    /// version has many others, so that gateways pass it on to each other.
+    /// A configuration with one route of each kind, and one more for each version up to this one. Every third
+    /// version is large (`EXTRA_ROUTES` more), so that gateways fetch it from each other.
     fn configuration(version: u64) -> Value {
         let route = |prefix: String, kind: &str, attempts: u32, resumable: bool| {
             json!({
@@ -248,107 +254,125 @@
             route("/resumable/".into(), "streaming", 3, true),
         ];
         routes.extend((1..=version).map(|at| route(format!("/v{at}/"), "safe", 1, false)));
-        let others = if version.is_multiple_of(3) { LARGE_BY } else { 0 };
+        let others = if version.is_multiple_of(3) { EXTRA_ROUTES } else { 0 };
         routes.extend((0..others).map(|at| {
-            let name = xxhash_rust::xxh3::xxh3_128(&(version * LARGE_BY + at).to_le_bytes());
+            let name = xxhash_rust::xxh3::xxh3_128(&(version * EXTRA_ROUTES + at).to_le_bytes());
             route(format!("/n{name:x}/"), "safe", 1, false)
         }));
         json!({
             "version": version, "routes": routes,
             "services": [{"name": "s", "health-path": "/health", "max-conns": 400,
-                "cold-start-s": COLD_FOR.as_secs_f64(), "cold-per-s": COLD.0}],
+                "cold-start-s": COLD_PERIOD.as_secs_f64(), "cold-per-s": COLD_LIMITS.0}],
             "limits": {"max-header-bytes": 16384, "max-body-bytes": 100_000,
                 "header-timeout-ms": 3000, "idle-timeout-ms": 15_000},
             "tenants": [{"name": "tenant-a", "api-keys": ["key-a"], "priority": 1}],
         })
     }
 
-    /// Draws the next version and writes it down as sent.
+    /// Draws the next version and records its configuration as sent.
     pub fn next_configuration(&mut self) -> (u64, String) {
         self.version += self.rng.random_range(1..4);
         let text = Self::configuration(self.version).to_string();
-        self.ledger.book().configurations.insert(self.version, text.clone());
+        self.recorder.lock().configurations.insert(self.version, text.clone());
         (self.version, text)
     }
 
-    /// Sends a new configuration until some member acknowledges it.
+    /// Sends a new configuration to the members in turn until one acknowledges it.
     pub async fn configure_until_acknowledged(&mut self) {
         let (version, text) = self.next_configuration();
-        let (doors, ledger) = (self.doors.clone(), self.ledger.clone());
+        let (member_addrs, recorder) = (self.member_addrs.clone(), self.recorder.clone());
         let mut at = 0;
         eventually(&format!("version {version} is acknowledged"), async || {
             at += 1;
-            put(&ledger, doors[at % doors.len()], version, &text).await.then_some(())
+            put_configuration(&recorder, member_addrs[at % member_addrs.len()], version, &text)
+                .await
+                .then_some(())
         })
         .await;
     }
 }
 
-/// Reads the configuration at any member, again and again: no answer may be older than what was acknowledged before the
-/// read was sent, whoever was frozen, cut off or lost meanwhile.
-async fn keep_reading(ledger: Ledger, doors: Vec<SocketAddr>, seed: u64) {
+/// Reads the configuration from random members until aborted. No answer may be older than the newest version that was
+/// acknowledged before the read was sent, even if members were paused, cut off or lost meanwhile.
+async fn read_configurations(recorder: Recorder, member_addrs: Vec<SocketAddr>, seed: u64) {
     let mut rng = StdRng::seed_from_u64(seed);
     loop {
         tokio::time::sleep(Duration::from_millis(rng.random_range(20..150))).await;
-        let acknowledged = ledger.book().acknowledged.keys().max().copied().unwrap_or(0);
-        let door = doors[rng.random_range(0..doors.len())];
-        let Some(answer) = call(door, "GET", "/config", "").await else {
+        let acknowledged = recorder.lock().acknowledged.keys().max().copied().unwrap_or(0);
+        let addr = member_addrs[rng.random_range(0..member_addrs.len())];
+        let Some(answer) = call(addr, "GET", "/config", "").await else {
             continue;
         };
         if answer.status != 200 {
             continue;
         }
-        let read: Value = serde_json::from_str(&answer.body).expect("JSON");
+        let read: Value = serde_json::from_str(&answer.body).expect("a JSON body");
         let version = read["version"].as_u64().expect("a version");
-        ledger.book().reads += 1;
+        recorder.lock().reads += 1;
         if version < acknowledged {
-            ledger.broken(format!("CONFIG: read {version} at {door}, acknowledged {acknowledged}"));
+            recorder.record_violation(format!(
+                "CONFIG: read {version} at {addr}, acknowledged {acknowledged}"
+            ));
         }
     }
 }
 
-/// Sends a configuration once, and writes an acknowledgement down.
-pub async fn put(ledger: &Ledger, door: SocketAddr, version: u64, text: &str) -> bool {
-    let calling = call(door, "PUT", "/config", text);
-    let answer = tokio::time::timeout(Duration::from_secs(1), calling).await;
+/// Sends a configuration once and records an acknowledgement; returns whether there was one.
+pub async fn put_configuration(
+    recorder: &Recorder,
+    addr: SocketAddr,
+    version: u64,
+    text: &str,
+) -> bool {
+    let request = call(addr, "PUT", "/config", text);
+    let answer = tokio::time::timeout(Duration::from_secs(1), request).await;
     let Ok(Some(answer)) = answer else {
         return false;
     };
     if (400..500).contains(&answer.status) {
-        ledger.broken(format!("CONFIG: version {version} is valid and was answered {answer:?}"));
+        recorder.record_violation(format!(
+            "CONFIG: version {version} is valid and was answered {answer:?}"
+        ));
     }
     if answer.status == 200 {
-        let now = ledger.now();
-        ledger.book().acknowledged.entry(version).or_insert(now);
+        let now = recorder.now();
+        recorder.lock().acknowledged.entry(version).or_insert(now);
     }
     answer.status == 200
 }
 
-/// Sends an order about a data hall to one door after the other until it is acknowledged, and once more after
-/// that where `twice`; gives up after some seconds, as the pages say.
-pub async fn order(ledger: &Ledger, doors: &[SocketAddr], at: usize, evacuate: bool, twice: bool) {
+/// Sends the last recorded order to the members in turn until one acknowledges it, or with `twice` until a second
+/// acknowledgement. Gives up after `ORDER_TIMEOUT`, as the documentation allows.
+pub async fn send_order(
+    recorder: &Recorder,
+    member_addrs: &[SocketAddr],
+    at: usize,
+    evacuate: bool,
+    twice: bool,
+) {
     let method = if evacuate { "POST" } else { "DELETE" };
     let mut sent = 0;
-    let started = ledger.now();
-    let number = ledger.book().orders.len() - 1;
-    let data_hall = ledger.book().orders[number].data_hall.clone();
-    while ledger.now() < started + ORDER_FOR {
-        let door = doors[(at + sent) % doors.len()];
+    let started = recorder.now();
+    let number = recorder.lock().orders.len() - 1;
+    let data_hall = recorder.lock().orders[number].data_hall.clone();
+    while recorder.now() < started + ORDER_TIMEOUT {
+        let addr = member_addrs[(at + sent) % member_addrs.len()];
         sent += 1;
         let path = format!("/evacuations/{data_hall}");
-        let calling = call(door, method, &path, "");
-        let answer = tokio::time::timeout(Duration::from_secs(1), calling).await;
+        let request = call(addr, method, &path, "");
+        let answer = tokio::time::timeout(Duration::from_secs(1), request).await;
         let Ok(Some(answer)) = answer else {
             continue;
         };
         if (400..500).contains(&answer.status) {
-            ledger.broken(format!("EVAC: {method} {data_hall} was answered {answer:?}"));
+            recorder
+                .record_violation(format!("EVAC: {method} {data_hall} was answered {answer:?}"));
         }
         if answer.status != 200 {
             continue;
         }
-        let now = ledger.now();
-        let again = ledger.book().orders[number].acknowledged.replace(now).is_some();
+        let now = recorder.now();
+        let again = recorder.lock().orders[number].acknowledged.replace(now).is_some();
         if again || !twice {
             return;
         }
