--- a/tests/soak/checks.rs
+++ b/tests/soak/checks.rs
@@ -21,21 +21,22 @@
 /// Time after a fault or a repair in which arrivals are not checked against the bounds on drains,
 /// evacuations and poison requests. A fault this long before a Retry-After also excuses a gateway.
 const SETTLE_TIME: Duration = Duration::from_millis(4_000);
-/// Retries that the gateways' settings allow in a window: a number and a share of the requests.
+/// Number of retries that the gateways' settings allow in a window, besides `RETRY_RATIO`.
 const RETRY_SLACK: f64 = 200.0;
+/// Retries allowed in a window as a share of its requests.
 const RETRY_RATIO: f64 = 0.2;
 const RETRY_WINDOW: Duration = Duration::from_secs(10);
 /// Number of targets that a poison request may end before gateways must block it.
 const MAX_POISON_EXITS: usize = 3;
-/// Time from the last of these until all connected gateways block the request, and number of sends that
-/// may still come later.
+/// Time from the last of these exits until all connected gateways must block the request.
 const POISON_BOUND: Duration = Duration::from_millis(3_000);
+/// Number of times that a poison request may still be sent after that.
 const MAX_LATE_POISON: usize = 3;
 /// Share of the innocent requests that may be blocked as poison.
 const MAX_BLOCKED_SHARE: f64 = 0.01;
-/// Time within which a gateway must apply a target's Retry-After, and number of requests that may come
-/// during the pause after that.
+/// Time within which a gateway must apply a target's Retry-After.
 const BACKOFF_GRACE: Duration = Duration::from_millis(500);
+/// Number of requests that may come during the rest of the pause.
 const MAX_DURING_BACKOFF: usize = 2;
 const SECOND: Duration = Duration::from_secs(1);
 
