--- a/tests/promises/own_answer.rs
+++ b/tests/promises/own_answer.rs
@@ -43,13 +43,14 @@
 }
 
 /// How many of a router's slot requests had each outcome.
-async fn asks_by_outcome(fleet: &Fleet, router: usize) -> Vec<(&'static str, f64)> {
-    let mut asks = Vec::new();
+async fn slot_requests_by_outcome(fleet: &Fleet, router: usize) -> Vec<(&'static str, f64)> {
+    let mut slot_requests = Vec::new();
     for outcome in ["granted", "full", "undecided", "silent"] {
         let label = format!("outcome=\"{outcome}\"");
-        asks.push((outcome, fleet.metric(router, "latchmount_slot_asks_total{", &label).await));
+        slot_requests
+            .push((outcome, fleet.metric(router, "latchmount_slot_asks_total{", &label).await));
     }
-    asks
+    slot_requests
 }
 
 /// Guards against healthy routers answering 429 to most callers on a busy machine: a slot request with no answer, or none
@@ -91,24 +92,27 @@
             (text, status, body)
         }
     });
-    let mut whole = 0;
+    let mut complete = 0;
     let mut refused: BTreeMap<String, usize> = BTreeMap::new();
     for (text, status, body) in futures_util::future::join_all(callers).await {
         if status == 200 {
             assert!(body.contains(&format!("re:{text}")), "{text:?} got {body}");
             assert!(body.contains(" t7"), "{text:?} got a partial answer: {body}");
-            whole += 1;
+            complete += 1;
         } else {
             assert!(!body.contains("re:"), "{text:?} got {status} and an answer: {body}");
             *refused.entry(format!("{status}: {body}")).or_default() += 1;
         }
     }
     // Chats are repeatable here, so only faults beyond the retry budget reach callers.
-    let mut asks = Vec::new();
+    let mut slot_requests = Vec::new();
     for router in 0..usize::from(routers) {
-        asks.push(asks_by_outcome(&fleet, router).await);
+        slot_requests.push(slot_requests_by_outcome(&fleet, router).await);
     }
-    assert!(whole >= CALLERS - 200, "only {whole} answers were whole: {refused:#?}, {asks:?}");
+    assert!(
+        complete >= CALLERS - 200,
+        "only {complete} answers were whole: {refused:#?}, {slot_requests:?}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
--- a/tests/soak/injector.rs
+++ b/tests/soak/injector.rs
@@ -375,10 +375,10 @@
             Fault::Race => {
                 let (one, other) =
                     (self.world.next_configuration(), self.world.next_configuration());
-                let (at, beside) = (addr(self.world), addr(self.world));
+                let (one_member, other_member) = (addr(self.world), addr(self.world));
                 tokio::join!(
-                    put_configuration(&recorder, at, other.0, &other.1),
-                    put_configuration(&recorder, beside, one.0, &one.1)
+                    put_configuration(&recorder, one_member, other.0, &other.1),
+                    put_configuration(&recorder, other_member, one.0, &one.1)
                 );
             }
             Fault::OldConfiguration => {
--- a/tests/soak/target.rs
+++ b/tests/soak/target.rs
@@ -393,14 +393,14 @@
 
     /// Rejects a request as not run, with a random Retry-After.
     fn reject(&self, gateway: IpAddr, id: &str) -> Response<Body> {
-        let rest =
+        let backoff_ms =
             self.backoff_rng.lock().expect("the lock is not poisoned").random_range(BACKOFF_MS);
         let (at, target) = (self.recorder.now(), self.name.clone());
-        let until = at + Duration::from_millis(rest);
+        let until = at + Duration::from_millis(backoff_ms);
         let mut observations = self.recorder.lock();
         *observations.turned_away.entry(id.to_owned()).or_default() += 1;
         observations.backoffs.push(Rest { target, gateway, at, until });
-        let seconds = format!("{:.3}", Duration::from_millis(rest).as_secs_f64());
+        let seconds = format!("{:.3}", Duration::from_millis(backoff_ms).as_secs_f64());
         self.head(id)
             .status(503)
             .header("x-not-run", "1")
@@ -477,11 +477,11 @@
 
 /// A stream of the events after `last` up to `events`; with `truncated` it breaks off within the next one.
 fn stream(last: u32, events: u32, truncated: bool) -> Body {
-    let whole = (last + 1..=events).map(|at| Ok(event(at)));
-    let rest = if truncated { vec![Ok("id: ".to_owned()), Err(Cut)] } else { Vec::new() };
-    let pieces = futures_util::stream::iter(whole.chain(rest)).then(|piece| async move {
+    let events = (last + 1..=events).map(|at| Ok(event(at)));
+    let ending = if truncated { vec![Ok("id: ".to_owned()), Err(Cut)] } else { Vec::new() };
+    let chunks = futures_util::stream::iter(events.chain(ending)).then(|chunk| async move {
         tokio::time::sleep(Duration::from_millis(20)).await;
-        piece.map(|text| Frame::data(Bytes::from(text)))
+        chunk.map(|text| Frame::data(Bytes::from(text)))
     });
-    StreamBody::new(pieces).boxed_unsync()
+    StreamBody::new(chunks).boxed_unsync()
 }
