--- a/src/compat/command.rs
+++ b/src/compat/command.rs
@@ -39,7 +39,7 @@
     Silence(Vec<String>),
     /// Targets, given by their identities, have waited long enough to inherit a home, and get one of their own.
     Settle(Vec<String>),
-    /// See [`Command::Evacuate`]. This variant and all below need [`Level::STARTS`].
+    /// See [`Command::Evacuate`]. This variant and all below need [`Level::INCARNATIONS`].
     Evacuate(EvacuationOrder),
     /// See [`Command::Rollout`].
     Rollout(RolloutOrder),
--- a/src/targets.rs
+++ b/src/targets.rs
@@ -130,7 +130,7 @@
     /// has.
     fn update(&mut self, listed: Listed) {
         if listed.leaving {
-            self.availability.says_leaving();
+            self.availability.record_shutdown();
         }
         self.listed = listed;
     }
@@ -223,7 +223,7 @@
         if let Some(target) = self.known.get_mut(name)
             && target.listed.incarnation <= incarnation
         {
-            target.availability.says_leaving();
+            target.availability.record_shutdown();
         }
     }
 
@@ -233,7 +233,7 @@
             && target.listed.incarnation == choice.incarnation
         {
             let chance = rand::random();
-            target.availability.rests(now, backoff, BACKOFF_RETURN_SPREAD, chance);
+            target.availability.back_off(now, backoff, BACKOFF_RETURN_SPREAD, chance);
         }
     }
 
@@ -245,7 +245,7 @@
         excluded: impl Fn(&str) -> bool,
     ) -> Option<Duration> {
         let suitable = self.suitable(now, need, &excluded);
-        suitable.filter_map(|target| target.availability.standing(now).rest_left(now)).min()
+        suitable.filter_map(|target| target.availability.eligibility(now).backoff_left(now)).min()
     }
 
     /// Whether the platform's list is too old to be proof that a target is alive.
@@ -264,10 +264,10 @@
         excluded: impl Fn(&str) -> bool,
     ) -> Vec<Choice> {
         let usable = self.suitable(now, need, &excluded);
-        let usable = usable.filter(|target| target.availability.standing(now).takes_work());
+        let usable = usable.filter(|target| target.availability.eligibility(now).accepts_work());
         let (ramping_up, fully_open): (Vec<_>, Vec<_>) = usable.partition(|target| {
             let in_flight = u32::try_from(target.in_flight).unwrap_or(u32::MAX);
-            target.availability.standing(now).hesitates(in_flight)
+            target.availability.eligibility(now).over_return_limit(in_flight)
         });
         let usable = if fully_open.is_empty() { ramping_up } else { fully_open };
         usable.into_iter().map(Target::to_choice).collect()
@@ -312,7 +312,7 @@
     pub fn succeeded(&mut self, now: Duration, name: &str) {
         if let Some(target) = self.known.get_mut(name) {
             target.answered_at = Some(now);
-            target.availability.answered(now);
+            target.availability.record_answer(now);
             target.circuit = Circuit::default();
         }
     }
