--- a/benches/path.rs
+++ b/benches/path.rs
@@ -11,7 +11,7 @@
 use hdrhistogram::Histogram;
 use serde_json::json;
 use support::engine::{EngineOptions, Fault};
-use support::{Fleet, Shape};
+use support::{Fleet, FleetOptions};
 
 /// Requests per second while latency is measured.
 const RATE: u64 = 200;
@@ -138,7 +138,13 @@
         ..EngineOptions::default()
     };
     let router = json!({ "max_in_flight_per_target": OPEN_STREAMS });
-    let fleet = Fleet::ready(Shape { engine, router, routers: 1, ..Shape::default() }).await;
+    let fleet = Fleet::start_configured(FleetOptions {
+        engine,
+        router,
+        routers: 1,
+        ..FleetOptions::default()
+    })
+    .await;
     let before = fleet.routers[0].resident_kib();
     let mut streams = Vec::new();
     for number in 0..OPEN_STREAMS {
@@ -158,7 +164,12 @@
 
 /// Latency that a claim adds to a call, and calls with a claim answered per second.
 async fn claims() {
-    let fleet = Fleet::ready(Shape { controls: 5, routers: 2, ..Shape::default() }).await;
+    let fleet = Fleet::start_configured(FleetOptions {
+        controls: 5,
+        routers: 2,
+        ..FleetOptions::default()
+    })
+    .await;
     let mut latencies =
         [Histogram::<u64>::new(3).expect("a histogram"), Histogram::new(3).expect("a histogram")];
     for number in 0..2_000 {
@@ -223,8 +234,14 @@
             let engine = EngineOptions { token_ms: 10, tokens: 20, ..EngineOptions::default() };
             let router = json!({ "engine_slots": SLOTS, "queue_wait_ms": 200 });
             let control = json!({ "freshness_lease_ms": 2_500 });
-            let shape = Shape { engine, engines: ENGINES, router, control, ..Shape::default() };
-            let fleet = Fleet::ready(shape).await;
+            let shape = FleetOptions {
+                engine,
+                engines: ENGINES,
+                router,
+                control,
+                ..FleetOptions::default()
+            };
+            let fleet = Fleet::start_configured(shape).await;
             tokio::time::sleep(Duration::from_secs(4)).await;
             let mut ticks = tokio::time::interval(Duration::from_secs_f64(1.0 / (capacity * load)));
             let (started, mut number, mut answers) = (Instant::now(), 0usize, Vec::new());
@@ -285,8 +302,8 @@
 async fn compare_endpoints() {
     let engine =
         EngineOptions { token_ms: 0, prefill_ms: 0, batch: 10_000, ..EngineOptions::default() };
-    let shape = Shape { engine, engines: 1, routers: 1, ..Shape::default() };
-    let fleet = Fleet::ready(shape).await;
+    let shape = FleetOptions { engine, engines: 1, routers: 1, ..FleetOptions::default() };
+    let fleet = Fleet::start_configured(shape).await;
     let endpoints = [
         Endpoint { name: "direct", url: fleet.engines[0].url().to_owned() },
         Endpoint { name: "router", url: fleet.router_url(0) },
--- a/tests/promises/own_answer.rs
+++ b/tests/promises/own_answer.rs
@@ -1,4 +1,4 @@
-//! Every caller receives the whole answer to its own request and no one else's.
+//! Every caller gets the complete response to its own request and never that to another's.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -8,14 +8,14 @@
 
 use crate::support::engine::{EngineOptions, Fault};
 use crate::support::hostile::Hostile;
-use crate::support::{Fleet, Shape, eventually, template};
+use crate::support::{Fleet, FleetOptions, eventually, template};
 use latchmount::targets::Serves;
 
 const CALLERS: usize = 2_000;
 
-/// A fleet with a hostile service named `hostile`, whose calls may not be repeated.
-pub async fn with_hostile(shape: Shape) -> (Fleet, Hostile) {
-    let fleet = Fleet::ready(shape).await;
+/// A fleet with the service `hostile`, a target that violates HTTP and whose requests are not repeatable.
+pub async fn with_hostile(options: FleetOptions) -> (Fleet, Hostile) {
+    let fleet = Fleet::start_configured(options).await;
     let hostile = Hostile::start().await;
     fleet.platform.add("hostile", &hostile.url, Serves::Service("hostile".into()));
     for router in 0..fleet.routers.len() {
@@ -42,18 +42,19 @@
     request.send().await
 }
 
-/// What came of a router's asks for slots.
-async fn asks_by_outcome(fleet: &Fleet, router: usize) -> Vec<(&'static str, f64)> {
-    let mut asks = Vec::new();
+/// How many of a router's slot requests had each outcome.
+async fn slot_requests_by_outcome(fleet: &Fleet, router: usize) -> Vec<(&'static str, f64)> {
+    let mut slot_requests = Vec::new();
     for outcome in ["granted", "full", "undecided", "silent"] {
         let label = format!("outcome=\"{outcome}\"");
-        asks.push((outcome, fleet.metric(router, "latchmount_slot_asks_total{", &label).await));
+        slot_requests
+            .push((outcome, fleet.metric(router, "latchmount_slot_asks_total{", &label).await));
     }
-    asks
+    slot_requests
 }
 
-/// On a busy machine healthy routers answered 429 to most of them: an ask for a slot that brought no answer, or none yet,
-/// was taken for a refusal.
+/// Guards against healthy routers answering 429 to most callers on a busy machine: a slot request with no answer, or none
+/// yet, was treated as refused.
 #[rstest]
 #[case::before_routers_know_each_other(2, false)]
 #[case::once_routers_know_each_other(2, true)]
@@ -65,12 +66,13 @@
 ) {
     let engine = EngineOptions { token_ms: 1, batch: CALLERS, ..EngineOptions::default() };
     let router = json!({ "max_in_flight_per_target": CALLERS, "engine_slots": CALLERS });
-    // Longer than any hiccup of a busy machine: no router refuses for want of news.
+    // Long enough that delays on a busy machine do not let the lease expire: no router refuses for a stale
+    // configuration.
     let control = json!({ "freshness_lease_ms": 19_000 });
-    let shape = Shape { engine, router, routers, control, ..Shape::default() };
-    let fleet = Fleet::ready(shape).await;
+    let options = FleetOptions { engine, router, routers, control, ..FleetOptions::default() };
+    let fleet = Fleet::start_configured(options).await;
     if know_each_other {
-        fleet.routers_know_each_other().await;
+        fleet.wait_for_router_discovery().await;
     }
     for engine in &fleet.engines {
         for round in 0..80 {
@@ -90,29 +92,33 @@
             (text, status, body)
         }
     });
-    let mut whole = 0;
+    let mut complete = 0;
     let mut refused: BTreeMap<String, usize> = BTreeMap::new();
     for (text, status, body) in futures_util::future::join_all(callers).await {
         if status == 200 {
             assert!(body.contains(&format!("re:{text}")), "{text:?} got {body}");
-            assert!(body.contains(" t7"), "{text:?} got a part: {body}");
-            whole += 1;
+            assert!(body.contains(" t7"), "{text:?} got a partial answer: {body}");
+            complete += 1;
         } else {
             assert!(!body.contains("re:"), "{text:?} got {status} and an answer: {body}");
             *refused.entry(format!("{status}: {body}")).or_default() += 1;
         }
     }
-    // Chats are repeatable here; only the retry budget lets some of the faults through.
-    let mut asks = Vec::new();
+    // Chats are repeatable here, so only faults beyond the retry budget reach callers.
+    let mut slot_requests = Vec::new();
     for router in 0..usize::from(routers) {
-        asks.push(asks_by_outcome(&fleet, router).await);
+        slot_requests.push(slot_requests_by_outcome(&fleet, router).await);
     }
-    assert!(whole >= CALLERS - 200, "only {whole} answers were whole: {refused:#?}, {asks:?}");
+    assert!(
+        complete >= CALLERS - 200,
+        "only {complete} answers were whole: {refused:#?}, {slot_requests:?}"
+    );
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_broken_stream_goes_on_where_it_broke() {
-    let fleet = Fleet::ready(Shape { engines: 1, ..Shape::default() }).await;
+    let fleet =
+        Fleet::start_configured(FleetOptions { engines: 1, ..FleetOptions::default() }).await;
     for cut in 1..8 {
         fleet.engines[0].fail_next(Fault::BreakAfter(cut));
         let text = format!("cut after {cut}");
@@ -127,7 +133,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_stream_that_cannot_go_on_ends_in_an_explicit_error() {
-    let fleet = Fleet::ready(Shape { engines: 1, ..Shape::default() }).await;
+    let fleet =
+        Fleet::start_configured(FleetOptions { engines: 1, ..FleetOptions::default() }).await;
     fleet.engines[0].fail_next(Fault::ForgetAfter(3));
     let mut answer = fleet.chat(0, "lost", &["lost"], true).send().await.unwrap();
     let mut body = Vec::new();
@@ -146,7 +153,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_that_ends_short_is_never_passed_on_as_whole() {
-    let (fleet, _) = with_hostile(Shape::default()).await;
+    let (fleet, _) = with_hostile(FleetOptions::default()).await;
     for path in ["/truncated/1", "/undelimited/1", "/half-chunked/1"] {
         let answer = call_hostile(&fleet, 0, path, &[]).await.unwrap();
         assert_eq!(answer.status(), 502, "{path}");
@@ -158,7 +165,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn doubled_and_late_answers_never_cross_over_to_another_caller() {
-    let (fleet, _) = with_hostile(Shape { routers: 1, ..Shape::default() }).await;
+    let (fleet, _) = with_hostile(FleetOptions { routers: 1, ..FleetOptions::default() }).await;
     for round in 0..100 {
         let path = format!("/doubled/{round}");
         let answer = call_hostile(&fleet, 0, &path, &[]).await.unwrap();
@@ -178,12 +185,16 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_cancels_its_work() {
     let engine = EngineOptions { token_ms: 100, tokens: 1_000, ..EngineOptions::default() };
-    let fleet = Fleet::ready(Shape { engines: 1, engine, ..Shape::default() }).await;
+    let fleet =
+        Fleet::start_configured(FleetOptions { engines: 1, engine, ..FleetOptions::default() })
+            .await;
     let mut answer = fleet.chat(0, "leaves", &["leaves"], true).send().await.unwrap();
     answer.chunk().await.unwrap();
     drop(answer);
-    eventually("the engine is told", async || (fleet.engines[0].cancelled() == 1).then_some(()))
-        .await;
+    eventually("the engine is notified of the cancellation", async || {
+        (fleet.engines[0].cancelled() == 1).then_some(())
+    })
+    .await;
     eventually("the slot is free", async || {
         (fleet.metric(0, "latchmount_in_flight{", "engine-0").await == 0.0).then_some(())
     })
@@ -192,13 +203,13 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn forged_bytes_make_no_log_line() {
-    let fleet = Fleet::ready(Shape::default()).await;
+    let fleet = Fleet::start_configured(FleetOptions::default()).await;
     let mut forged = template();
     forged["name"] = json!("x");
     let url = format!("{}/services/a%0Aevent=forged/x", fleet.router_url(0));
     let answer = fleet.http.get(url).header("latchmount-team", "agents").send().await.unwrap();
     assert_eq!(answer.status(), 503);
     tokio::time::sleep(Duration::from_millis(100)).await;
-    let log = fleet.log_of("router-0");
+    let log = fleet.read_log("router-0");
     assert!(!log.lines().any(|line| line.starts_with("event=forged")), "{log}");
 }
--- a/tests/rollout/judging.rs
+++ b/tests/rollout/judging.rs
@@ -102,7 +102,7 @@
 }
 
 fn simulate(strategy: Strategy, kind: Kind, gateways: u32, seed: u64) -> Summary {
-    let rollouts = seeds::number("LATCHMOUNT_ROLLOUTS").unwrap_or(ROLLOUTS);
+    let rollouts = seeds::env_number("LATCHMOUNT_ROLLOUTS").unwrap_or(ROLLOUTS);
     simulate_many(strategy, kind, gateways, seed, rollouts)
 }
 
@@ -225,8 +225,8 @@
     route_trouble: RouteTrouble,
 ) -> Summary {
     let seed = seeds::seed();
-    let rollouts = seeds::number("LATCHMOUNT_ROLLOUTS").unwrap_or(RARE_ROLLOUTS);
-    let longer = seeds::number("LATCHMOUNT_LONGER").unwrap_or(1) as u32;
+    let rollouts = seeds::env_number("LATCHMOUNT_ROLLOUTS").unwrap_or(RARE_ROLLOUTS);
+    let longer = seeds::env_number("LATCHMOUNT_LONGER").unwrap_or(1) as u32;
     let mut summary = Summary::default();
     for gateways in [8, 1_000] {
         for number in 0..rollouts {
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Real processes of one partner on the loopback, and the stand-ins they talk to.
+//! Starts the binary's `control` and `router` processes on the loopback for one partner, with
+//! stand-ins (fake servers) for engines, a plain service and the platform.
 
 #![allow(dead_code)]
 
@@ -32,30 +33,30 @@
 use platform::Platform;
 use service::Service;
 
-/// Longest wait for anything that must happen.
-pub const PATIENCE: Duration = Duration::from_secs(60);
+/// Limit on each wait of `eventually`.
+pub const EVENTUALLY_TIMEOUT: Duration = Duration::from_secs(60);
 pub const TOKEN: &str = "an operator's token";
 pub const KEY: &str = "a secret of this partner's hosts";
-/// Lines of each log that a failing test shows.
+/// Last lines of each process log that a failing test prints.
 const LOG_LINES_SHOWN: usize = 12;
 const CONTROL_PORT: u16 = 7000;
 const LINK_PORT: u16 = 9000;
 const ROUTER_PORT: u16 = 8080;
 
-/// Waits until `done` gives a value, and says what did not happen otherwise.
+/// Polls `done` until it returns a value; panics with `what` after the timeout.
 pub async fn eventually<T>(what: &str, mut done: impl AsyncFnMut() -> Option<T>) -> T {
     let started = Instant::now();
-    while started.elapsed() < PATIENCE {
+    while started.elapsed() < EVENTUALLY_TIMEOUT {
         if let Some(value) = done().await {
             return value;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
-    panic!("{what}: not within {PATIENCE:?}");
+    panic!("{what}: not within {EVENTUALLY_TIMEOUT:?}");
 }
 
-/// Addresses of the loopback that no other fleet of this or another test process uses.
-fn own_ip() -> Ipv4Addr {
+/// A loopback address that no other fleet of this or another test process uses.
+fn allocate_ip() -> Ipv4Addr {
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [low, middle, ..] = std::process::id().to_le_bytes();
     loop {
@@ -66,7 +67,7 @@
     }
 }
 
-/// A process of the binary; killed when dropped.
+/// A running process of the binary; killed when dropped.
 pub struct Process {
     child: Child,
     pub settings: PathBuf,
@@ -85,7 +86,7 @@
         word_after(&status, "VmRSS:").parse().expect("a number")
     }
 
-    /// Processor time used so far, in clock ticks of 10 ms.
+    /// CPU time used so far (user and system), in clock ticks of 10 ms.
     pub fn cpu_ticks(&self) -> u64 {
         let path = format!("/proc/{}/stat", self.child.id());
         let stat = std::fs::read_to_string(path).expect("a running process");
@@ -94,16 +95,17 @@
         fields[11..13].iter().filter_map(|field| field.parse::<u64>().ok()).sum()
     }
 
-    /// Ends it without notice.
+    /// Kills the process with SIGKILL and reaps it.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits until it has ended by itself; gives its exit code.
-    pub async fn ended(&mut self) -> Option<i32> {
+    /// Waits until the process exits by itself; returns its exit code.
+    pub async fn wait_for_exit(&mut self) -> Option<i32> {
         let child = &mut self.child;
-        let status = eventually("the process ends", async || child.try_wait().ok().flatten()).await;
+        let status =
+            eventually("the process exits", async || child.try_wait().ok().flatten()).await;
         status.code()
     }
 }
@@ -114,20 +116,20 @@
     }
 }
 
-/// How a fleet differs from the usual one.
-pub struct Shape {
+/// Sizes and settings of a fleet; the defaults suit most tests.
+pub struct FleetOptions {
     pub controls: u16,
     pub routers: u16,
     pub engines: usize,
     pub engine: EngineOptions,
-    /// Merged into each process's section `router` or `control`.
+    /// Settings merged into the section `router` or `control` of each process, here and below.
     pub router: Value,
     pub control: Value,
 }
 
-impl Default for Shape {
+impl Default for FleetOptions {
     fn default() -> Self {
-        Shape {
+        FleetOptions {
             controls: 1,
             routers: 2,
             engines: 2,
@@ -138,13 +140,13 @@
     }
 }
 
-/// A partner's processes and the stand-ins around them.
+/// One partner's processes and the stand-ins around them.
 pub struct Fleet {
     pub folder: tempfile::TempDir,
     ip: Ipv4Addr,
-    shape: Shape,
+    options: FleetOptions,
     pub controls: Vec<Process>,
-    /// The links through which each control member is reached.
+    /// For each control member the link in front of it, through which all others connect.
     pub links: Vec<Link>,
     pub routers: Vec<Process>,
     pub engines: Vec<Engine>,
@@ -154,12 +156,12 @@
 }
 
 impl Fleet {
-    /// Starts all processes and forms the group.
-    pub async fn start(shape: Shape) -> Self {
+    /// Starts all processes and forms the control group.
+    pub async fn start(options: FleetOptions) -> Self {
         let platform = Platform::start().await;
         let mut engines = Vec::new();
-        for number in 0..shape.engines {
-            let engine = Engine::start(shape.engine.clone()).await;
+        for number in 0..options.engines {
+            let engine = Engine::start(options.engine.clone()).await;
             platform.add_engine(&format!("engine-{number}"), &engine);
             engines.push(engine);
         }
@@ -167,7 +169,7 @@
         platform.add("porting", service.url(), Serves::Service("porting".into()));
         let mut fleet = Fleet {
             folder: tempfile::tempdir().expect("a folder"),
-            ip: own_ip(),
+            ip: allocate_ip(),
             controls: Vec::new(),
             links: Vec::new(),
             routers: Vec::new(),
@@ -175,16 +177,16 @@
             service,
             platform,
             http: reqwest::Client::builder().no_proxy().build().expect("a client"),
-            shape,
+            options,
         };
         std::fs::write(fleet.folder.path().join("token"), TOKEN).expect("a token file");
-        for number in 0..fleet.shape.controls {
+        for number in 0..fleet.options.controls {
             let to = (fleet.ip, CONTROL_PORT + number).into();
             fleet.links.push(Link::start(fleet.control_addr(number), to).await);
             let control = fleet.start_control(number);
             fleet.controls.push(control);
         }
-        for number in 0..fleet.shape.routers {
+        for number in 0..fleet.options.routers {
             let router = fleet.start_router(number);
             fleet.routers.push(router);
         }
@@ -196,15 +198,15 @@
         fleet
     }
 
-    /// Starts all and puts a template in force.
-    pub async fn ready(shape: Shape) -> Self {
-        let fleet = Fleet::start(shape).await;
+    /// Starts a fleet, submits `template()` and waits until all routers serve.
+    pub async fn start_configured(options: FleetOptions) -> Self {
+        let fleet = Fleet::start(options).await;
         fleet.submit(&template(), "1").await;
-        fleet.serving().await;
+        fleet.wait_until_serving().await;
         fleet
     }
 
-    /// Where a control member is reached: a link to it.
+    /// Address at which others reach a control member: that of its link.
     pub fn control_addr(&self, number: u16) -> SocketAddr {
         (self.ip, LINK_PORT + number).into()
     }
@@ -213,7 +215,7 @@
         format!("http://{}:{}", self.ip, ROUTER_PORT + number as u16)
     }
 
-    /// Starts a process with other settings than the usual ones.
+    /// Starts a process with these settings; `spawn` adds the common ones.
     pub fn restart_with(&self, name: &str, command: &str, settings: &Value) -> Process {
         self.spawn(name, command, settings.clone())
     }
@@ -242,14 +244,14 @@
         self.folder.path().join(format!("data-{number}"))
     }
 
-    pub fn log_of(&self, name: &str) -> String {
+    pub fn read_log(&self, name: &str) -> String {
         let path = self.folder.path().join(format!("{name}.log"));
         std::fs::read_to_string(path).unwrap_or_default()
     }
 
     pub fn start_control(&self, number: u16) -> Process {
         let peers: Vec<SocketAddr> =
-            (0..self.shape.controls).map(|peer| self.control_addr(peer)).collect();
+            (0..self.options.controls).map(|peer| self.control_addr(peer)).collect();
         let control = json!({
             "listen": SocketAddr::from((self.ip, CONTROL_PORT + number)),
             "advertise": self.control_addr(number),
@@ -257,28 +259,28 @@
             "data_dir": self.data_dir(number),
             "operators": [{ "name": "olga", "token_sha256": sha256(TOKEN) }],
         });
-        let control = merged(control, &self.shape.control);
+        let control = merged(control, &self.options.control);
         self.spawn(&format!("control-{number}"), "control", json!({ "control": control }))
     }
 
     pub fn start_router(&self, number: u16) -> Process {
         let control: Vec<SocketAddr> =
-            (0..self.shape.controls).map(|peer| self.control_addr(peer)).collect();
+            (0..self.options.controls).map(|peer| self.control_addr(peer)).collect();
         let router = json!({
             "listen": SocketAddr::from((self.ip, ROUTER_PORT + number)),
             "control": control,
             "list_poll_ms": 100,
             "stop_notice_ms": 100,
         });
-        let router = merged(router, &self.shape.router);
+        let router = merged(router, &self.options.router);
         self.spawn(&format!("router-{number}"), "router", json!({ "router": router }))
     }
 
-    /// Runs the operators' client.
+    /// Runs an operator command of the binary against all control members.
     pub fn operator(&self, args: &[&str]) -> Output {
         let mut command = Command::new(env!("CARGO_BIN_EXE_latchmount"));
         command.args(args).arg("--token-file").arg(self.folder.path().join("token"));
-        for number in 0..self.shape.controls {
+        for number in 0..self.options.controls {
             command.arg("--control").arg(self.control_addr(number).to_string());
         }
         command.output().expect("the binary")
@@ -291,7 +293,7 @@
         path.display().to_string()
     }
 
-    /// Submits a new template until it is accepted; gives its revision.
+    /// Submits a new template, which must be accepted; returns its revision.
     pub async fn submit(&self, template: &Value, id: &str) -> u64 {
         let file = self.template_file(template);
         let out = self.operator(&["template", "submit", "--change-id", id, &file]);
@@ -300,19 +302,20 @@
         word_after(&text, "revision").parse().expect("a revision")
     }
 
-    /// Waits until every router says that it is healthy.
-    pub async fn serving(&self) {
-        for number in 0..self.shape.routers as usize {
-            self.healthy(number).await;
+    /// Waits until every router is healthy and knows targets.
+    pub async fn wait_until_serving(&self) {
+        for number in 0..self.options.routers as usize {
+            self.wait_until_healthy(number).await;
         }
     }
 
-    /// Waits until every router knows of every other, and asks owners for slots.
-    pub async fn routers_know_each_other(&self) {
-        let count = format!("count={} ", self.shape.routers);
-        for number in 0..self.shape.routers {
+    /// Waits until every router has logged that it knows all others, and so requests slots from their
+    /// owners.
+    pub async fn wait_for_router_discovery(&self) {
+        let count = format!("count={} ", self.options.routers);
+        for number in 0..self.options.routers {
             eventually("the routers know each other", async || {
-                let log = self.log_of(&format!("router-{number}"));
+                let log = self.read_log(&format!("router-{number}"));
                 let mut lines = log.lines().filter(|line| line.contains("event=routers"));
                 lines.any(|line| line.contains(&count)).then_some(())
             })
@@ -320,22 +323,22 @@
         }
     }
 
-    pub async fn healthy(&self, number: usize) {
+    pub async fn wait_until_healthy(&self, number: usize) {
         let url = format!("{}/healthz", self.router_url(number));
         eventually("the router is healthy", async || {
             let answer = self.http.get(&url).send().await.ok()?;
             answer.status().is_success().then_some(())
         })
         .await;
-        // Its list of targets may come a moment later.
-        eventually("the router knows targets", async || {
+        // The router may receive its list of targets a moment later.
+        eventually("the router knows its targets", async || {
             let answer = self.call(number, "ping", &[]).await.ok()?;
             (answer.status() != 503).then_some(())
         })
         .await;
     }
 
-    /// A chat through a router.
+    /// Builds a chat completion request to a router.
     pub fn chat(
         &self,
         router: usize,
@@ -352,7 +355,7 @@
             .json(&json!({ "model": "any", "stream": stream, "messages": messages }))
     }
 
-    /// A call of the plain service through a router.
+    /// Sends a request to the plain service through a router.
     pub async fn call(
         &self,
         router: usize,
@@ -370,7 +373,7 @@
         request.send().await
     }
 
-    /// The value of a metric at a router, summed over the series whose line holds `part`.
+    /// The value of a router's metric, summed over the series whose line contains `part`.
     pub async fn metric(&self, router: usize, name: &str, part: &str) -> f64 {
         let url = format!("{}/metrics", self.router_url(router));
         let answer = self.http.get(url).send().await.expect("metrics");
@@ -381,7 +384,7 @@
 }
 
 impl Drop for Fleet {
-    /// Shows what the processes wrote last when a test fails.
+    /// Prints the last log lines of each process when a test fails.
     fn drop(&mut self) {
         if !std::thread::panicking() {
             return;
@@ -389,7 +392,7 @@
         let entries = std::fs::read_dir(self.folder.path()).into_iter().flatten().flatten();
         let names = entries.filter_map(|entry| entry.file_name().into_string().ok());
         for name in names.filter_map(|name| name.strip_suffix(".log").map(str::to_owned)) {
-            let log = self.log_of(&name);
+            let log = self.read_log(&name);
             let lines: Vec<&str> = log.lines().collect();
             let last = &lines[lines.len().saturating_sub(LOG_LINES_SHOWN)..];
             eprintln!("== {name}\n{}", last.join("\n"));
@@ -397,7 +400,7 @@
     }
 }
 
-/// The template that most tests put in force.
+/// The template that most tests submit.
 pub fn template() -> Value {
     json!({
         "name": "disputes", "model": "m7", "version": "3", "priority": 5,
@@ -421,7 +424,7 @@
     String::from_utf8_lossy(bytes).into_owned()
 }
 
-/// The word that follows `name` in a line of the client.
+/// The word after the first occurrence of `name` in the client's output.
 pub fn word_after(text: &str, name: &str) -> String {
     let mut words = text.split_whitespace().skip_while(|word| *word != name);
     words.nth(1).unwrap_or_default().to_owned()
