--- a/src/blob.rs
+++ b/src/blob.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_128;
 
-use crate::document::PackedDocument;
+use crate::document::Packed;
 use crate::group::listing::PackedDelta;
 use crate::link::LinkError;
 
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum Content {
     /// A configuration.
-    Document(PackedDocument),
+    Document(Packed),
     /// A change to the list of targets, or the whole list.
     Targets(PackedDelta),
 }
--- a/src/compat/base.rs
+++ b/src/compat/base.rs
@@ -8,7 +8,7 @@
 
 use super::command::Encoded;
 use crate::blob::BlobId;
-use crate::directory::{self, Incarnation, StartTime, TargetState};
+use crate::directory::{self, Born, Incarnation, TargetState};
 use crate::group::loads::Loads;
 use crate::group::message::BlobSource;
 use crate::raft::{Envelope, Index, StoreId};
@@ -40,7 +40,7 @@
         let Announcement { id, service, addr, data_hall, slots, state, sequence } = announcement;
         directory::Announcement {
             id,
-            born: StartTime::default(),
+            born: Born::default(),
             service,
             version: String::new(),
             addr,
@@ -100,7 +100,7 @@
         directory::Saved {
             revision: directory.revision,
             entries: directory.entries.into_iter().map(entry).collect(),
-            over: over.map(|(id, revision)| (id, StartTime::default(), revision)).collect(),
+            over: over.map(|(id, revision)| (id, Born::default(), revision)).collect(),
             forgotten: directory.forgotten,
         }
     }
@@ -125,7 +125,7 @@
 
 /// A target without start time, as the first build identifies it. It stands for whichever incarnation is current.
 pub fn incarnation(id: String) -> Incarnation {
-    Incarnation { id, born: StartTime::default() }
+    Incarnation { id, born: Born::default() }
 }
 
 /// A frame to a member.
--- a/src/compat/command.rs
+++ b/src/compat/command.rs
@@ -5,11 +5,11 @@
 use super::base;
 use crate::claims::{Claim, Release};
 use crate::directory::Incarnation;
-use crate::document::PackedDocument;
+use crate::document::Packed;
 use crate::evacuations::{EvacuationOrder, WarmAgain};
 use crate::level::Level;
 use crate::rollout::{RolloutOrder, RolloutStep};
-use crate::store::{Change, Command, Drain, Move, NewAnnouncement};
+use crate::store::{Change, Command, Drain, Move, Sight};
 
 /// A command as it is encoded. Released variants are never changed, removed or reordered; new ones go to the end.
 #[derive(Clone, Debug, Serialize, Deserialize)]
@@ -25,7 +25,7 @@
     /// See [`Command::Release`].
     Release(Release),
     /// See [`Command::Configure`].
-    Configure(PackedDocument),
+    Configure(Packed),
     /// One target announces a change; without start time.
     Announce {
         /// Its heartbeat.
@@ -48,7 +48,7 @@
     /// See [`Command::WarmAgain`].
     WarmAgain(Vec<WarmAgain>),
     /// See [`Command::Announce`].
-    AnnounceStarts(Vec<NewAnnouncement>),
+    AnnounceStarts(Vec<Sight>),
     /// See [`Command::Remove`].
     RemoveStart(Incarnation),
     /// See [`Command::Silence`].
@@ -69,8 +69,8 @@
             Command::Claim(claim) => Encoded::Claim(claim),
             Command::Release(release) => Encoded::Release(release),
             Command::Configure(packed) => Encoded::Configure(packed),
-            Command::Announce(sights) => match <[NewAnnouncement; 1]>::try_from(sights) {
-                Ok([NewAnnouncement { announcement, at_once }]) if base => {
+            Command::Announce(sights) => match <[Sight; 1]>::try_from(sights) {
+                Ok([Sight { announcement, at_once }]) if base => {
                     Encoded::Announce { announcement: announcement.into(), at_once }
                 }
                 Ok([sight]) => Encoded::AnnounceStarts(vec![sight]),
@@ -102,10 +102,7 @@
             Encoded::Release(release) => Command::Release(release),
             Encoded::Configure(packed) => Command::Configure(packed),
             Encoded::Announce { announcement, at_once } => {
-                Command::Announce(vec![NewAnnouncement {
-                    announcement: announcement.into(),
-                    at_once,
-                }])
+                Command::Announce(vec![Sight { announcement: announcement.into(), at_once }])
             }
             Encoded::Remove(id) => Command::Remove(base::incarnation(id)),
             Encoded::Silence(ids) => Command::Silence(all(ids)),
--- a/src/configuration.rs
+++ b/src/configuration.rs
@@ -35,8 +35,9 @@
 }
 
 /// A service with its share of a route's requests.
+// Serde's errors, which callers see, name this type.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct WeightedService {
+pub struct Weighted {
     /// Name of the service.
     pub service: String,
     /// Its share, relative to the sum of all weights of the route.
@@ -67,7 +68,7 @@
     #[serde(default)]
     pub priority: u32,
     /// Services to which requests are distributed; the weights add up to more than 0.
-    pub services: Vec<WeightedService>,
+    pub services: Vec<Weighted>,
     /// Maximum number of targets that a request is sent to.
     pub max_attempts: u32,
     /// Regions whose targets may get its requests; empty for all.
--- a/src/control/peers.rs
+++ b/src/control/peers.rs
@@ -11,7 +11,7 @@
 use super::member::{Member, Outbox};
 use super::rpc_handler::{AddressBook, RpcHandler};
 use crate::raft::{Envelope, Members, StoreId};
-use crate::rpc::{ControlClient, JoinRequest, connect};
+use crate::rpc::{ControlClient, Newcomer, connect};
 
 /// Maximum of batches queued for a peer. Further ones are dropped; Raft tolerates lost messages.
 const QUEUE_LEN: usize = 64;
@@ -122,7 +122,7 @@
         if !voter {
             for client in &clients {
                 let _ = client
-                    .join(sender.key.clone(), JoinRequest { store, addr: sender.own_addr })
+                    .join(sender.key.clone(), Newcomer { store, addr: sender.own_addr })
                     .await;
             }
         }
--- a/src/control/registry.rs
+++ b/src/control/registry.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::raft::Time;
-use crate::rpc::{LiveRouters, RouterReport, RouterStatus, SyncRequest, WaitReply};
+use crate::rpc::{LiveRouters, Report, RouterStatus, SyncRequest, WaitReply};
 use crate::store::Revision;
 
 /// A router as of its last sync call.
@@ -17,7 +17,7 @@
     revision: Revision,
     /// Address at which other routers reach it.
     addr: Option<SocketAddr>,
-    report: RouterReport,
+    report: Report,
 }
 
 /// Routers that sent a sync call within the last freshness lease.
--- a/src/control/registry_tests.rs
+++ b/src/control/registry_tests.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use super::Registry;
-use crate::rpc::{RouterReport, SyncRequest};
+use crate::rpc::{Report, SyncRequest};
 
 const LEASE: Duration = Duration::from_secs(6);
 
@@ -19,7 +19,7 @@
         group: Default::default(),
         known: 0,
         wait_ms: 0,
-        report: RouterReport::default(),
+        report: Report::default(),
     }
 }
 
--- a/src/control/rpc_handler.rs
+++ b/src/control/rpc_handler.rs
@@ -18,14 +18,14 @@
 use crate::jsonc;
 use crate::platform::Platform;
 use crate::raft::{
-    BoxedDisk, Envelope, GroupId, MemberKind, Members, Replica, StoreId, Time, Timing,
+    BoxedDisk, Envelope, GroupId, Members, Replica, Standing, StoreId, Time, Timing,
 };
 use crate::rpc::{
-    ControlClient, ControlError, ControlServer, Identity, JoinRequest, MemberStatus, Status,
+    ControlClient, ControlError, ControlServer, Identity, MemberStatus, Newcomer, Status,
     SyncReply, SyncRequest, WaitReply, connect,
 };
 use crate::settings::{ControlSettings, Settings};
-use crate::store::{Answer, Change, Command, Drain, Revision, StoredTemplate};
+use crate::store::{Answer, Change, Command, Drain, Revision, Stored};
 use crate::template::check_name;
 
 /// Timeout for asking another member for its identity while a group is formed.
@@ -182,7 +182,7 @@
             members.push(crate::raft::Member {
                 id: identity.store,
                 addr: *peer,
-                kind: MemberKind::Voter,
+                kind: Standing::Voter,
             });
         }
         Ok(Members(members))
@@ -252,7 +252,7 @@
         Ok(())
     }
 
-    async fn join(&self, key: String, newcomer: JoinRequest) -> Result<(), ErrorObjectOwned> {
+    async fn join(&self, key: String, newcomer: Newcomer) -> Result<(), ErrorObjectOwned> {
         self.check_key(&key)?;
         let admitted = self.member.query(move |replica, now| {
             replica.admit(now, newcomer.store, newcomer.addr);
@@ -333,7 +333,7 @@
         Ok(self.propose(&operator, Command::Drain(drain)).await?)
     }
 
-    async fn templates(&self, token: String) -> Result<Vec<StoredTemplate>, ErrorObjectOwned> {
+    async fn templates(&self, token: String) -> Result<Vec<Stored>, ErrorObjectOwned> {
         self.operator(&token)?;
         let templates = self.query_as_leader(|replica, _| {
             let templates = replica.store().templates().values();
--- a/src/dialect.rs
+++ b/src/dialect.rs
@@ -12,7 +12,7 @@
 
 use crate::checks::Checks;
 use crate::configuration::Configuration;
-use crate::directory::{Announcement, StartTime, TargetState};
+use crate::directory::{Announcement, Born, TargetState};
 use crate::jsonc::{self, Fault, Validate};
 use crate::retry_after::RetryAfter;
 use crate::rollout::{Rollout, Stage};
@@ -200,24 +200,24 @@
     ///
     /// # Errors
     /// The faults found, with the path of each field.
-    fn removal(&self, bytes: &[u8]) -> Result<StartTime, Vec<Fault>> {
+    fn removal(&self, bytes: &[u8]) -> Result<Born, Vec<Fault>> {
         if bytes.is_empty() {
-            return Ok(StartTime::default());
+            return Ok(Born::default());
         }
-        let removal: Removal = jsonc::from_slice_lenient(bytes)?;
-        Ok(StartTime(removal.born))
+        let removal: Departure = jsonc::from_slice_lenient(bytes)?;
+        Ok(Born(removal.born))
     }
 
     /// Decodes the body of an operator's call to start a roll-out.
     ///
     /// # Errors
     /// The faults found, with the path of each field.
-    fn rollout(&self, bytes: &[u8]) -> Result<RolloutRequest, Vec<Fault>> {
+    fn rollout(&self, bytes: &[u8]) -> Result<RolloutCall, Vec<Fault>> {
         jsonc::from_slice(bytes)
     }
 
     /// Encodes the body of an operator's call to start a roll-out.
-    fn rollout_body(&self, call: &RolloutRequest) -> String {
+    fn rollout_body(&self, call: &RolloutCall) -> String {
         serde_json::json!({
             "service": call.service, "version": call.version, "lasts_ms": call.lasts_ms,
         })
@@ -300,9 +300,10 @@
 }
 
 /// An operator's call to start a roll-out.
+// Serde's errors, which callers see, name this type.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RolloutRequest {
+pub struct RolloutCall {
     /// The service whose traffic is to move.
     pub service: String,
     /// Version that the traffic is to move to.
@@ -314,7 +315,7 @@
 /// Maximum duration of a roll-out: a day.
 const MAX_ROLLOUT_MS: u64 = 86_400_000;
 
-impl Validate for RolloutRequest {
+impl Validate for RolloutCall {
     fn faults(&self) -> Vec<Fault> {
         let mut checks = Checks::default();
         checks.require(!self.service.is_empty(), "service", "must not be empty");
@@ -387,7 +388,7 @@
 /// Body of a heartbeat in the default dialect.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-struct NativeHeartbeat {
+struct OwnHeartbeat {
     service: String,
     #[serde(default)]
     version: String,
@@ -403,19 +404,20 @@
 }
 
 /// Body of a target's call to remove itself, in the default dialect.
+// Serde's errors, which callers see, name this type.
 #[derive(Debug, Deserialize)]
-struct Removal {
+struct Departure {
     #[serde(default)]
     born: Option<u64>,
 }
 
-impl Validate for Removal {
+impl Validate for Departure {
     fn faults(&self) -> Vec<Fault> {
         Vec::new()
     }
 }
 
-impl Validate for NativeHeartbeat {
+impl Validate for OwnHeartbeat {
     fn faults(&self) -> Vec<Fault> {
         let silent = self.state == TargetState::Silent;
         let fault = Fault::new("state", "must be ready or draining");
@@ -450,10 +452,10 @@
     }
 
     fn announcement(&self, id: &str, bytes: &[u8]) -> Result<Announcement, Vec<Fault>> {
-        let heartbeat: NativeHeartbeat = jsonc::from_slice(bytes)?;
+        let heartbeat: OwnHeartbeat = jsonc::from_slice(bytes)?;
         Ok(Announcement {
             id: id.to_owned(),
-            born: StartTime(heartbeat.born),
+            born: Born(heartbeat.born),
             service: heartbeat.service,
             version: heartbeat.version,
             addr: heartbeat.addr,
--- a/src/directory/entry.rs
+++ b/src/directory/entry.rs
@@ -1,6 +1,5 @@
 //! A target in the directory, and the types in which targets and changes of them are sent.
 
-use std::fmt;
 use std::net::SocketAddr;
 use std::time::Duration;
 
@@ -28,7 +27,7 @@
     /// Identity of the target. It may keep it when it restarts.
     pub id: String,
     /// When it started, by its own clock: distinguishes the incarnations of the target.
-    pub born: StartTime,
+    pub born: Born,
     /// Service that it belongs to.
     pub service: String,
     /// Version of its software; empty if it does not send one.
@@ -59,7 +58,7 @@
             return self;
         }
         Announcement {
-            born: StartTime::default(),
+            born: Born::default(),
             version: String::new(),
             cold_left: Duration::ZERO,
             ..self
@@ -74,15 +73,12 @@
 
 /// When a target started, by its own clock, in milliseconds since 1970; `None` if the target does not send it. The clock
 /// may step back, so that a later incarnation can have an earlier time.
-#[derive(Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct StartTime(pub Option<u64>);
-
-/// Keeps the name `Born` in the `ids` of the log events `targets_settled` and `targets_silent`.
-impl fmt::Debug for StartTime {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_tuple("Born").field(&self.0).finish()
-    }
-}
+///
+/// The name of this type is part of log events (`ids` of `targets_settled` and `targets_silent`) and of serde's errors.
+#[derive(
+    Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
+)]
+pub struct Born(pub Option<u64>);
 
 /// One incarnation of a target: its life from one start to the end of the process.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -90,7 +86,7 @@
     /// Identity of the target.
     pub id: String,
     /// When it started, which distinguishes incarnations of the same identity.
-    pub born: StartTime,
+    pub born: Born,
 }
 
 /// A target as the directory stores it.
@@ -137,7 +133,7 @@
 }
 
 /// Hash of an incarnation; of the identity alone if the start time is not known.
-fn incarnation_key(id: &str, born: StartTime) -> u64 {
+fn incarnation_key(id: &str, born: Born) -> u64 {
     match born.0 {
         Some(born) => xxh3_64_with_seed(id.as_bytes(), born),
         None => key(id),
--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -20,8 +20,8 @@
 use serde::{Deserialize, Serialize};
 
 pub use self::entry::{
-    Announcement, DirectoryDelta, DirectoryEntry, HeartbeatClass, Incarnation, Listed, Moved,
-    StartTime, TargetState, key,
+    Announcement, Born, DirectoryDelta, DirectoryEntry, HeartbeatClass, Incarnation, Listed, Moved,
+    TargetState, key,
 };
 use crate::store::Revision;
 
@@ -37,9 +37,9 @@
     revision: Revision,
     targets: OrdMap<Id, Arc<DirectoryEntry>>,
     /// Ended incarnations with the revision that ended them, oldest first.
-    over: Vector<(Id, StartTime, Revision)>,
+    over: Vector<(Id, Born, Revision)>,
     /// The same by identity.
-    over_by_id: OrdMap<Id, OrdSet<StartTime>>,
+    over_by_id: OrdMap<Id, OrdSet<Born>>,
     /// Revision of the newest ended incarnation that was dropped from `over`; 0 if none was.
     forgotten: Revision,
     /// Targets by the revision that last changed them.
@@ -60,7 +60,7 @@
 pub(crate) struct Saved {
     pub(crate) revision: Revision,
     pub(crate) entries: Vec<DirectoryEntry>,
-    pub(crate) over: Vec<(String, StartTime, Revision)>,
+    pub(crate) over: Vec<(String, Born, Revision)>,
     pub(crate) forgotten: Revision,
 }
 
@@ -127,7 +127,7 @@
     }
 
     /// Whether an incarnation of a target is known to have been removed or replaced.
-    pub fn has_ended(&self, id: &str, born: StartTime) -> bool {
+    pub fn has_ended(&self, id: &str, born: Born) -> bool {
         self.over_by_id.get(id).is_some_and(|over| over.contains(&born))
     }
 
@@ -332,7 +332,7 @@
 
     /// Removes a target if `born` is its current incarnation or does not name one. A request to remove an earlier
     /// incarnation removes nothing. If the target is not known, the incarnation is recorded as ended.
-    pub fn remove(&mut self, index: Revision, id: &str, born: StartTime) {
+    pub fn remove(&mut self, index: Revision, id: &str, born: Born) {
         if self.was_removed(id) {
             return;
         }
@@ -361,7 +361,7 @@
     }
 
     /// Records that an incarnation ended, and drops the oldest record beyond [`MAX_ENDED_INCARNATIONS`].
-    fn record_end(&mut self, id: Id, born: StartTime, index: Revision) {
+    fn record_end(&mut self, id: Id, born: Born, index: Revision) {
         self.over_by_id.entry(id.clone()).or_default().insert(born);
         self.over.push_back((id, born, index));
         if self.over.len() > MAX_ENDED_INCARNATIONS
--- a/src/document.rs
+++ b/src/document.rs
@@ -26,8 +26,9 @@
 }
 
 /// A compressed document, whole or as a delta.
+// Serde's errors, which callers see, name this type.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PackedDocument {
+pub struct Packed {
     /// Version of the document.
     pub version: u64,
     /// Version against which this is a delta, and which the receiver must have; `None` for a whole document.
@@ -60,7 +61,7 @@
     ///
     /// # Errors
     /// [`PackError::TooLarge`] beyond [`MAX_DOCUMENT_BYTES`]; [`PackError::Damaged`] when the compressor fails.
-    pub fn pack(&self, base: Option<&Document>) -> Result<PackedDocument, PackError> {
+    pub fn pack(&self, base: Option<&Document>) -> Result<Packed, PackError> {
         if self.bytes.len() > MAX_DOCUMENT_BYTES {
             return Err(PackError::TooLarge);
         }
@@ -70,7 +71,7 @@
             set_prefix(&mut compressor, known, self.bytes.len()).map_err(|_| PackError::Damaged)?;
         }
         let packed = compressor.compress(&self.bytes).map_err(|_| PackError::Damaged)?;
-        Ok(PackedDocument {
+        Ok(Packed {
             version: self.version,
             base: base.map(|base| base.version),
             len: self.bytes.len() as u32,
@@ -91,7 +92,7 @@
     result.map(|_| ()).map_err(|code| io::Error::other(zstd::zstd_safe::get_error_name(code)))
 }
 
-impl PackedDocument {
+impl Packed {
     /// Decompresses the document; `held` is the version that the receiver has.
     ///
     /// # Errors
--- a/src/gateway/update_receiver.rs
+++ b/src/gateway/update_receiver.rs
@@ -11,7 +11,7 @@
 use super::config_delay::ConfigDelay;
 use super::{Gateway, peers};
 use crate::blob::{Blob, BlobId, Content};
-use crate::document::{Document, PackedDocument};
+use crate::document::{Document, Packed};
 use crate::group::listing::PackedDelta;
 use crate::group::message::{BlobSource, Evacuation, EvacuationsUpdate, ToMember, Update};
 use crate::link::{FrameSender, LinkError};
@@ -240,11 +240,7 @@
         }
     }
 
-    fn apply_document(
-        &mut self,
-        packed: &PackedDocument,
-        from: SocketAddr,
-    ) -> Result<(), LinkError> {
+    fn apply_document(&mut self, packed: &Packed, from: SocketAddr) -> Result<(), LinkError> {
         let held = self.version();
         if packed.version <= held {
             return Ok(());
--- a/src/group/endpoints.rs
+++ b/src/group/endpoints.rs
@@ -20,7 +20,7 @@
 use super::rollout::RolloutError;
 use super::{Shared, Unavailable};
 use crate::dialect::ApiCall;
-use crate::directory::{Announcement, Incarnation, StartTime};
+use crate::directory::{Announcement, Born, Incarnation};
 use crate::document::{Document, MAX_DOCUMENT_BYTES};
 use crate::jsonc::{Fault, Validate};
 use crate::level::Level;
@@ -255,7 +255,7 @@
         }
     };
     let published = shared.published();
-    let born = if published.level < Level::INCARNATIONS { StartTime::default() } else { born };
+    let born = if published.level < Level::INCARNATIONS { Born::default() } else { born };
     if published.directory.was_removed(id) || published.directory.has_ended(id, born) {
         return empty_response(StatusCode::OK);
     }
--- a/src/group/heartbeats.rs
+++ b/src/group/heartbeats.rs
@@ -17,7 +17,7 @@
 use crate::control::member::Published;
 use crate::directory::{Announcement, HeartbeatClass};
 use crate::level::Level;
-use crate::store::{Answer, Command, NewAnnouncement};
+use crate::store::{Answer, Command, Sight};
 use crate::sync::lock;
 
 /// Reports to the leader per heartbeat interval of the targets.
@@ -136,7 +136,7 @@
                 });
                 if changed {
                     let at_once = liveness.is_forming(now, &announcement.service, &directory);
-                    sights.push(NewAnnouncement { announcement, at_once });
+                    sights.push(Sight { announcement, at_once });
                 }
             }
         }
@@ -150,7 +150,7 @@
     }
 
     /// Commits announcements: in one command, or in one command each while the group has [`Level::BASE`].
-    async fn propose_sights(&self, level: Level, sights: Vec<NewAnnouncement>) -> Option<()> {
+    async fn propose_sights(&self, level: Level, sights: Vec<Sight>) -> Option<()> {
         let commands: Vec<Command> = match level {
             Level::BASE => sights.into_iter().map(|sight| Command::Announce(vec![sight])).collect(),
             _ => vec![Command::Announce(sights)],
--- a/src/group/listing.rs
+++ b/src/group/listing.rs
@@ -10,7 +10,7 @@
 
 use crate::compat::base::Columns;
 use crate::compat::parts;
-use crate::directory::{Announcement, DirectoryDelta, Listed, Moved, StartTime};
+use crate::directory::{Announcement, Born, DirectoryDelta, Listed, Moved};
 use crate::link::LinkError;
 use crate::store::Revision;
 
@@ -37,7 +37,7 @@
     moved_targets: Vec<u64>,
     /// Times until they are no longer cold, in milliseconds; so is `cold_left`.
     moved_cold_left: Vec<u32>,
-    born: Vec<StartTime>,
+    born: Vec<Born>,
     versions: Vec<String>,
     cold_left: Vec<u32>,
 }
@@ -154,7 +154,7 @@
         AddedColumns {
             moved_targets: columns.moved_targets.clone(),
             moved_cold_left: vec![0; moved],
-            born: vec![StartTime::default(); listed],
+            born: vec![Born::default(); listed],
             versions: vec![String::new(); listed],
             cold_left: vec![0; listed],
         }
--- a/src/group/metrics.rs
+++ b/src/group/metrics.rs
@@ -8,7 +8,7 @@
 use super::Shared;
 use crate::clock::Instant;
 use crate::metrics::{DURATION_BUCKETS, MetricSet, SHORT_DURATION_BUCKETS};
-use crate::raft::MemberKind;
+use crate::raft::Standing;
 use crate::status_server;
 use crate::sync::lock;
 
@@ -186,7 +186,7 @@
 
     fn render(&self, shared: &Shared) -> Vec<u8> {
         let (published, leadership) = (shared.published(), shared.member.leadership());
-        let voters = published.members.0.iter().filter(|one| one.kind == MemberKind::Voter);
+        let voters = published.members.0.iter().filter(|one| one.kind == Standing::Voter);
         let version = published.version();
         let evacuated = published.evacuations.halls().filter(|(_, order)| order.evacuated);
         self.evacuated.set(evacuated.count() as i64);
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -53,8 +53,8 @@
 use crate::level::{Level, Readiness};
 use crate::poison::{PoisonTracker, Rule};
 use crate::raft::{
-    BoxedDisk, FolderDisk, GroupId, MemberKind, Members, Replica, RetryingDisk, StoreId,
-    TailPolicy, TimedDisk, WalError, random_store_id,
+    BoxedDisk, FolderDisk, GroupId, Members, Replica, RetryingDisk, Standing, StoreId, TailPolicy,
+    TimedDisk, WalError, random_store_id,
 };
 use crate::run_clock::RunClock;
 use crate::sampler::Sampler;
@@ -329,7 +329,7 @@
     let founder = |addr: SocketAddr| crate::raft::Member {
         id: StoreId(xxh3_64(format!("founder {addr}").as_bytes())),
         addr,
-        kind: MemberKind::Voter,
+        kind: Standing::Voter,
     };
     let mut members: Vec<_> = seeds.into_iter().map(founder).collect();
     members.sort_by_key(|member| member.id);
--- a/src/group/rollout.rs
+++ b/src/group/rollout.rs
@@ -11,7 +11,7 @@
 use super::loads::LoadKey;
 use super::{Shared, Unavailable};
 use crate::control::member::Published;
-use crate::dialect::RolloutRequest;
+use crate::dialect::RolloutCall;
 use crate::jsonc::Fault;
 use crate::level::Level;
 use crate::rollout::route_mix::RolloutMix;
@@ -194,7 +194,7 @@
         outcome.map_err(|_| RolloutError::Unavailable)?
     }
 
-    async fn propose_rollout(&self, call: RolloutRequest) -> Result<(), RolloutError> {
+    async fn propose_rollout(&self, call: RolloutCall) -> Result<(), RolloutError> {
         let published = self.read().await?;
         self.check_service(&published, &call.service)?;
         if published.level < Level::INCARNATIONS {
--- a/src/operator/member_api.rs
+++ b/src/operator/member_api.rs
@@ -7,7 +7,7 @@
 use super::{OperatorError, RETRY_INTERVAL};
 use crate::cli::{EvacuationCommand, MemberEndpoints, PoisonCommand, RolloutCommand};
 use crate::clock::Instant;
-use crate::dialect::{Dialect, RolloutRequest};
+use crate::dialect::{Dialect, RolloutCall};
 use crate::jsonc::{Fault, Validate};
 use crate::retry_after::RetryAfter;
 
@@ -72,8 +72,7 @@
     match command {
         RolloutCommand::Start { within_s, service, version, .. } => {
             let lasts_ms = within_s.saturating_mul(1_000);
-            let call =
-                RolloutRequest { service: service.clone(), version: version.clone(), lasts_ms };
+            let call = RolloutCall { service: service.clone(), version: version.clone(), lasts_ms };
             let faults = call.faults();
             if !faults.is_empty() {
                 return Err(OperatorError::Invalid(faults));
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -18,7 +18,7 @@
 use crate::jsonc::{self, Fault, Validate};
 use crate::rpc::{ControlClient, ControlError, Group, Status};
 use crate::settings::Settings;
-use crate::store::{Answer, Change, Drain, StoredTemplate};
+use crate::store::{Answer, Change, Drain, Stored};
 use crate::targets::{Listed, Serves};
 use crate::template::Template;
 
@@ -319,11 +319,11 @@
         }
     }
 
-    async fn templates(&mut self) -> Result<Vec<StoredTemplate>, OperatorError> {
+    async fn templates(&mut self) -> Result<Vec<Stored>, OperatorError> {
         self.call(async |client, token| client.templates(token).await).await
     }
 
-    async fn stored(&mut self, name: &str) -> Result<StoredTemplate, OperatorError> {
+    async fn stored(&mut self, name: &str) -> Result<Stored, OperatorError> {
         let templates = self.templates().await?;
         let mut named = templates.into_iter().filter(|stored| stored.template.name == name);
         named.next().ok_or_else(|| OperatorError::NoTemplate(name.to_owned()))
--- a/src/raft/format5.rs
+++ b/src/raft/format5.rs
@@ -7,10 +7,10 @@
 use super::{Entry, HardState, Index, Members, Payload, Position, Snapshot, StoreId, Term};
 use crate::claims::{Claim, Release};
 use crate::directory::Incarnation;
-use crate::document::PackedDocument;
+use crate::document::Packed;
 use crate::evacuations::{EvacuationOrder, WarmAgain};
 use crate::rollout::{RolloutOrder, RolloutStep};
-use crate::store::{Change, Command, Drain, Move, NewAnnouncement, StoreFormat5};
+use crate::store::{Change, Command, Drain, Move, Sight, StoreFormat5};
 
 #[derive(Deserialize)]
 pub(super) enum Format5Record {
@@ -51,8 +51,8 @@
     Move(Move),
     Claim(Claim),
     Release(Release),
-    Configure(PackedDocument),
-    Announce(Vec<NewAnnouncement>),
+    Configure(Packed),
+    Announce(Vec<Sight>),
     Remove(Incarnation),
     Silence(Vec<Incarnation>),
     Settle(Vec<Incarnation>),
--- a/src/raft/membership.rs
+++ b/src/raft/membership.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use super::node::Node;
-use super::{Member, MemberKind, Members, Payload, Role, StoreId, Time};
+use super::{Member, Members, Payload, Role, Standing, StoreId, Time};
 
 /// Rules by which a leader maintains the number of voters.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -42,7 +42,7 @@
         let ready = self.0.iter().find(|member| {
             let health = health(member.id);
             let responsive = health.unresponsive_for < rules.unresponsive_after;
-            member.kind == MemberKind::Learner && responsive && health.caught_up
+            member.kind == Standing::Learner && responsive && health.caught_up
         });
         let unresponsive =
             |member: &&Member| health(member.id).unresponsive_for >= rules.unresponsive_after;
@@ -52,14 +52,14 @@
                 return Some(self.without(replaced));
             }
             if voters < rules.voters {
-                return Some(self.with_kind(ready.id, MemberKind::Voter));
+                return Some(self.with_kind(ready.id, Standing::Voter));
             }
-            let voters = self.0.iter().filter(|member| member.kind == MemberKind::Voter);
+            let voters = self.0.iter().filter(|member| member.kind == Standing::Voter);
             if let Some(lost) = voters.into_iter().find(unresponsive) {
-                return Some(self.with_kind(lost.id, MemberKind::Learner));
+                return Some(self.with_kind(lost.id, Standing::Learner));
             }
         }
-        let learners = self.0.iter().filter(|member| member.kind == MemberKind::Learner);
+        let learners = self.0.iter().filter(|member| member.kind == Standing::Learner);
         let removable = |member: &&Member| {
             let superseded = self.0.iter().any(|other| {
                 other.id != member.id
@@ -77,7 +77,7 @@
     /// The voter that had the address of `learner` before; its disk is lost.
     fn predecessor(&self, learner: &Member) -> Option<StoreId> {
         let same = |member: &&Member| member.addr == learner.addr && member.id != learner.id;
-        let voters = self.0.iter().filter(|member| member.kind == MemberKind::Voter);
+        let voters = self.0.iter().filter(|member| member.kind == Standing::Voter);
         voters.into_iter().find(same).map(|member| member.id)
     }
 
@@ -85,7 +85,7 @@
         Members(self.0.iter().filter(|member| member.id != id).copied().collect())
     }
 
-    fn with_kind(&self, id: StoreId, kind: MemberKind) -> Members {
+    fn with_kind(&self, id: StoreId, kind: Standing) -> Members {
         let change = |member: &Member| match member.id == id {
             true => Member { kind, ..*member },
             false => *member,
@@ -115,8 +115,8 @@
             return;
         }
         let mut members = self.members().clone();
-        members.0.retain(|member| member.addr != addr || member.kind == MemberKind::Voter);
-        members.0.push(Member { id, addr, kind: MemberKind::Learner });
+        members.0.retain(|member| member.addr != addr || member.kind == Standing::Voter);
+        members.0.push(Member { id, addr, kind: Standing::Learner });
         // `propose` fails only if this member does not lead.
         let _ = self.propose(now, Payload::Members(members));
     }
--- a/src/raft/mod.rs
+++ b/src/raft/mod.rs
@@ -60,9 +60,10 @@
 pub struct GroupId(pub u64);
 
 /// Whether a member counts towards a quorum.
+// Serde's errors, which callers see, name this type.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum MemberKind {
+pub enum Standing {
     /// Votes and counts towards a quorum.
     Voter,
     /// Receives the log, but neither votes nor counts until it has caught up.
@@ -78,7 +79,7 @@
     pub addr: SocketAddr,
     /// Whether it is a voter.
     #[serde(rename = "standing")]
-    pub kind: MemberKind,
+    pub kind: Standing,
 }
 
 /// The members of a group.
@@ -93,7 +94,7 @@
 
     /// The members that vote.
     pub fn voters(&self) -> impl Iterator<Item = StoreId> + '_ {
-        self.0.iter().filter(|member| member.kind == MemberKind::Voter).map(|member| member.id)
+        self.0.iter().filter(|member| member.kind == Standing::Voter).map(|member| member.id)
     }
 
     /// Number of voters that form a majority.
@@ -110,11 +111,11 @@
     pub fn next_step(&self, id: StoreId, addr: SocketAddr, caught_up: bool) -> Option<Members> {
         let mut next = self.clone();
         let Some(kind) = self.get(id).map(|member| member.kind) else {
-            next.0.retain(|member| member.addr != addr || member.kind == MemberKind::Voter);
-            next.0.push(Member { id, addr, kind: MemberKind::Learner });
+            next.0.retain(|member| member.addr != addr || member.kind == Standing::Voter);
+            next.0.push(Member { id, addr, kind: Standing::Learner });
             return Some(next);
         };
-        if kind == MemberKind::Voter || !caught_up {
+        if kind == Standing::Voter || !caught_up {
             return None;
         }
         let replaced = |member: &Member| member.addr == addr && member.id != id;
@@ -124,7 +125,7 @@
         }
         for member in &mut next.0 {
             if member.id == id {
-                member.kind = MemberKind::Voter;
+                member.kind = Standing::Voter;
             }
         }
         Some(next)
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -30,7 +30,7 @@
 use crate::queue::Queue;
 use crate::reason::Reason;
 use crate::retry::Budget;
-use crate::rpc::{ControlError, Group, RouterReport};
+use crate::rpc::{ControlError, Group, Report};
 use crate::sampler::Sampler;
 use crate::settings::{RouterSettings, Settings};
 use crate::store::Config;
@@ -193,12 +193,12 @@
     }
 
     /// Counters that this router reports to the control group.
-    fn report(&self) -> RouterReport {
+    fn report(&self) -> Report {
         let refused = Reason::ALL.iter().filter_map(|reason| {
             let count = self.metrics.refused.with_label_values(&[reason.code()]).get();
             (count > 0).then(|| (reason.code().to_owned(), count))
         });
-        RouterReport {
+        Report {
             admitted: self.admitted.load(Ordering::Relaxed),
             refused: refused.collect::<BTreeMap<_, _>>(),
         }
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -15,7 +15,7 @@
 use crate::claims::{Claim, Release, Verdict};
 use crate::jsonc::Fault;
 use crate::raft::{Envelope, GroupId, Member, StoreId, Term};
-use crate::store::{Answer, Delta, Drain, Moving, Revision, StoredTemplate};
+use crate::store::{Answer, Delta, Drain, Moving, Revision, Stored};
 use crate::targets::Listed;
 
 /// Maximum size of a call or answer; a snapshot of 1,000 large templates fits.
@@ -31,8 +31,9 @@
 }
 
 /// A member's request to join the group.
+// Serde's errors, which callers see, name this type.
 #[derive(Clone, Copy, Debug, Serialize, Deserialize)]
-pub struct JoinRequest {
+pub struct Newcomer {
     /// Id of its store.
     pub store: StoreId,
     /// Address of its RPC server.
@@ -55,12 +56,12 @@
     /// How long the member is to wait for a newer revision before it answers, in milliseconds.
     pub wait_ms: u64,
     /// The counts that the router reports.
-    pub report: RouterReport,
+    pub report: Report,
 }
 
 /// Counts that a router reports, since its start.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct RouterReport {
+pub struct Report {
     /// Number of requests admitted.
     pub admitted: u64,
     /// Number of requests refused, by reason code.
@@ -150,7 +151,7 @@
     /// Time since its last call, in milliseconds.
     pub heard_ms_ago: u64,
     /// Counts that it reported last.
-    pub report: RouterReport,
+    pub report: Report,
 }
 
 /// The RPC methods of a control member.
@@ -174,7 +175,7 @@
 
     /// Adds a member to the group.
     #[method(name = "join")]
-    async fn join(&self, key: String, newcomer: JoinRequest) -> Result<(), ErrorObjectOwned>;
+    async fn join(&self, key: String, newcomer: Newcomer) -> Result<(), ErrorObjectOwned>;
 
     /// Forms a group of all members in the settings. None of them may belong to a group yet.
     #[method(name = "form")]
@@ -202,7 +203,7 @@
 
     /// Returns every template in force.
     #[method(name = "templates")]
-    async fn templates(&self, token: String) -> Result<Vec<StoredTemplate>, ErrorObjectOwned>;
+    async fn templates(&self, token: String) -> Result<Vec<Stored>, ErrorObjectOwned>;
 
     /// Waits until `revision` is in force at every live router, at most `timeout_ms`.
     #[method(name = "wait")]
--- a/src/store/command.rs
+++ b/src/store/command.rs
@@ -9,7 +9,7 @@
 use crate::compat::base;
 use crate::compat::command::Encoded;
 use crate::directory::{Announcement, Incarnation};
-use crate::document::PackedDocument;
+use crate::document::Packed;
 use crate::evacuations::{EvacuationOrder, OrderVerdict, WarmAgain};
 use crate::jsonc::{Fault, Validate};
 use crate::level::Level;
@@ -31,9 +31,9 @@
     /// A router releases a claim.
     Release(Release),
     /// An operator sends a configuration document, whole or as a difference.
-    Configure(PackedDocument),
+    Configure(Packed),
     /// Targets announced something that the directory does not hold yet.
-    Announce(Vec<NewAnnouncement>),
+    Announce(Vec<Sight>),
     /// A target was removed for good: the incarnation with the start time given, or the current one if
     /// none is given.
     Remove(Incarnation),
@@ -81,8 +81,9 @@
 }
 
 /// An announcement of a target that changes the directory.
+// Serde's errors, which callers see, name this type.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct NewAnnouncement {
+pub struct Sight {
     /// The announcement.
     pub announcement: Announcement,
     /// Whether the target gets a new home at once, rather than wait to inherit one from a target that
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -14,14 +14,14 @@
 
 use crate::claims::Claims;
 use crate::directory::Directory;
-use crate::document::{Document, PackedDocument};
+use crate::document::{Document, Packed};
 use crate::evacuations::Evacuations;
 use crate::jsonc::Fault;
 use crate::level::Level;
 use crate::rollout::Rollouts;
 use crate::template::Template;
 
-pub use self::command::{Answer, Change, Command, Drain, Move, Moving, NewAnnouncement};
+pub use self::command::{Answer, Change, Command, Drain, Move, Moving, Sight};
 pub use self::config::{Config, Delta};
 pub(crate) use self::saved::Format5 as StoreFormat5;
 
@@ -36,8 +36,9 @@
 pub type Revision = u64;
 
 /// A template in force.
+// Serde's errors, which callers see, name this type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct StoredTemplate {
+pub struct Stored {
     /// Counts from 1 with each accepted change.
     pub version: u64,
     /// Revision in which this version came into force.
@@ -64,8 +65,9 @@
 }
 
 /// A change and the answer to it, which a resend of the change gets again.
+// Serde's errors, which callers see, name this type.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-struct SavedAnswer {
+struct FirstAnswer {
     change: Change,
     answer: Answer,
 }
@@ -75,13 +77,13 @@
 pub struct Store {
     level: Level,
     revision: Revision,
-    templates: BTreeMap<String, StoredTemplate>,
+    templates: BTreeMap<String, Stored>,
     drains: BTreeSet<String>,
     moving: BTreeMap<String, Moving>,
     /// Revision that last changed `drains` or `moving`.
     closed_revision: Revision,
     /// Answers to recent changes, by id of the change.
-    answers: BTreeMap<String, SavedAnswer>,
+    answers: BTreeMap<String, FirstAnswer>,
     /// Ids in `answers`, oldest first.
     answer_order: VecDeque<String>,
     claims: Claims,
@@ -103,7 +105,7 @@
     }
 
     /// Every template, by name.
-    pub fn templates(&self) -> &BTreeMap<String, StoredTemplate> {
+    pub fn templates(&self) -> &BTreeMap<String, Stored> {
         &self.templates
     }
 
@@ -157,7 +159,7 @@
             }
             Command::Configure(packed) => self.apply_document(index, &packed),
             Command::Announce(sights) => {
-                for NewAnnouncement { announcement, at_once } in sights {
+                for Sight { announcement, at_once } in sights {
                     let target = announcement.incarnation();
                     self.directory.announce(index, announcement);
                     if at_once {
@@ -220,7 +222,7 @@
     }
 
     /// Keeps the document with the highest version; of two with the same version, the first.
-    fn apply_document(&mut self, index: u64, packed: &PackedDocument) -> Answer {
+    fn apply_document(&mut self, index: u64, packed: &Packed) -> Answer {
         let held = self.document.as_ref().map_or(0, |held| held.version);
         if packed.version <= held {
             return Answer::Configured { held };
@@ -313,7 +315,7 @@
 
     fn put_template(&mut self, index: u64, change: Change) {
         let name = change.template.name.clone();
-        let stored = self.templates.entry(name).or_insert_with(|| StoredTemplate {
+        let stored = self.templates.entry(name).or_insert_with(|| Stored {
             version: 0,
             revision: 0,
             template: Template::default(),
@@ -337,7 +339,7 @@
 
     fn save_answer(&mut self, change: Change, answer: Answer) {
         let id = change.id.clone();
-        self.answers.insert(id.clone(), SavedAnswer { change, answer });
+        self.answers.insert(id.clone(), FirstAnswer { change, answer });
         self.answer_order.push_back(id);
         if self.answer_order.len() > MAX_SAVED_ANSWERS
             && let Some(oldest) = self.answer_order.pop_front()
--- a/src/store/saved.rs
+++ b/src/store/saved.rs
@@ -9,7 +9,7 @@
 use serde::ser::{Error as _, SerializeTuple};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-use super::{Document, Moving, Revision, SavedAnswer, Store, StoredTemplate};
+use super::{Document, FirstAnswer, Moving, Revision, Store, Stored};
 use crate::claims::Claims;
 use crate::compat::base;
 use crate::directory::{Directory, Saved as SavedDirectory};
@@ -23,24 +23,26 @@
 const MAX_ELEMENTS: usize = 8;
 
 /// Fields that all encodings have, besides the revision, which precedes them.
+// Serde's errors, which callers see, name this type.
 #[derive(Serialize, Deserialize)]
-struct CommonFields<'a> {
-    templates: Cow<'a, BTreeMap<String, StoredTemplate>>,
+struct Rest<'a> {
+    templates: Cow<'a, BTreeMap<String, Stored>>,
     drains: Cow<'a, BTreeSet<String>>,
     moving: Cow<'a, BTreeMap<String, Moving>>,
     closed_revision: Revision,
-    answers: Cow<'a, BTreeMap<String, SavedAnswer>>,
+    answers: Cow<'a, BTreeMap<String, FirstAnswer>>,
     answer_order: Cow<'a, VecDeque<String>>,
     claims: Cow<'a, Claims>,
     document: Cow<'a, Option<Document>>,
 }
 
 /// A store at the base level, for encodings with field names (JSON).
+// Serde's errors, which callers see, name this type.
 #[derive(Serialize, Deserialize)]
-struct BaseFields<'a> {
+struct Named<'a> {
     revision: Revision,
     #[serde(flatten)]
-    common: CommonFields<'a>,
+    common: Rest<'a>,
     directory: base::Directory,
 }
 
@@ -62,7 +64,7 @@
 #[derive(Deserialize)]
 struct Format5Fields {
     revision: Revision,
-    common: CommonFields<'static>,
+    common: Rest<'static>,
     directory: Directory,
     evacuations: Evacuations,
     rollouts: Rollouts,
@@ -76,9 +78,9 @@
     }
 }
 
-impl<'a> CommonFields<'a> {
+impl<'a> Rest<'a> {
     fn of(store: &'a Store) -> Self {
-        CommonFields {
+        Rest {
             templates: Cow::Borrowed(&store.templates),
             drains: Cow::Borrowed(&store.drains),
             moving: Cow::Borrowed(&store.moving),
@@ -119,11 +121,11 @@
 
 impl Serialize for Store {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
-        let common = CommonFields::of(self);
+        let common = Rest::of(self);
         if self.level == Level::BASE {
             let (revision, directory) = (self.revision, base_directory(self));
             return match serializer.is_human_readable() {
-                true => BaseFields { revision, common, directory }.serialize(serializer),
+                true => Named { revision, common, directory }.serialize(serializer),
                 false => (revision, common, directory).serialize(serializer),
             };
         }
@@ -151,8 +153,7 @@
 impl<'de> Deserialize<'de> for Store {
     fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
         if deserializer.is_human_readable() {
-            let BaseFields { revision, common, directory: saved } =
-                BaseFields::deserialize(deserializer)?;
+            let Named { revision, common, directory: saved } = Named::deserialize(deserializer)?;
             return Ok(common.into_store(revision, Level::BASE, directory(saved)));
         }
         deserializer.deserialize_tuple(MAX_ELEMENTS, StoreVisitor)
@@ -171,7 +172,7 @@
     fn visit_seq<A: SeqAccess<'de>>(self, mut seq: A) -> Result<Store, A::Error> {
         let first: Revision = next(&mut seq)?;
         if first != LEVEL_MARKER {
-            let common: CommonFields<'static> = next(&mut seq)?;
+            let common: Rest<'static> = next(&mut seq)?;
             let saved: base::Directory = next(&mut seq)?;
             return Ok(common.into_store(first, Level::BASE, directory(saved)));
         }
@@ -183,7 +184,7 @@
             return Err(A::Error::custom(message));
         }
         let revision: Revision = next(&mut seq)?;
-        let common: CommonFields<'static> = next(&mut seq)?;
+        let common: Rest<'static> = next(&mut seq)?;
         let starts: StartsFields<'static> = next(&mut seq)?;
         let directory = starts.directory.into_owned().with_undated(starts.undated);
         let store = common.into_store(revision, level, directory);
--- a/tests/agreement/group.rs
+++ b/tests/agreement/group.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use latchmount::raft::{
-    Envelope, GroupId, Member, MemberKind, Members, MembershipRules, Position, Replica, Role,
+    Envelope, GroupId, Member, Members, MembershipRules, Position, Replica, Role, Standing,
     StoreId, Term, Timing,
 };
 use latchmount::store::{Answer, Change, Command, Store};
@@ -147,7 +147,7 @@
             });
             group.start(number);
         }
-        let member = |host: &Host| Member { id: host.id, addr: host.addr, kind: MemberKind::Voter };
+        let member = |host: &Host| Member { id: host.id, addr: host.addr, kind: Standing::Voter };
         let founders = if rules.is_some() { UPKEEP_VOTERS } else { MEMBERS };
         let members = Members(group.hosts.iter().take(founders).map(member).collect());
         // Members that found by themselves all found the same group.
--- a/tests/agreement/replication.rs
+++ b/tests/agreement/replication.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use latchmount::raft::{
-    Body, Envelope, GroupId, Member, MemberKind, Members, Replica, Role, StoreId,
+    Body, Envelope, GroupId, Member, Members, Replica, Role, Standing, StoreId,
 };
 use latchmount::store::Command;
 
@@ -24,7 +24,7 @@
     let member = |id: u64| Member {
         id: StoreId(id),
         addr: SocketAddr::from(([127, 0, 0, 1], id as u16)),
-        kind: MemberKind::Voter,
+        kind: Standing::Voter,
     };
     replica.form(GroupId(7), Members(vec![member(1), member(2)]));
     replica
--- a/tests/agreement/wal.rs
+++ b/tests/agreement/wal.rs
@@ -4,7 +4,7 @@
 
 use latchmount::level::Level;
 use latchmount::raft::{
-    Disk, GroupId, Member, MemberKind, Members, Replica, StoreId, TailPolicy, WalError,
+    Disk, GroupId, Member, Members, Replica, Standing, StoreId, TailPolicy, WalError,
 };
 use latchmount::store::Command;
 use rstest::rstest;
@@ -22,8 +22,7 @@
 fn written(changes: u64) -> (FakeDisk, Replica<FakeDisk>) {
     let disk = FakeDisk::default();
     let mut replica = open(&disk).expect("an empty disk");
-    let member =
-        Member { id: StoreId(7), addr: ([10, 0, 0, 1], 1).into(), kind: MemberKind::Voter };
+    let member = Member { id: StoreId(7), addr: ([10, 0, 0, 1], 1).into(), kind: Standing::Voter };
     replica.form(GroupId(1), Members(vec![member]));
     replica.flush().expect("a sound disk");
     lead(&mut replica);
--- a/tests/compat/commands.rs
+++ b/tests/compat/commands.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use latchmount::directory::{Announcement, Incarnation, StartTime, TargetState};
+use latchmount::directory::{Announcement, Born, Incarnation, TargetState};
 use latchmount::evacuations::{EvacuationOrder, WarmAgain};
 use latchmount::level::Level;
 use latchmount::rollout::{RolloutOrder, RolloutStep, Stage};
-use latchmount::store::{Command, NewAnnouncement};
+use latchmount::store::{Command, Sight};
 use proptest::prelude::*;
 
 /// Variants that the first build knows.
 const BASE_VARIANTS: u8 = 10;
 
-fn born() -> impl Strategy<Value = StartTime> {
-    prop::option::of(0_u64..5).prop_map(StartTime)
+fn born() -> impl Strategy<Value = Born> {
+    prop::option::of(0_u64..5).prop_map(Born)
 }
 
 fn announcement() -> impl Strategy<Value = Announcement> {
@@ -39,7 +39,7 @@
 
 fn command() -> impl Strategy<Value = Command> {
     let sight = (announcement(), any::<bool>())
-        .prop_map(|(announcement, at_once)| NewAnnouncement { announcement, at_once });
+        .prop_map(|(announcement, at_once)| Sight { announcement, at_once });
     let many = || prop::collection::vec(incarnation(), 0..4);
     let order = ("h", any::<bool>(), any::<u64>()).prop_map(|(data_hall, evacuate, after)| {
         Command::Evacuate(EvacuationOrder { data_hall, evacuate, after })
@@ -84,7 +84,7 @@
     fn what_a_group_of_the_base_level_may_hold_of_a_target_the_first_build_can_say(
         announcement in announcement(),
     ) {
-        let sight = NewAnnouncement { announcement: announcement.limited_to(Level::BASE), at_once: false };
+        let sight = Sight { announcement: announcement.limited_to(Level::BASE), at_once: false };
         prop_assert_eq!(Command::Announce(vec![sight]).level(), Level::BASE);
     }
 }
--- a/tests/compat/levels.rs
+++ b/tests/compat/levels.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use latchmount::level::{GroupState, Level, Readiness};
-use latchmount::raft::{Member, MemberKind, Members, StoreId};
+use latchmount::raft::{Member, Members, Standing, StoreId};
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
 
@@ -13,7 +13,7 @@
     let member = |id: u64| Member {
         id: StoreId(id),
         addr: ([10, 0, 0, id as u8], 1).into(),
-        kind: if id < 3 { MemberKind::Voter } else { MemberKind::Learner },
+        kind: if id < 3 { Standing::Voter } else { Standing::Learner },
     };
     Members((0..count).map(member).collect())
 }
--- a/tests/compat/samples.rs
+++ b/tests/compat/samples.rs
@@ -5,7 +5,7 @@
 
 use latchmount::blob::{Blob, Content};
 use latchmount::directory::{
-    Announcement, DirectoryDelta, Incarnation, Listed, Moved, StartTime, TargetState, key,
+    Announcement, Born, DirectoryDelta, Incarnation, Listed, Moved, TargetState, key,
 };
 use latchmount::document::Document;
 use latchmount::evacuations::{EvacuationOrder, WarmAgain};
@@ -16,17 +16,16 @@
 };
 use latchmount::level::Level;
 use latchmount::raft::{
-    Body, Entry, Envelope, GroupId, Member, MemberKind, Members, Payload, Position, Snapshot,
-    StoreId,
+    Body, Entry, Envelope, GroupId, Member, Members, Payload, Position, Snapshot, Standing, StoreId,
 };
 use latchmount::rollout::{RolloutOrder, RolloutStep, RolloutsUpdate, Stage};
-use latchmount::store::{Answer, Command, Drain, NewAnnouncement, Store};
+use latchmount::store::{Answer, Command, Drain, Sight, Store};
 
 /// A target that does not tell when it started.
 pub fn target(id: &str) -> Announcement {
     Announcement {
         id: id.into(),
-        born: StartTime(None),
+        born: Born(None),
         service: "s".into(),
         version: String::new(),
         addr: ([10, 0, 0, 7], 80).into(),
@@ -41,7 +40,7 @@
 /// The same target, which tells all.
 pub fn start(id: &str, born: u64) -> Announcement {
     let cold_left = Duration::from_millis(200);
-    Announcement { born: StartTime(Some(born)), version: "v2".into(), cold_left, ..target(id) }
+    Announcement { born: Born(Some(born)), version: "v2".into(), cold_left, ..target(id) }
 }
 
 pub fn incarnation(id: &str) -> Incarnation {
@@ -58,9 +57,8 @@
 
 pub fn commands() -> Vec<Command> {
     let document = Document { version: 4, bytes: "{}".into() };
-    let announce = |id, at_once| {
-        Command::Announce(vec![NewAnnouncement { announcement: target(id), at_once }])
-    };
+    let announce =
+        |id, at_once| Command::Announce(vec![Sight { announcement: target(id), at_once }]);
     vec![
         Command::Drain(Drain { name: "host-1".into(), on: true }),
         Command::Configure(document.pack(None).expect("a document")),
@@ -74,7 +72,7 @@
 
 /// Commands that the first build does not know.
 pub fn commands_of_starts() -> Vec<Command> {
-    let sight = |id, born| NewAnnouncement { announcement: start(id, born), at_once: born > 7 };
+    let sight = |id, born| Sight { announcement: start(id, born), at_once: born > 7 };
     let started = |id, born| start(id, born).incarnation();
     let (data_hall, service) = ("hall-a".to_owned(), "s".to_owned());
     let order = RolloutOrder {
@@ -147,7 +145,7 @@
 
 /// Frames to a member, by name.
 pub fn to_member() -> Vec<(&'static str, ToMember)> {
-    let members = Members(vec![Member { id: StoreId(1), addr: member(), kind: MemberKind::Voter }]);
+    let members = Members(vec![Member { id: StoreId(1), addr: member(), kind: Standing::Voter }]);
     let at = Position { term: 5, index: 9 };
     let snapshot = Box::new(Snapshot { at, members, store: store() });
     let call = |call| ToMember::Call { id: 6, call };
--- a/tests/compat/stores.rs
+++ b/tests/compat/stores.rs
@@ -2,12 +2,12 @@
 
 use latchmount::directory::{HeartbeatClass, TargetState};
 use latchmount::level::Level;
-use latchmount::store::{Command, NewAnnouncement, Store};
+use latchmount::store::{Command, Sight, Store};
 
 use crate::samples::{start, store, target};
 
 fn announce(store: &mut Store, index: u64, announcement: latchmount::directory::Announcement) {
-    store.apply(index, Command::Announce(vec![NewAnnouncement { announcement, at_once: true }]));
+    store.apply(index, Command::Announce(vec![Sight { announcement, at_once: true }]));
 }
 
 #[test]
--- a/tests/directory.rs
+++ b/tests/directory.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use latchmount::directory::{
-    Announcement, Directory, HeartbeatClass, Incarnation, StartTime, TargetState,
+    Announcement, Born, Directory, HeartbeatClass, Incarnation, TargetState,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -31,14 +31,14 @@
     fn announce(&mut self, index: u64, heartbeat: &Announcement) {
         let id = heartbeat.id.clone();
         let start = heartbeat.incarnation();
-        let says_less = start.born == StartTime(None) && self.over.iter().any(|over| over.id == id);
+        let says_less = start.born == Born(None) && self.over.iter().any(|over| over.id == id);
         if self.over.contains(&start) || (!self.targets.contains_key(&id) && says_less) {
             return;
         }
         if let Some(known) = self.targets.get(&id).map(|entry| entry.announcement.clone())
             && known.born != heartbeat.born
         {
-            let silent = known.state == TargetState::Silent && heartbeat.born != StartTime(None);
+            let silent = known.state == TargetState::Silent && heartbeat.born != Born(None);
             if heartbeat.born < known.born && !silent {
                 return;
             }
@@ -127,7 +127,7 @@
     fn remove(&mut self, index: u64, target: &Incarnation) {
         let known = self.targets.get(&target.id).map(|entry| entry.announcement.clone());
         match known {
-            Some(known) if target.born == StartTime(None) || target.born == known.born => {
+            Some(known) if target.born == Born(None) || target.born == known.born => {
                 self.end(index, &known);
             }
             Some(_) => {}
@@ -138,8 +138,8 @@
 }
 
 /// When a start was, by a clock that may step; at times it is not said.
-fn born(rng: &mut StdRng) -> StartTime {
-    StartTime(rng.random_bool(0.8).then(|| rng.random_range(1..5)))
+fn born(rng: &mut StdRng) -> Born {
+    Born(rng.random_bool(0.8).then(|| rng.random_range(1..5)))
 }
 
 fn heartbeat(rng: &mut StdRng, state: TargetState, sequence: u64) -> Announcement {
--- a/tests/gateway/directory.rs
+++ b/tests/gateway/directory.rs
@@ -1,7 +1,7 @@
 //! The directory of targets: heartbeats, homes, deltas.
 
 use latchmount::directory::{
-    Announcement, Directory, HeartbeatClass, Incarnation, StartTime, TargetState,
+    Announcement, Born, Directory, HeartbeatClass, Incarnation, TargetState,
 };
 use latchmount::group::listing::Packer;
 use rand::rngs::StdRng;
@@ -15,7 +15,7 @@
 pub(crate) fn heartbeat(id: &str, state: TargetState, sequence: u64) -> Announcement {
     Announcement {
         id: id.into(),
-        born: StartTime::default(),
+        born: Born::default(),
         service: "s".into(),
         version: "v1".into(),
         addr: SocketAddr::from(([10, 0, 0, 1], 80)),
@@ -29,7 +29,7 @@
 
 /// The incarnation of a target that does not report its start time.
 pub(crate) fn first_start(id: &str) -> Incarnation {
-    Incarnation { id: id.to_owned(), born: StartTime::default() }
+    Incarnation { id: id.to_owned(), born: Born::default() }
 }
 
 #[test]
@@ -48,7 +48,7 @@
         directory.classify(&heartbeat("a", TargetState::Draining, 9)),
         HeartbeatClass::Unchanged
     );
-    directory.remove(12, "a", StartTime::default());
+    directory.remove(12, "a", Born::default());
     assert_eq!(directory.classify(&heartbeat("a", TargetState::Ready, 99)), HeartbeatClass::Stale);
     assert!(directory.targets().next().is_none());
 }
@@ -84,9 +84,9 @@
     let freed = expected.remove("old2").expect("old2 had a home");
     expected.insert("new".into(), freed);
     assert_eq!(homes(&directory), expected);
-    directory.remove(next(), "old2", StartTime::default());
+    directory.remove(next(), "old2", Born::default());
     assert_eq!(homes(&directory), expected);
-    directory.remove(next(), "old1", StartTime::default());
+    directory.remove(next(), "old1", Born::default());
     expected.remove("old1");
     assert_eq!(homes(&directory), expected, "without a new target the home stays free");
     directory.announce(next(), heartbeat("later", TargetState::Ready, 1));
@@ -108,7 +108,7 @@
             0..6 => directory.announce(index, heartbeat(&id, TargetState::Ready, index)),
             6 => directory.announce(index, heartbeat(&id, TargetState::Draining, index)),
             7 => directory.mark_unresponsive(index, &[first_start(&id)]),
-            _ => directory.remove(index, &id, StartTime::default()),
+            _ => directory.remove(index, &id, Born::default()),
         }
         let at = rng.random_range(0..followers.len());
         let (known, targets) = &mut followers[at];
--- a/tests/gateway/incarnations.rs
+++ b/tests/gateway/incarnations.rs
@@ -2,7 +2,7 @@
 //! same or another identity, serves at the same address. They must not change what the directory has of the new one.
 
 use latchmount::directory::{
-    Announcement, Directory, HeartbeatClass, Incarnation, StartTime, TargetState,
+    Announcement, Born, Directory, HeartbeatClass, Incarnation, TargetState,
 };
 use rstest::rstest;
 
@@ -26,7 +26,7 @@
     }
     match old {
         Old::Unresponsive => directory.mark_unresponsive(3, &[first_start("old")]),
-        Old::Removed => directory.remove(3, "old", StartTime::default()),
+        Old::Removed => directory.remove(3, "old", Born::default()),
         Old::Listed | Old::NeverListed => {}
     }
     directory.announce(4, heartbeat("new", TargetState::Ready, 1));
@@ -75,14 +75,14 @@
     assert_eq!(directory.revision(), revision, "no change is sent to gateways");
 }
 
-const FIRST: StartTime = StartTime(Some(1_000));
-const SECOND: StartTime = StartTime(Some(2_000));
+const FIRST: Born = Born(Some(1_000));
+const SECOND: Born = Born(Some(2_000));
 
-fn announcement(born: StartTime, state: TargetState, sequence: u64) -> Announcement {
+fn announcement(born: Born, state: TargetState, sequence: u64) -> Announcement {
     Announcement { born, ..heartbeat("t", state, sequence) }
 }
 
-fn incarnation(born: StartTime) -> Incarnation {
+fn incarnation(born: Born) -> Incarnation {
     Incarnation { id: "t".to_owned(), born }
 }
 
@@ -102,7 +102,7 @@
 }
 
 /// What gateways get of the target: its start time, state and home, and the revision of the directory.
-fn known(directory: &Directory) -> (StartTime, TargetState, Option<u32>, u64) {
+fn known(directory: &Directory) -> (Born, TargetState, Option<u32>, u64) {
     let all = directory.delta_since(0).expect("targets").changed;
     let listed = all.into_iter().find(|listed| listed.announcement.id == "t").expect("listed");
     let target = listed.announcement;
@@ -146,23 +146,19 @@
 #[case::later(Old::Listed, SECOND, HeartbeatClass::Changed)]
 #[case::equal_and_counts_anew(Old::Listed, FIRST, HeartbeatClass::Stale)]
 #[case::equal_after_removal(Old::Removed, FIRST, HeartbeatClass::Stale)]
-#[case::earlier_while_the_known_one_is_heard(
-    Old::Listed,
-    StartTime(Some(500)),
-    HeartbeatClass::Stale
-)]
+#[case::earlier_while_the_known_one_is_heard(Old::Listed, Born(Some(500)), HeartbeatClass::Stale)]
 #[case::earlier_when_it_is_heard_no_more(
     Old::Unresponsive,
-    StartTime(Some(500)),
+    Born(Some(500)),
     HeartbeatClass::Changed
 )]
-#[case::earlier_after_removal(Old::Removed, StartTime(Some(500)), HeartbeatClass::Changed)]
-#[case::missing_where_it_was_said(Old::Unresponsive, StartTime(None), HeartbeatClass::Stale)]
-#[case::missing_after_removal(Old::Removed, StartTime(None), HeartbeatClass::Stale)]
-#[case::missing_at_first_sight(Old::NeverListed, StartTime(None), HeartbeatClass::Changed)]
+#[case::earlier_after_removal(Old::Removed, Born(Some(500)), HeartbeatClass::Changed)]
+#[case::missing_where_it_was_said(Old::Unresponsive, Born(None), HeartbeatClass::Stale)]
+#[case::missing_after_removal(Old::Removed, Born(None), HeartbeatClass::Stale)]
+#[case::missing_at_first_sight(Old::NeverListed, Born(None), HeartbeatClass::Changed)]
 fn which_start_a_first_heartbeat_is_of(
     #[case] old: Old,
-    #[case] born: StartTime,
+    #[case] born: Born,
     #[case] expected: HeartbeatClass,
 ) {
     let directory = first_listed(old);
@@ -173,7 +169,7 @@
 #[test]
 fn a_target_that_begins_to_report_its_start_time_is_a_new_incarnation() {
     let mut directory = Directory::default();
-    directory.announce(1, announcement(StartTime(None), TargetState::Ready, 9));
+    directory.announce(1, announcement(Born(None), TargetState::Ready, 9));
     assert_eq!(
         directory.classify(&announcement(FIRST, TargetState::Ready, 1)),
         HeartbeatClass::Changed
@@ -199,7 +195,7 @@
 #[test]
 fn a_removal_without_a_start_time_removes_the_listed_incarnation() {
     let mut directory = first_listed(Old::Listed);
-    directory.remove(4, "t", StartTime(None));
+    directory.remove(4, "t", Born(None));
     assert!(directory.get("t").is_none());
     assert_eq!(
         directory.classify(&announcement(FIRST, TargetState::Ready, 9_999)),
--- a/tests/gateway/routes.rs
+++ b/tests/gateway/routes.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use latchmount::configuration::{
-    ClientLimits, Configuration, Route, RouteKind, Service, Team, WeightedService,
+    ClientLimits, Configuration, Route, RouteKind, Service, Team, Weighted,
 };
 use latchmount::document::{Document, PackError};
 use latchmount::jsonc::Validate;
@@ -20,7 +20,7 @@
         goal: Duration::from_millis(100),
         gap_goal: None,
         priority: 0,
-        services: vec![WeightedService { service: "s".into(), weight: 1 }],
+        services: vec![Weighted { service: "s".into(), weight: 1 }],
         max_attempts: 2,
         regions: Vec::new(),
         public: false,
@@ -116,7 +116,7 @@
 #[test]
 fn weights_that_overflow_are_no_fault_and_do_not_panic() {
     let mut heavy = route("a", "/x/");
-    let of = |weight| WeightedService { service: "s".into(), weight };
+    let of = |weight| Weighted { service: "s".into(), weight };
     heavy.services = vec![of(u64::MAX), of(1)];
     assert_eq!(heavy.total_weight(), u64::MAX);
     assert!(configuration(vec![heavy]).faults().is_empty());
--- a/tests/promises/accepted_config.rs
+++ b/tests/promises/accepted_config.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use latchmount::rpc::{ControlClient, ControlError, JoinRequest, Status, SyncRequest, connect};
+use latchmount::rpc::{ControlClient, ControlError, Newcomer, Status, SyncRequest, connect};
 use latchmount::store::{Answer, Drain};
 use nix::sys::signal::Signal;
 use rstest::rstest;
@@ -308,7 +308,7 @@
             let status = status(&fleet).await;
             let new = member_at(&status, &fleet, lost);
             let voters = status.members.iter().filter(|status| {
-                status.member.kind == latchmount::raft::MemberKind::Voter && status.live
+                status.member.kind == latchmount::raft::Standing::Voter && status.live
             });
             (new != old && voters.count() == 3 && status.members.len() == 3).then_some(())
         })
@@ -359,7 +359,7 @@
     };
     let change = json!({ "id": "foreign", "base": 1, "template": version("foreign") });
     let newcomer =
-        JoinRequest { store: latchmount::raft::StoreId(1), addr: ([127, 0, 0, 1], 1).into() };
+        Newcomer { store: latchmount::raft::StoreId(1), addr: ([127, 0, 0, 1], 1).into() };
     let errors = [
         client.change(wrong(), change).await.err(),
         client.drain(wrong(), drain).await.err(),
