--- a/src/blob.rs
+++ b/src/blob.rs
@@ -22,7 +22,7 @@
 pub struct BlobId(u128);
 
 impl BlobId {
-    /// An id that stands for no blob.
+    /// The id that means "no blob".
     pub const NONE: BlobId = BlobId(0);
 }
 
--- a/src/compat/base.rs
+++ b/src/compat/base.rs
@@ -113,7 +113,7 @@
         && announcement.cold_left.is_zero()
 }
 
-/// Whether the first build can identify the target: it knows no start times, so it can't tell incarnations apart.
+/// Whether the first build can identify the target: it knows no start times, so it can't distinguish incarnations.
 pub fn can_encode_target(target: &Incarnation) -> bool {
     target.born.0.is_none()
 }
@@ -123,7 +123,7 @@
     targets.into_iter().map(|target| target.id).collect()
 }
 
-/// A target without start time, as the first build identifies it. It stands for whichever incarnation is current.
+/// A target without start time, as the first build identifies it. It refers to the current incarnation.
 pub fn incarnation(id: String) -> Incarnation {
     Incarnation { id, born: Born::default() }
 }
--- a/src/compat/command.rs
+++ b/src/compat/command.rs
@@ -69,12 +69,12 @@
             Command::Claim(claim) => Encoded::Claim(claim),
             Command::Release(release) => Encoded::Release(release),
             Command::Configure(packed) => Encoded::Configure(packed),
-            Command::Announce(sights) => match <[Sight; 1]>::try_from(sights) {
+            Command::Announce(announcements) => match <[Sight; 1]>::try_from(announcements) {
                 Ok([Sight { announcement, at_once }]) if base => {
                     Encoded::Announce { announcement: announcement.into(), at_once }
                 }
-                Ok([sight]) => Encoded::AnnounceStarts(vec![sight]),
-                Err(sights) => Encoded::AnnounceStarts(sights),
+                Ok([one]) => Encoded::AnnounceStarts(vec![one]),
+                Err(announcements) => Encoded::AnnounceStarts(announcements),
             },
             Command::Remove(target) if base => Encoded::Remove(target.id),
             Command::Remove(target) => Encoded::RemoveStart(target),
@@ -111,7 +111,7 @@
             Encoded::Rollout(order) => Command::Rollout(order),
             Encoded::RolloutStep(step) => Command::RolloutStep(step),
             Encoded::WarmAgain(halls) => Command::WarmAgain(halls),
-            Encoded::AnnounceStarts(sights) => Command::Announce(sights),
+            Encoded::AnnounceStarts(announcements) => Command::Announce(announcements),
             Encoded::RemoveStart(target) => Command::Remove(target),
             Encoded::SilenceStarts(targets) => Command::Silence(targets),
             Encoded::SettleStarts(targets) => Command::Settle(targets),
--- a/src/control/placement_runner.rs
+++ b/src/control/placement_runner.rs
@@ -106,14 +106,14 @@
         moving: &Moving,
         listed: Option<&Listed>,
     ) -> Result<(), ControlError> {
-        let gone = listed.is_none_or(|listed| listed.leaving);
+        let unavailable = listed.is_none_or(|listed| listed.leaving);
         let loaded_already = listed.is_some_and(|listed| loaded(listed) == Some(moving.to.clone()));
-        if gone || loaded_already {
+        if unavailable || loaded_already {
             self.idle_since.remove(engine);
             let ended = Move { engine: engine.to_owned(), to: None };
             let answer = self.handler.propose_as_leader(Command::Move(ended)).await?;
             info!(self.handler.log(), "move of engine ended"; "event" => "moved", "engine" => engine,
-                "gone" => gone, "answer" => ?answer);
+                "gone" => unavailable, "answer" => ?answer);
             return Ok(());
         }
         let Some(listed) = listed else {
--- a/src/freshness.rs
+++ b/src/freshness.rs
@@ -22,7 +22,7 @@
     }
 
     /// Whether the router may admit requests.
-    pub fn holds(&self, now: Duration) -> bool {
+    pub fn is_valid(&self, now: Duration) -> bool {
         self.proven_at.is_some() && now < self.until
     }
 
--- a/src/gateway/choice.rs
+++ b/src/gateway/choice.rs
@@ -118,7 +118,7 @@
                 && self.region_allows(plan, target)
                 && !plan.tried.contains(&target.key)
                 && target.has_room(body, max_bytes)
-                && cold.is_none_or(|limit| limit.may_ask(now, target))
+                && cold.is_none_or(|limit| limit.may_send(now, target))
         };
         let usable: Vec<&Arc<Target>> = known.of(&plan.service).iter().filter(usable).collect();
         let groups = versions.groups(plan.version_draw, !plan.tried.is_empty());
--- a/src/gateway/client_buffers.rs
+++ b/src/gateway/client_buffers.rs
@@ -14,14 +14,14 @@
 use crate::clock::Instant;
 use crate::sync::lock;
 
-/// The buffer accounting of a gateway, with the signals that tell connections that they are cut.
+/// The buffer accounting of a gateway, with the signals that make connections close.
 pub(super) struct ClientBuffers {
     ledger: Mutex<BufferLedger>,
     cut_signals: Mutex<HashMap<ClientId, Arc<CutSignal>>>,
     started: Instant,
 }
 
-/// Tells the task of a connection to close it.
+/// Signals the task of a connection to close it.
 #[derive(Default)]
 struct CutSignal {
     done: AtomicBool,
--- a/src/gateway/connection.rs
+++ b/src/gateway/connection.rs
@@ -208,13 +208,15 @@
 /// Whether the answer has `Connection: close`.
 fn closes(answer: &HeaderMap) -> bool {
     let values = answer.get_all(CONNECTION).into_iter().filter_map(|value| value.to_str().ok());
-    values.flat_map(|value| value.split(',')).any(|word| word.trim().eq_ignore_ascii_case("close"))
+    values
+        .flat_map(|value| value.split(','))
+        .any(|token| token.trim().eq_ignore_ascii_case("close"))
 }
 
 /// The time-out in the answer's `Keep-Alive` header.
 fn stated_keep_alive(answer: &HeaderMap) -> Option<Duration> {
     let value = answer.get("keep-alive")?.to_str().ok()?;
-    let mut words = value.split(',').map(str::trim);
-    let seconds = words.find_map(|word| word.strip_prefix("timeout="))?;
+    let mut parameters = value.split(',').map(str::trim);
+    let seconds = parameters.find_map(|parameter| parameter.strip_prefix("timeout="))?;
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
--- a/src/gateway/member_order.rs
+++ b/src/gateway/member_order.rs
@@ -13,7 +13,7 @@
 /// up to the same length is added, so that the gateways of a member that was down return to it one
 /// by one.
 const MIN_FAILBACK_DELAY: Duration = Duration::from_secs(2);
-/// Maximum delay between two checks, which doubles each time, so that a member that is gone for
+/// Maximum delay between two checks, which doubles each time, so that a member that is unreachable for
 /// good is rarely contacted.
 const MAX_FAILBACK_DELAY: Duration = Duration::from_secs(30);
 
--- a/src/gateway/mod.rs
+++ b/src/gateway/mod.rs
@@ -167,7 +167,7 @@
     }
 
     /// Whether a target may be sent a request now.
-    fn may_ask(self, now: Duration, target: &Target) -> bool {
+    fn may_send(self, now: Duration, target: &Target) -> bool {
         target.cold_state().may_send(now, self.cold_start, self.gap, rand::random)
     }
 }
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -18,13 +18,13 @@
             return false;
         }
         let (now, fingerprint) = (self.now(), plan.fingerprint());
-        let mut board = lock(&self.poison);
-        match board.verdict(now, fingerprint, self.gateways()) {
+        let mut tracker = lock(&self.poison);
+        match tracker.verdict(now, fingerprint, self.gateways()) {
             Verdict::Blocked => true,
             Verdict::Trial => {
-                board.record_trial(now, fingerprint);
+                tracker.record_trial(now, fingerprint);
                 info!(self.log, "poison request let through as a trial"; "event" => "poison_trial",
-                    "fingerprint" => %fingerprint, "ends" => board.crash_count(fingerprint));
+                    "fingerprint" => %fingerprint, "ends" => tracker.crash_count(fingerprint));
                 false
             }
             Verdict::Free | Verdict::Watched => false,
@@ -34,12 +34,12 @@
     /// Whether a similar request is tracked. A cheap check that does not read the body excludes
     /// most requests.
     fn may_be_known_poison(&self, plan: &Plan) -> bool {
-        let board = lock(&self.poison);
-        !board.is_empty() && board.may_contain(plan.identity().quick_hash())
+        let tracker = lock(&self.poison);
+        !tracker.is_empty() && tracker.may_contain(plan.identity().quick_hash())
     }
 
     /// Records that a target ended while processing a request.
-    pub(super) fn note_target_ended(&self, suspect: Suspect, target: u64) {
+    pub(super) fn record_crash(&self, suspect: Suspect, target: u64) {
         let by = Reporter::of(&self.settings.host);
         lock(&self.poison).record_crash(self.now(), suspect, target, by);
         self.poison_changed.notify_one();
@@ -66,9 +66,9 @@
             return;
         }
         let now = self.now();
-        let mut board = lock(&self.poison);
-        reports.iter().for_each(|report| board.apply(now, Origin::Relayed, report.clone()));
-        drop(board);
+        let mut tracker = lock(&self.poison);
+        reports.iter().for_each(|report| tracker.apply(now, Origin::Relayed, report.clone()));
+        drop(tracker);
         self.log_poison();
     }
 
@@ -79,15 +79,15 @@
 
     /// Number of tracked requests, and how many of them are blocked.
     pub(super) fn count_poison(&self) -> (usize, usize) {
-        let board = lock(&self.poison);
-        (board.len(), board.blocked_len())
+        let tracker = lock(&self.poison);
+        (tracker.len(), tracker.blocked_len())
     }
 
     /// Logs which requests became blocked or unblocked, and counts the ones dropped from the
     /// tracker.
     fn log_poison(&self) {
-        let mut board = lock(&self.poison);
-        self.metrics.poison_dropped.inc_by(board.take_dropped());
-        log_block_changes(&mut board, &self.log);
+        let mut tracker = lock(&self.poison);
+        self.metrics.poison_dropped.inc_by(tracker.take_dropped());
+        log_block_changes(&mut tracker, &self.log);
     }
 }
--- a/src/gateway/probe.rs
+++ b/src/gateway/probe.rs
@@ -49,9 +49,9 @@
                 lock(&gateway.tallies).record_failure(subject);
             }
             if result == ProbeResult::Ended && !leaves {
-                gateway.note_target_ended(suspect, target.key);
+                gateway.record_crash(suspect, target.key);
             }
-            if let Some(stands_for) = lock(&gateway.probe_sampler).keep(gateway.now()) {
+            if let Some(stands_for) = lock(&gateway.probe_sampler).sample(gateway.now()) {
                 info!(gateway.log, "probed target after its answer broke off"; "event" => "inquest",
                     "request" => text(Some(&id)), "target" => &target.announcement.id,
                     "found" => ?result, "fingerprint" => %fingerprint, "route" => route,
--- a/src/gateway/subscriber.rs
+++ b/src/gateway/subscriber.rs
@@ -332,14 +332,14 @@
     /// to report and the last report said so.
     async fn report_loads(&mut self, sender: &mut FrameSender) -> Result<(), LinkError> {
         let (loads, outcomes) = (self.gateway.report_loads(), self.gateway.take_outcomes());
-        let keepers = lock(&self.gateway.prefix_holders).take_pending();
+        let prefix_holders = lock(&self.gateway.prefix_holders).take_pending();
         let tallies = self.gateway.take_tallies();
-        let no_events = outcomes.is_empty() && keepers.is_empty() && tallies.is_empty();
+        let no_events = outcomes.is_empty() && prefix_holders.is_empty() && tallies.is_empty();
         if loads.is_empty() && no_events && self.reported_idle {
             return Ok(());
         }
         self.reported_idle = loads.is_empty();
-        let frame = ToMember::Loads { loads, outcomes, prefix_holders: keepers, tallies };
+        let frame = ToMember::Loads { loads, outcomes, prefix_holders, tallies };
         let sending = sender.send(&frame);
         tokio::time::timeout(MEMBER_TIMEOUT, sending).await.map_err(|_| LinkError::Timeout)?
     }
--- a/src/gateway/targets.rs
+++ b/src/gateway/targets.rs
@@ -178,9 +178,9 @@
             let kept: HashSet<&str> =
                 delta.changed.iter().map(|changed| changed.announcement.id.as_str()).collect();
             let known = self.by_id.keys();
-            let gone: Vec<String> =
+            let unlisted: Vec<String> =
                 known.filter(|id| !kept.contains(id.as_str())).cloned().collect();
-            gone.iter().for_each(|id| self.remove(now, id));
+            unlisted.iter().for_each(|id| self.remove(now, id));
         }
         delta.removed.iter().for_each(|id| self.remove(now, id));
         for listed in delta.changed {
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -69,7 +69,7 @@
     let failed = outcome.is_err();
     let code = outcome.as_ref().map_or_else(|(refusal, _)| refusal.code(), StatusCode::as_str);
     gateway.metrics.attempt_ended(&plan.service, code);
-    let kept = lock(&gateway.attempt_sampler).keep(gateway.now());
+    let kept = lock(&gateway.attempt_sampler).sample(gateway.now());
     // Attempts at cold targets are always logged: they are few, and logs have to show all requests that such a target
     // got.
     if !failed && kept.is_none() && !choice.cold {
@@ -98,7 +98,7 @@
 pub(super) fn answered(gateway: &Gateway, plan: &Plan, target: &Target, status: StatusCode) {
     gateway.metrics.answered(status);
     gateway.metrics.answer_started(&plan.service, plan.arrived.elapsed());
-    let kept = lock(&gateway.answer_sampler).keep(gateway.now());
+    let kept = lock(&gateway.answer_sampler).sample(gateway.now());
     let Some(stands_for) = kept else {
         return;
     };
@@ -129,7 +129,7 @@
 /// A target turned a request away and asked the gateway to back off.
 pub(super) fn backoff_requested(gateway: &Gateway, target: &Target, backoff: RetryAfter) {
     gateway.metrics.backoff_requested(&target.announcement.service);
-    if let Some(stands_for) = lock(&gateway.backoff_sampler).keep(gateway.now()) {
+    if let Some(stands_for) = lock(&gateway.backoff_sampler).sample(gateway.now()) {
         info!(gateway.log, "target asked to back off"; "event" => "target_rests",
             "target" => &target.announcement.id, "addr" => %target.announcement.addr,
             "service" => &target.announcement.service, "rest" => ?backoff,
--- a/src/group/background.rs
+++ b/src/group/background.rs
@@ -117,11 +117,10 @@
         let loads = lock(&shared.load_totals).local(shared.now(), ttl);
         if lock(&shared.presence).any_connected() {
             let evidence = lock(&shared.evidence).local(shared.now());
-            let keepers =
+            let prefix_holders =
                 lock(&shared.prefix_holders).next_for_members(shared.now(), &mut position);
             let (from, tallies) = (shared.own_addr, lock(&shared.rollouts).local());
-            let frame =
-                ToMember::MemberLoads { from, loads, evidence, prefix_holders: keepers, tallies };
+            let frame = ToMember::MemberLoads { from, loads, evidence, prefix_holders, tallies };
             shared.broadcast(&frame);
         }
     }
--- a/src/group/batches.rs
+++ b/src/group/batches.rs
@@ -20,7 +20,7 @@
 /// 6 Mbit/s (computed).
 const MAX_BATCH_LEN: usize = 200;
 /// Queued announcements. With two batches of 200 in progress, a leader that takes 300 ms for each finishes this many in
-/// the second that a target waits. Beyond that, a target is told at once to come back later.
+/// the second that a target waits. Beyond that, a target is refused at once and has to retry later.
 const MAX_QUEUED: usize = 1_400;
 /// Batches that one member has in progress at the leader.
 const CONCURRENT_BATCHES: usize = 2;
@@ -98,7 +98,7 @@
             let reply = self.call_leader(Call::Announce(announcements)).await;
             let outcomes = reply.ok().and_then(outcomes);
             if outcomes.is_some() {
-                lock(&self.heard).confirm(self.now());
+                lock(&self.pending_report).confirm(self.now());
             }
             let Some(outcomes) = outcomes.filter(|outcomes| !outcomes.is_empty()) else {
                 for queued in remaining {
--- a/src/group/cursor.rs
+++ b/src/group/cursor.rs
@@ -25,7 +25,7 @@
     pub(super) advances_to: Progress,
 }
 
-/// A fetch from a peer gateway that this gateway was told to make.
+/// A fetch from a peer gateway that a member assigned to this gateway.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct PeerFetch {
     pub(super) blob: BlobId,
--- a/src/group/endpoints.rs
+++ b/src/group/endpoints.rs
@@ -78,10 +78,10 @@
 /// Reads a request, executes the call, and counts it in the metrics.
 async fn answer(shared: &Shared, request: Request<Incoming>) -> ApiResponse {
     let (head, body) = request.into_parts();
-    let Some(door) = shared.dialect.api_call(&head.method, head.uri.path()) else {
+    let Some(api_call) = shared.dialect.api_call(&head.method, head.uri.path()) else {
         return fault_response(StatusCode::NOT_FOUND, &[Fault::new("", "no such call")]);
     };
-    let max_bytes = match door {
+    let max_bytes = match api_call {
         ApiCall::PutConfiguration => MAX_DOCUMENT_BYTES,
         _ => MAX_CALL_BYTES,
     };
@@ -98,7 +98,7 @@
             return fault_response(StatusCode::REQUEST_TIMEOUT, &[Fault::new("", "body too slow")]);
         }
     };
-    let (call, response) = match door {
+    let (call, response) = match api_call {
         ApiCall::PutConfiguration => ("put_configuration", put_configuration(shared, body).await),
         ApiCall::GetConfiguration => ("get_configuration", get_configuration(shared).await),
         ApiCall::Announce { id } => ("heartbeat", announce(shared, id, &body).await),
@@ -226,7 +226,7 @@
 fn refuse_announcement(shared: &Shared, id: &str, faults: &[Fault]) -> ApiResponse {
     let faults: Vec<Fault> = faults.iter().map(truncated).collect();
     shared.metrics.count_refused_announcement(&faults[0].path);
-    if let Some(stands_for) = lock(&shared.refused_lines).keep(shared.now()) {
+    if let Some(stands_for) = lock(&shared.refused_lines).sample(shared.now()) {
         let id: String = id.chars().take(MAX_ID_BYTES).collect();
         info!(shared.log, "heartbeat refused"; "event" => "heartbeat_refused",
             "target" => id, "fault" => %faults[0], "stands_for" => stands_for);
--- a/src/group/fan_out.rs
+++ b/src/group/fan_out.rs
@@ -88,9 +88,9 @@
     }
 
     /// Drops a disconnected gateway as a source of all blobs.
-    pub fn remove_gateway(&mut self, gone: SocketAddr) {
+    pub fn remove_gateway(&mut self, gateway: SocketAddr) {
         for distribution in &mut self.0 {
-            distribution.holders.retain(|holder| holder.gateway.addr != gone);
+            distribution.holders.retain(|holder| holder.gateway.addr != gateway);
         }
     }
 
--- a/src/group/heartbeats.rs
+++ b/src/group/heartbeats.rs
@@ -77,7 +77,7 @@
         // The leader gets the whole announcement, and reduces it itself to what the level of the group allows in the log.
         let supported = announcement.clone().limited_to(self.level());
         if self.can_answer_locally(&supported) {
-            lock(&self.heard).add(supported.key());
+            lock(&self.pending_report).add(supported.key());
             return Ok(HeartbeatOutcome::Unchanged);
         }
         self.announce(announcement).await
@@ -86,7 +86,7 @@
     /// Whether this member may answer a heartbeat without asking the leader.
     fn can_answer_locally(&self, announcement: &Announcement) -> bool {
         let leadership = self.member.leadership();
-        let confirmed = || lock(&self.heard).confirmed_recently(self.now());
+        let confirmed = || lock(&self.pending_report).confirmed_recently(self.now());
         let unchanged = || self.classify(announcement) != HeartbeatClass::Changed;
         !leadership.leads && leadership.fresh(Instant::now()) && confirmed() && unchanged()
     }
@@ -122,7 +122,7 @@
         let now = self.run_clock.ran();
         let Published { directory, level, .. } = self.published();
         let mut outcomes = Vec::with_capacity(announcements.len());
-        let mut sights = Vec::new();
+        let mut new_announcements = Vec::new();
         {
             let mut liveness = lock(&self.liveness);
             for announcement in announcements {
@@ -136,24 +136,26 @@
                 });
                 if changed {
                     let at_once = liveness.is_forming(now, &announcement.service, &directory);
-                    sights.push(Sight { announcement, at_once });
+                    new_announcements.push(Sight { announcement, at_once });
                 }
             }
         }
-        if sights.is_empty() {
+        if new_announcements.is_empty() {
             return if self.leads() { Reply::Announced(outcomes) } else { Reply::Unknown };
         }
-        match self.propose_sights(level, sights).await {
+        match self.propose_announcements(level, new_announcements).await {
             Some(()) => Reply::Announced(outcomes),
             None => Reply::Unknown,
         }
     }
 
     /// Commits announcements: in one command, or in one command each while the group has [`Level::BASE`].
-    async fn propose_sights(&self, level: Level, sights: Vec<Sight>) -> Option<()> {
+    async fn propose_announcements(&self, level: Level, announcements: Vec<Sight>) -> Option<()> {
         let commands: Vec<Command> = match level {
-            Level::BASE => sights.into_iter().map(|sight| Command::Announce(vec![sight])).collect(),
-            _ => vec![Command::Announce(sights)],
+            Level::BASE => {
+                announcements.into_iter().map(|one| Command::Announce(vec![one])).collect()
+            }
+            _ => vec![Command::Announce(announcements)],
         };
         let replies = commands.into_iter().map(|command| self.propose_here(command));
         let replies = futures_util::future::join_all(replies).await;
@@ -172,7 +174,7 @@
         Reply::Done
     }
 
-    /// API address of this member. Targets are told to send their next heartbeat there, since they could reach it.
+    /// API address of this member. The answer to a heartbeat names it, so that targets send the next one there: they could reach it.
     pub(super) fn own_api_addr(&self) -> Option<SocketAddr> {
         let port = self.settings.listen?.port();
         Some(SocketAddr::new(self.own_addr.ip(), port))
@@ -185,14 +187,14 @@
     let interval = (interval / REPORTS_PER_HEARTBEAT).min(MAX_REPORT_INTERVAL);
     loop {
         tokio::time::sleep(interval).await;
-        let targets = lock(&shared.heard).take();
+        let targets = lock(&shared.pending_report).take();
         if targets.is_empty() {
             continue;
         }
         match shared.call_leader(Call::ReportHeartbeats(targets.clone())).await {
-            Ok(_) => lock(&shared.heard).confirm(shared.now()),
+            Ok(_) => lock(&shared.pending_report).confirm(shared.now()),
             Err(Unavailable) => {
-                let mut pending = lock(&shared.heard);
+                let mut pending = lock(&shared.pending_report);
                 targets.into_iter().for_each(|target| pending.add(target));
             }
         }
--- a/src/group/listing.rs
+++ b/src/group/listing.rs
@@ -33,9 +33,10 @@
 /// Columns added since the first build in production, which reads only [`Columns`].
 #[derive(Serialize, Deserialize)]
 struct AddedColumns {
-    /// Keys of the incarnations of targets that changed their state or home.
+    /// Keys of the incarnations of the targets of [`DirectoryDelta::moved`], of which only state, remaining cold time or home
+    /// changed.
     moved_targets: Vec<u64>,
-    /// Times until they are no longer cold, in milliseconds; so is `cold_left`.
+    /// Remaining cold times of the moved targets, in milliseconds; those of `cold_left` are in milliseconds too.
     moved_cold_left: Vec<u32>,
     born: Vec<Born>,
     versions: Vec<String>,
@@ -148,7 +149,7 @@
 }
 
 impl AddedColumns {
-    /// Values for a list of a member of the first build, which tells targets apart by their id alone.
+    /// Values for a list of a member of the first build, which identifies targets by their id alone.
     fn defaults(columns: &Columns) -> Self {
         let (moved, listed) = (columns.moved_targets.len(), columns.ids.len());
         AddedColumns {
--- a/src/group/metrics.rs
+++ b/src/group/metrics.rs
@@ -20,7 +20,7 @@
 pub(super) enum BlobDelivery {
     /// This member sent it.
     Sent,
-    /// The gateway was told to fetch it from a peer gateway.
+    /// The member assigned a peer gateway as the source, from which the gateway fetches it.
     FromPeer,
     /// The peer gateway did not provide it.
     PeerFailed,
--- a/src/group/mod.rs
+++ b/src/group/mod.rs
@@ -150,7 +150,8 @@
     load_totals: Mutex<LoadTotals>,
     evidence: Mutex<EvidenceTotals>,
     prefix_holders: Mutex<PrefixHolderLog>,
-    heard: Mutex<PendingReport>,
+    /// Targets whose heartbeats this member answered and has not yet reported to the leader.
+    pending_report: Mutex<PendingReport>,
     batches: Batches,
     /// Limits the log lines about refused heartbeats.
     refused_lines: Mutex<Sampler>,
@@ -233,7 +234,7 @@
             load_totals: Mutex::default(),
             evidence: Mutex::default(),
             prefix_holders: Mutex::default(),
-            heard: Mutex::default(),
+            pending_report: Mutex::default(),
             batches: Batches::default(),
             refused_lines: Mutex::default(),
             poison: Mutex::new(PoisonTracker::new(Rule::default(), None)),
@@ -279,7 +280,7 @@
         let restart_needed =
             MemberSettings { seeds, found, ..self.shared.settings.clone() } != *settings;
         *lock(&self.shared.seeds) = settings.seed_peers();
-        info!(self.shared.log, "settings in force"; "event" => "settings_in_force",
+        info!(self.shared.log, "settings reloaded"; "event" => "settings_in_force",
             "seeds" => ?settings.seeds, "restart_needed" => restart_needed);
     }
 
@@ -313,7 +314,7 @@
             now,
             rand::random(),
         )?;
-        replica.set_membership_rules(settings.upkeep());
+        replica.set_membership_rules(settings.membership_rules());
         Ok(replica)
     });
     Ok(started?)
--- a/src/group/poison.rs
+++ b/src/group/poison.rs
@@ -69,22 +69,22 @@
             return Err(LinkError::Garbled);
         }
         let now = self.now();
-        let mut board = lock(&self.poison);
-        reports.into_iter().for_each(|report| board.apply(now, origin, report));
-        drop(board);
+        let mut tracker = lock(&self.poison);
+        reports.into_iter().for_each(|report| tracker.apply(now, origin, report));
+        drop(tracker);
         self.publish_poison();
         Ok(())
     }
 
     /// Logs changed blocks, and wakes the tasks that send changes to gateways and members and that save blocks.
     pub(super) fn publish_poison(&self) {
-        let mut board = lock(&self.poison);
-        if log_block_changes(&mut board, &self.log) {
+        let mut tracker = lock(&self.poison);
+        if log_block_changes(&mut tracker, &self.log) {
             self.poison_blocks_changed.notify_one();
         }
-        self.metrics.poison_dropped.inc_by(board.take_dropped());
-        let newest = board.newest_gateway_change();
-        drop(board);
+        self.metrics.poison_dropped.inc_by(tracker.take_dropped());
+        let newest = tracker.newest_gateway_change();
+        drop(tracker);
         self.poison_updates.send_if_modified(|known| std::mem::replace(known, newest) != newest);
         self.poison_reported.notify_one();
     }
@@ -108,8 +108,8 @@
 
     /// Number of poison requests known, and number of those that are blocked.
     pub(super) fn count_poison(&self) -> (usize, usize) {
-        let board = lock(&self.poison);
-        (board.len(), board.blocked_len())
+        let tracker = lock(&self.poison);
+        (tracker.len(), tracker.blocked_len())
     }
 }
 
--- a/src/group/poison_file.rs
+++ b/src/group/poison_file.rs
@@ -36,9 +36,9 @@
             info!(shared.log, "blocked requests read from disk"; "event" => "poison_read",
                 "blocked" => reports.len());
             let now = shared.now();
-            let mut board = lock(&shared.poison);
-            reports.into_iter().for_each(|report| board.apply(now, Origin::Local, report));
-            drop(board);
+            let mut tracker = lock(&shared.poison);
+            reports.into_iter().for_each(|report| tracker.apply(now, Origin::Local, report));
+            drop(tracker);
             shared.publish_poison();
         }
         Err(error) => warn!(shared.log, "can't read blocked requests from disk";
--- a/src/group/settings.rs
+++ b/src/group/settings.rs
@@ -98,7 +98,7 @@
     }
 
     /// Rules by which the leader maintains the number of voters.
-    pub fn upkeep(&self) -> MembershipRules {
+    pub fn membership_rules(&self) -> MembershipRules {
         MembershipRules {
             voters: 2 * self.bear_losses + 1,
             unresponsive_after: Duration::from_millis(self.replace_after_ms),
--- a/src/group/update_sender.rs
+++ b/src/group/update_sender.rs
@@ -1,7 +1,7 @@
 //! Sends updates to one gateway: configurations, changes of the directory, loads, and keep-alives.
 //!
 //! Small blobs are sent with the next update. For a large blob the gateway queues at the pacer; if a peer gateway can
-//! deliver the blob before its turn comes, the gateway is told to fetch it there.
+//! deliver the blob before its turn comes, the member assigns that peer as the source.
 
 use std::net::SocketAddr;
 use std::pin::Pin;
@@ -242,7 +242,7 @@
         lock(&self.shared.fan_out).assign_source(large.blob.id(), to)
     }
 
-    /// Tells the gateway to fetch a blob from a peer.
+    /// Makes the gateway fetch a blob from a peer.
     async fn send_source(
         &mut self,
         large: &MissingBlob,
--- a/src/level.rs
+++ b/src/level.rs
@@ -26,7 +26,7 @@
 pub struct Level(pub u32);
 
 impl Level {
-    /// Templates, configurations of the whole group, and targets that are told apart by their identity.
+    /// Templates, configurations of the whole group, and targets that are identified by their id alone.
     pub const BASE: Level = Level(0);
     /// Adds incarnations and versions of targets, evacuations and roll-outs.
     pub const INCARNATIONS: Level = Level(1);
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -26,7 +26,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 /// Maximum time that one call waits for a revision, in milliseconds.
 const MAX_WAIT_MS: u64 = 2_000;
-/// Field that only templates have, to tell them from settings.
+/// Field that only templates have, which distinguishes them from settings.
 const TEMPLATE_FIELD: &str = "teams";
 /// Field that only settings of `member` processes have at the top level.
 const MEMBER_FIELD: &str = "data_dir";
@@ -81,7 +81,7 @@
     Control(#[from] ControlError),
 }
 
-/// Says which version of a template is in force; 0 stands for none.
+/// Text that says which version of a template is in force; 0 means none.
 fn in_force_text(version: u64) -> String {
     match version {
         0 => "the template does not exist yet, submit it".to_owned(),
--- a/src/orders.rs
+++ b/src/orders.rs
@@ -60,7 +60,7 @@
         self.term
     }
 
-    /// Returns the order to send to `engine` now, or `None` if it must wait. `fenced` tells whether the engine checks terms.
+    /// Returns the order to send to `engine` now, or `None` if it must wait. `fenced` is whether the engine checks terms.
     pub fn send(
         &mut self,
         now: Duration,
--- a/src/raft/format5.rs
+++ b/src/raft/format5.rs
@@ -104,7 +104,7 @@
             Format5Command::Claim(claim) => Command::Claim(claim),
             Format5Command::Release(release) => Command::Release(release),
             Format5Command::Configure(packed) => Command::Configure(packed),
-            Format5Command::Announce(sights) => Command::Announce(sights),
+            Format5Command::Announce(announcements) => Command::Announce(announcements),
             Format5Command::Remove(target) => Command::Remove(target),
             Format5Command::Silence(targets) => Command::Silence(targets),
             Format5Command::Settle(targets) => Command::Settle(targets),
--- a/src/retry.rs
+++ b/src/retry.rs
@@ -61,7 +61,7 @@
 }
 
 impl Attempts {
-    /// Creates the state of a request that must be answered by `deadline`. `repeatable` tells whether it may run twice.
+    /// Creates the state of a request that must be answered by `deadline`. `repeatable` is whether it may run twice.
     pub fn new(repeatable: bool, deadline: Duration) -> Self {
         Attempts { repeatable, deadline, made: 0, may_have_run: None }
     }
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Whether a target may be sent requests; `new` tells whether it runs the new version.
+    /// Whether a target may be sent requests; `new` is whether it runs the new version.
     pub fn may_send(self, new: bool) -> bool {
         match self {
             Stage::Part(_) | Stage::Shifted => true,
--- a/src/router/admission.rs
+++ b/src/router/admission.rs
@@ -165,7 +165,7 @@
         if self.stopping.load(std::sync::atomic::Ordering::Acquire) {
             return Err(Refusal::from_reason(Reason::Stopping));
         }
-        if !lock(&self.freshness).holds(self.now()) {
+        if !lock(&self.freshness).is_valid(self.now()) {
             return Err(Refusal::from_reason(Reason::StaleConfig));
         }
         let team = text_header(req.headers(), TEAM)?
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -186,7 +186,7 @@
         if self.health_failing.load(Ordering::Acquire) {
             return Err(Reason::Stopping);
         }
-        if !lock(&self.freshness).holds(self.now()) {
+        if !lock(&self.freshness).is_valid(self.now()) {
             return Err(Reason::StaleConfig);
         }
         Ok(())
--- a/src/router/refusal.rs
+++ b/src/router/refusal.rs
@@ -28,7 +28,7 @@
     retry_after_s: Option<u64>,
 }
 
-/// A refusal: its reason and what the client is told.
+/// A refusal: its reason and the message for the client.
 #[derive(Debug)]
 pub(super) struct Refusal {
     pub(super) reason: Reason,
--- a/src/router/slot.rs
+++ b/src/router/slot.rs
@@ -195,7 +195,7 @@
     /// Logs that an owner did not answer; the lines are sampled.
     fn log_unresponsive_owner(&self, asked_at: Duration, request: &AdmittedRequest) {
         let now = self.now();
-        if let Some(stands_for) = lock(&self.unresponsive_owner_log).keep(now) {
+        if let Some(stands_for) = lock(&self.unresponsive_owner_log).sample(now) {
             warn!(self.log, "slot owner did not answer a slot request in time"; "event" => "owner_silent",
                 "team" => &request.team, "waited" => ?now.saturating_sub(asked_at),
                 "stands_for" => stands_for);
--- a/src/sampler.rs
+++ b/src/sampler.rs
@@ -18,7 +18,7 @@
 
 impl Sampler {
     /// Counts a line. Returns how many lines it represents if it is to be logged, `None` if not.
-    pub fn keep(&mut self, now: Duration) -> Option<u32> {
+    pub fn sample(&mut self, now: Duration) -> Option<u32> {
         let window = (now.as_nanos() / WINDOW.as_nanos()) as u64;
         if window != self.window {
             *self = Sampler { window, lines: 0 };
--- a/src/settings.rs
+++ b/src/settings.rs
@@ -50,7 +50,8 @@
     pub host: String,
     /// Data hall of this host.
     pub data_hall: String,
-    /// Partner that this host belongs to.
+    /// Partner that this host belongs to: one of the organizations that share the capacity. Each partner has its own
+    /// control group.
     pub partner: String,
     /// Secret with which the hosts of a partner authenticate to each other, at least 16 bytes.
     pub key: String,
--- a/src/store/command.rs
+++ b/src/store/command.rs
@@ -63,8 +63,8 @@
             | Command::Claim(_)
             | Command::Release(_)
             | Command::Configure(_) => true,
-            Command::Announce(sights) => {
-                matches!(sights.as_slice(), [sight] if base::can_encode_announcement(&sight.announcement))
+            Command::Announce(announcements) => {
+                matches!(announcements.as_slice(), [one] if base::can_encode_announcement(&one.announcement))
             }
             Command::Remove(target) => base::can_encode_target(target),
             Command::Silence(targets) | Command::Settle(targets) => {
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -158,8 +158,8 @@
                 Answer::Released
             }
             Command::Configure(packed) => self.apply_document(index, &packed),
-            Command::Announce(sights) => {
-                for Sight { announcement, at_once } in sights {
+            Command::Announce(announcements) => {
+                for Sight { announcement, at_once } in announcements {
                     let target = announcement.incarnation();
                     self.directory.announce(index, announcement);
                     if at_once {
--- a/tests/explain.rs
+++ b/tests/explain.rs
@@ -121,9 +121,9 @@
     let mut sampler = Sampler::default();
     for second in 0..3 {
         let now = |at: u64| Duration::from_secs(second) + Duration::from_micros(at * 100);
-        let few: u32 = (0..150).filter_map(|at| sampler.keep(now(at))).sum();
+        let few: u32 = (0..150).filter_map(|at| sampler.sample(now(at))).sum();
         assert_eq!(few, 150, "few lines are all kept");
-        let many: Vec<u32> = (150..5_150).filter_map(|at| sampler.keep(now(at))).collect();
+        let many: Vec<u32> = (150..5_150).filter_map(|at| sampler.sample(now(at))).collect();
         assert!(many.len() < 400, "{} lines kept of 5,000", many.len());
         let stands_for: u32 = many.iter().sum();
         assert!((4_900..=5_100).contains(&stands_for), "they stand for {stands_for}");
