--- a/src/gateway/body_forwarder.rs
+++ b/src/gateway/body_forwarder.rs
@@ -13,7 +13,7 @@
 
 use super::answer::AnswerAborted;
 use super::client_buffers::ClientBuffer;
-use super::exchange::Plan;
+use super::exchange::RequestState;
 use super::refusal::Refusal;
 use super::trace::{self, ClientCut};
 use super::{Gateway, OpenRequest};
@@ -53,9 +53,9 @@
 }
 
 impl BodyForwarder {
-    pub(super) fn new(gateway: &Arc<Gateway>, plan: &Plan) -> Self {
-        let (gateway, holder) = (gateway.clone(), plan.holder.clone());
-        BodyForwarder { gateway, holder, deadline: plan.outgoing.deadline }
+    pub(super) fn new(gateway: &Arc<Gateway>, state: &RequestState) -> Self {
+        let (gateway, holder) = (gateway.clone(), state.holder.clone());
+        BodyForwarder { gateway, holder, deadline: state.outgoing.deadline }
     }
 
     /// Starts a task that forwards the chunk `first` and all that follow from `source`, and returns the body of the
--- a/src/gateway/choice.rs
+++ b/src/gateway/choice.rs
@@ -9,7 +9,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::balance::{Affinity, Candidate, Preference, choose, is_expected_holder};
-use super::exchange::Plan;
+use super::exchange::RequestState;
 use super::mechanism::Mechanism;
 use super::prefix_source::PrefixSearch;
 use super::refusal::Refusal;
@@ -68,18 +68,18 @@
     }
 
     /// Chooses a target that the request has not tried.
-    pub(super) fn choose(&self, plan: &Plan) -> Option<Choice> {
+    pub(super) fn choose(&self, state: &RequestState) -> Option<Choice> {
         let now = self.now();
         let known = read(&self.targets);
-        let versions = Versions::new(now, &known, plan);
-        let cold = self.cold_limit(&plan.service);
-        let (group, targets) = self.usable(now, &known, &versions, plan, cold)?;
+        let versions = Versions::new(now, &known, state);
+        let cold = self.cold_limit(&state.service);
+        let (group, targets) = self.usable(now, &known, &versions, state, cold)?;
         let candidates = self.to_candidates(now, &targets);
-        let in_group = known.of(&plan.service).iter().filter(|one| versions.contains(group, one));
-        let preference = self.preference(now, plan, in_group);
+        let in_group = known.of(&state.service).iter().filter(|one| versions.contains(group, one));
+        let preference = self.preference(now, state, in_group);
         let at = choose(&candidates, preference, &mut rand::rng())?;
-        let of_service = known.of(&plan.service);
-        let affinity = plan.affinity.filter(|_| self.can_fetch(&plan.service));
+        let of_service = known.of(&state.service);
+        let affinity = state.affinity.filter(|_| self.can_fetch(&state.service));
         let fetch_from = affinity.and_then(|affinity| {
             let known = &known;
             let (targets, candidates) = (&targets, &candidates);
@@ -93,7 +93,7 @@
         Some(Choice {
             fetch_from,
             expected_holder,
-            counted_under: self.subject(&known, plan, targets[at]),
+            counted_under: self.subject(&known, state, targets[at]),
             target: targets[at].clone(),
             load: candidates[at].load,
             candidates: candidates.len(),
@@ -109,19 +109,19 @@
         now: Duration,
         known: &'a Targets,
         versions: &Versions<'_>,
-        plan: &Plan,
+        state: &RequestState,
         cold: Option<ColdLimit>,
     ) -> Option<(VersionGroup, Vec<&'a Arc<Target>>)> {
-        let (body, max_bytes) = (plan.outgoing.body_bytes(), self.max_bodies_per_target());
+        let (body, max_bytes) = (state.outgoing.body_bytes(), self.max_bodies_per_target());
         let usable = |target: &&Arc<Target>| {
             target.eligibility(now).accepts_work()
-                && self.region_allows(plan, target)
-                && !plan.tried.contains(&target.key)
+                && self.region_allows(state, target)
+                && !state.tried.contains(&target.key)
                 && target.has_room(body, max_bytes)
                 && cold.is_none_or(|limit| limit.may_send(now, target))
         };
-        let usable: Vec<&Arc<Target>> = known.of(&plan.service).iter().filter(usable).collect();
-        let groups = versions.groups(plan.version_draw, !plan.tried.is_empty());
+        let usable: Vec<&Arc<Target>> = known.of(&state.service).iter().filter(usable).collect();
+        let groups = versions.groups(state.version_draw, !state.tried.is_empty());
         if groups == [VersionGroup::Any] {
             return (!usable.is_empty()).then_some((VersionGroup::Any, usable));
         }
@@ -154,7 +154,7 @@
     fn preference<'a>(
         &self,
         now: Duration,
-        plan: &Plan,
+        state: &RequestState,
         targets: impl Iterator<Item = &'a Arc<Target>>,
     ) -> Preference {
         // The other targets take over the work of the avoided ones. With a mean over all targets,
@@ -164,7 +164,7 @@
             backing_off || target.unresponsive() || self.is_last_resort(now, target)
         };
         Preference {
-            affinity: plan.affinity.map(|affinity| self.bound_affinity(affinity)),
+            affinity: state.affinity.map(|affinity| self.bound_affinity(affinity)),
             load_bound: self.load_bound(),
             targets: targets.filter(|target| !avoided(target)).count(),
         }
@@ -178,13 +178,13 @@
     }
 
     /// Why no target can be chosen for the request.
-    pub(super) fn why_no_choice(&self, plan: &Plan) -> Refusal {
+    pub(super) fn why_no_choice(&self, state: &RequestState) -> Refusal {
         let now = self.now();
         let known = read(&self.targets);
-        let suitable = self.suitable(&known, plan);
-        let untried = suitable.iter().filter(|target| !plan.tried.contains(&target.key));
+        let suitable = self.suitable(&known, state);
+        let untried = suitable.iter().filter(|target| !state.tried.contains(&target.key));
         let open = untried.clone().filter(|target| target.eligibility(now).accepts_work());
-        let (body, max_bytes) = (plan.outgoing.body_bytes(), self.max_bodies_per_target());
+        let (body, max_bytes) = (state.outgoing.body_bytes(), self.max_bodies_per_target());
         if open.clone().any(|target| target.has_room(body, max_bytes)) {
             return Refusal::Cold;
         }
@@ -194,18 +194,18 @@
         if suitable.iter().any(|target| target.eligibility(now).backoff_left(now).is_some()) {
             return Refusal::BackingOff;
         }
-        if untried.count() > 0 && plan.tried.is_empty() {
+        if untried.count() > 0 && state.tried.is_empty() {
             return Refusal::Evacuated;
         }
-        if plan.connect_cost > 0 { Refusal::ConnectFailed } else { Refusal::NoTarget }
+        if state.connect_cost > 0 { Refusal::ConnectFailed } else { Refusal::NoTarget }
     }
 
     /// Time until the first target that backs off can be sent requests again, plus a random part of
     /// [`BACKOFF_RETURN_SPREAD`]; `None` if no target backs off.
-    pub(super) fn backoff_left(&self, plan: &Plan) -> Option<Duration> {
+    pub(super) fn backoff_left(&self, state: &RequestState) -> Option<Duration> {
         let now = self.now();
         let known = read(&self.targets);
-        let suitable = self.suitable(&known, plan);
+        let suitable = self.suitable(&known, state);
         let remaining =
             suitable.iter().filter_map(|target| target.eligibility(now).backoff_left(now));
         let first = remaining.min()?;
@@ -213,22 +213,22 @@
     }
 
     /// Targets that are not draining and whose version and region suit the request.
-    fn suitable<'a>(&self, known: &'a Targets, plan: &Plan) -> Vec<&'a Arc<Target>> {
-        let versions = Versions::new(self.now(), known, plan);
-        let groups = versions.groups(plan.version_draw, !plan.tried.is_empty());
+    fn suitable<'a>(&self, known: &'a Targets, state: &RequestState) -> Vec<&'a Arc<Target>> {
+        let versions = Versions::new(self.now(), known, state);
+        let groups = versions.groups(state.version_draw, !state.tried.is_empty());
         let is_suitable = |target: &&Arc<Target>| {
             !target.draining()
-                && self.region_allows(plan, target)
+                && self.region_allows(state, target)
                 && groups.iter().any(|group| versions.contains(*group, target))
         };
-        known.of(&plan.service).iter().filter(is_suitable).collect()
+        known.of(&state.service).iter().filter(is_suitable).collect()
     }
 
     /// Whether the regions of the request's route and team allow a target. A target whose region is
     /// unknown is not allowed where regions are restricted.
-    fn region_allows(&self, plan: &Plan, target: &Target) -> bool {
-        let of_team = plan.team.as_ref().map_or(&[][..], |team| &team.regions);
-        let bound = [plan.route.regions.as_slice(), of_team];
+    fn region_allows(&self, state: &RequestState, target: &Target) -> bool {
+        let of_team = state.team.as_ref().map_or(&[][..], |team| &team.regions);
+        let bound = [state.route.regions.as_slice(), of_team];
         bound.into_iter().filter(|regions| !regions.is_empty()).all(|regions| {
             let region = self.settings.data_halls.get(&target.announcement.data_hall);
             region.is_some_and(|region| regions.contains(region))
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -44,7 +44,7 @@
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
 /// A client's request, where it may go, and the attempts made so far.
-pub(super) struct Plan {
+pub(super) struct RequestState {
     pub(super) route: Arc<Route>,
     /// Service drawn by the route's weights.
     pub(super) service: String,
@@ -87,7 +87,7 @@
     let _open = gateway.open_request();
     let (head, body) = request.into_parts();
     let mut response = match prepare(gateway, holder, &head, body, arrived).await {
-        Ok(plan) => run(gateway, plan).await,
+        Ok(state) => run(gateway, state).await,
         Err(refusal) => {
             let id = text(head.headers.get(&gateway.header_names().request_id));
             let host = text(head.headers.get(HOST));
@@ -109,7 +109,7 @@
     head: &Parts,
     body: Incoming,
     arrived: Instant,
-) -> Result<Plan, Refusal> {
+) -> Result<RequestState, Refusal> {
     if gateway.stage() == Stage::Closed {
         return Err(Refusal::Stopping);
     }
@@ -140,7 +140,7 @@
     let outgoing = Outgoing::new(names, head, body, &caller, &route, id, deadline);
     let affinity = gateway.affinity(&route, &head.headers);
     let disconnect_guard = DisconnectGuard::new(gateway, &outgoing.id, arrived);
-    Ok(Plan {
+    Ok(RequestState {
         route,
         service,
         outgoing,
@@ -222,82 +222,86 @@
 }
 
 /// Sends the request until there is an answer for the client or no further attempt is allowed.
-async fn run(gateway: &Arc<Gateway>, mut plan: Plan) -> Response<AnswerBody> {
+async fn run(gateway: &Arc<Gateway>, mut state: RequestState) -> Response<AnswerBody> {
     loop {
-        let answer = match next_answer(gateway, &mut plan).await {
+        let answer = match next_answer(gateway, &mut state).await {
             Ok(answer) => answer,
-            Err(refusal) => return give_up(gateway, plan, refusal),
+            Err(refusal) => return give_up(gateway, state, refusal),
         };
-        let retried = match relay::relay(gateway, plan, answer).await {
+        let retried = match relay::relay(gateway, state, answer).await {
             relay::Relayed::Response(response) => return response,
             relay::Relayed::Retry(retried) => *retried,
         };
-        plan = retried;
+        state = retried;
     }
 }
 
 /// Logs that the request is given up on, and returns the error response for the client.
-pub(super) fn give_up(gateway: &Gateway, mut plan: Plan, refusal: Refusal) -> Response<AnswerBody> {
+pub(super) fn give_up(
+    gateway: &Gateway,
+    mut state: RequestState,
+    refusal: Refusal,
+) -> Response<AnswerBody> {
     let backoff_left =
-        (refusal == Refusal::BackingOff).then(|| gateway.backoff_left(&plan)).flatten();
-    trace::given_up(gateway, &plan, refusal, backoff_left);
-    plan.disconnect_guard.finish();
+        (refusal == Refusal::BackingOff).then(|| gateway.backoff_left(&state)).flatten();
+    trace::given_up(gateway, &state, refusal, backoff_left);
+    state.disconnect_guard.finish();
     refuse(refusal, RetryHints { uptime: gateway.now(), backoff_left })
 }
 
 /// Sends the request to one target after the other until one answers.
 pub(super) async fn next_answer(
     gateway: &Arc<Gateway>,
-    plan: &mut Plan,
+    state: &mut RequestState,
 ) -> Result<Answer, Refusal> {
     loop {
-        if Instant::now() >= plan.outgoing.deadline {
-            return Err(plan.may_have_run.unwrap_or(Refusal::TooLate));
+        if Instant::now() >= state.outgoing.deadline {
+            return Err(state.may_have_run.unwrap_or(Refusal::TooLate));
         }
-        if gateway.is_blocked_as_poison(plan) {
-            let ran = plan.may_have_run.is_some();
+        if gateway.is_blocked_as_poison(state) {
+            let ran = state.may_have_run.is_some();
             return Err(if ran { Refusal::PoisonAfterSend } else { Refusal::Poison });
         }
-        if plan.arrivals > 0 && !gateway.try_spend_retry(plan) {
-            return Err(plan.may_have_run.unwrap_or(Refusal::NotRun));
+        if state.arrivals > 0 && !gateway.try_spend_retry(state) {
+            return Err(state.may_have_run.unwrap_or(Refusal::NotRun));
         }
-        let Some(choice) = gateway.choose(plan) else {
-            let refusal = gateway.why_no_choice(plan);
-            return Err(plan.may_have_run.unwrap_or(refusal));
+        let Some(choice) = gateway.choose(state) else {
+            let refusal = gateway.why_no_choice(state);
+            return Err(state.may_have_run.unwrap_or(refusal));
         };
-        match attempt_at(gateway, plan, &choice).await {
+        match attempt_at(gateway, state, &choice).await {
             Ok(answer) => return Ok(answer),
-            Err(failed) => after_failure(plan, failed)?,
+            Err(failed) => after_failure(state, failed)?,
         }
     }
 }
 
 /// Decides whether a request may be tried again after a failed attempt.
-fn after_failure(plan: &mut Plan, failed: FailedAttempt) -> Result<(), Refusal> {
+fn after_failure(state: &mut RequestState, failed: FailedAttempt) -> Result<(), Refusal> {
     let FailedAttempt { refusal, error } = failed;
     if refusal == Refusal::ConnectFailed {
-        plan.connect_cost += match error {
+        state.connect_cost += match error {
             AttemptError::NotSent(ConnectError::Timeout) => CONNECT_TIMEOUT_COST,
             // The target was withdrawn, or the deadline passed, while the gateway connected. Neither is a failure to
             // connect, and a withdrawal may affect many targets at once.
             AttemptError::NotSent(ConnectError::NotWanted | ConnectError::TooLate) => 0,
             _ => 1,
         };
-        if plan.connect_cost >= MAX_CONNECT_COST {
-            return Err(plan.may_have_run.unwrap_or(refusal));
+        if state.connect_cost >= MAX_CONNECT_COST {
+            return Err(state.may_have_run.unwrap_or(refusal));
         }
         return Ok(());
     }
     if refusal.may_have_run() {
-        plan.may_have_run = plan.may_have_run.or(Some(refusal));
-        if !plan.route.kind.idempotent() {
+        state.may_have_run = state.may_have_run.or(Some(refusal));
+        if !state.route.kind.idempotent() {
             return Err(refusal);
         }
     }
     Ok(())
 }
 
-impl Plan {
+impl RequestState {
     /// What identifies the request across attempts, also of the client's own retries.
     pub(super) fn identity(&self) -> Identity<'_> {
         self.outgoing.identity(self.team.as_ref().map(|team| team.name.as_str()))
@@ -333,7 +337,7 @@
 /// Supervises one attempt: decides whether it may go on, and records what the target reports.
 struct AttemptSupervisor<'a> {
     gateway: &'a Gateway,
-    plan: &'a Plan,
+    state: &'a RequestState,
     target: &'a Target,
     watch: &'a StallGuard,
 }
@@ -345,7 +349,7 @@
     }
 
     fn may_try_another(&self) -> bool {
-        self.plan.route.kind.idempotent() && self.gateway.could_retry_after_current(self.plan)
+        self.state.route.kind.idempotent() && self.gateway.could_retry_after_current(self.state)
     }
 
     fn run_clock(&self) -> &RunClock {
@@ -364,54 +368,54 @@
 /// Makes one attempt at the chosen target and records its outcome.
 async fn attempt_at(
     gateway: &Arc<Gateway>,
-    plan: &mut Plan,
+    state: &mut RequestState,
     choice: &Choice,
 ) -> Result<Answer, FailedAttempt> {
     let target = &choice.target;
-    plan.tried.push(target.key);
+    state.tried.push(target.key);
     gateway.note_cold_request(target);
-    let limits = gateway.connection_limits(&plan.service);
+    let limits = gateway.connection_limits(&state.service);
     let began = Instant::now();
-    plan.counted_under = choice.counted_under.map(|subject| (subject, began));
-    let timeout = stall::answer_timeout(&plan.route);
+    state.counted_under = choice.counted_under.map(|subject| (subject, began));
+    let timeout = stall::answer_timeout(&state.route);
     let watch = StallGuard::start(gateway, target, timeout);
-    let supervisor = AttemptSupervisor { gateway, plan, target, watch: &watch };
+    let supervisor = AttemptSupervisor { gateway, state, target, watch: &watch };
     let (from, names) = (choice.fetch_from, gateway.header_names());
     let sent =
-        attempt::send(target, from, &plan.outgoing, names, limits, timeout, &supervisor).await;
+        attempt::send(target, from, &state.outgoing, names, limits, timeout, &supervisor).await;
     let blamed = watch.failure_counted();
     watch.finish();
     gateway.note_reachability(target, reachability(&sent));
     if !matches!(sent, Err(AttemptError::NotSent(_))) {
-        plan.arrivals += 1;
+        state.arrivals += 1;
     }
     if !matches!(sent, Err(AttemptError::NotSent(_) | AttemptError::Gone)) {
-        plan.sends += 1;
+        state.sends += 1;
     }
     match sent {
         Ok(answer) => {
             gateway.note_outcome(target, outcome_of(answer.status));
             if answer.status.is_server_error() {
-                gateway.note_version_failure(plan);
+                gateway.note_version_failure(state);
             }
             if answer.status.is_success() {
-                gateway.note_prompt_read(plan, choice);
+                gateway.note_prompt_read(state, choice);
             }
-            trace::attempt(gateway, plan, choice, began, Ok(answer.status));
+            trace::attempt(gateway, state, choice, began, Ok(answer.status));
             Ok(answer)
         }
         Err(error) => {
             let (refusal, outcome) = classify(error);
             if outcome == Some(AttemptOutcome::Failed) && error != AttemptError::Lost {
-                gateway.note_version_failure(plan);
+                gateway.note_version_failure(state);
             }
             if let Some(outcome) = outcome.filter(|_| !blamed) {
                 gateway.note_outcome(target, outcome);
             }
             gateway.metrics.attempt_failed(refusal);
-            trace::attempt(gateway, plan, choice, began, Err((refusal, error)));
+            trace::attempt(gateway, state, choice, began, Err((refusal, error)));
             if error == AttemptError::Lost {
-                gateway.probe(plan, target);
+                gateway.probe(state, target);
             }
             Err(FailedAttempt { refusal, error })
         }
--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -6,18 +6,18 @@
 use slog::info;
 
 use super::Gateway;
-use super::exchange::Plan;
+use super::exchange::RequestState;
 use crate::poison::{Origin, Report, Reporter, Suspect, Verdict, log_block_changes};
 use crate::sync::lock;
 
 impl Gateway {
     /// Whether a request must not be sent because targets ended while processing it. A request that
     /// is let through as a trial is recorded as tried.
-    pub(super) fn is_blocked_as_poison(&self, plan: &Plan) -> bool {
-        if !self.may_be_known_poison(plan) {
+    pub(super) fn is_blocked_as_poison(&self, state: &RequestState) -> bool {
+        if !self.may_be_known_poison(state) {
             return false;
         }
-        let (now, fingerprint) = (self.now(), plan.fingerprint());
+        let (now, fingerprint) = (self.now(), state.fingerprint());
         let mut tracker = lock(&self.poison);
         match tracker.verdict(now, fingerprint, self.gateways()) {
             Verdict::Blocked => true,
@@ -33,9 +33,9 @@
 
     /// Whether a similar request is tracked. A cheap check that does not read the body excludes
     /// most requests.
-    fn may_be_known_poison(&self, plan: &Plan) -> bool {
+    fn may_be_known_poison(&self, state: &RequestState) -> bool {
         let tracker = lock(&self.poison);
-        !tracker.is_empty() && tracker.may_contain(plan.identity().quick_hash())
+        !tracker.is_empty() && tracker.may_contain(state.identity().quick_hash())
     }
 
     /// Records that a target ended while processing a request.
@@ -48,11 +48,11 @@
 
     /// Records that a request was answered completely and successfully, so that it is not the cause
     /// of targets' ends.
-    pub(super) fn note_not_poison(&self, plan: &Plan) {
-        if !self.may_be_known_poison(plan) {
+    pub(super) fn note_not_poison(&self, state: &RequestState) {
+        if !self.may_be_known_poison(state) {
             return;
         }
-        let cleared = lock(&self.poison).record_success(self.now(), plan.fingerprint());
+        let cleared = lock(&self.poison).record_success(self.now(), state.fingerprint());
         if cleared {
             self.metrics.poison_cleared();
             self.poison_changed.notify_one();
--- a/src/gateway/prefix_holders.rs
+++ b/src/gateway/prefix_holders.rs
@@ -6,7 +6,7 @@
 
 use super::Gateway;
 use super::choice::Choice;
-use super::exchange::Plan;
+use super::exchange::RequestState;
 use super::mechanism::Mechanism;
 use crate::group::loads::LoadKey;
 use crate::group::prefix_holders::{MAX_HOLDERS_PER_MESSAGE, PrefixHolder, PromptKey};
@@ -106,8 +106,8 @@
 
 impl Gateway {
     /// Records that a target answered a request and so has its prompt cached.
-    pub(super) fn note_prompt_read(&self, plan: &Plan, choice: &Choice) {
-        let long_enough = plan.affinity.filter(|affinity| affinity.tokens >= MIN_SHARED_TOKENS);
+    pub(super) fn note_prompt_read(&self, state: &RequestState, choice: &Choice) {
+        let long_enough = state.affinity.filter(|affinity| affinity.tokens >= MIN_SHARED_TOKENS);
         let Some(affinity) =
             long_enough.filter(|_| !choice.expected_holder && self.uses(Mechanism::Keepers))
         else {
--- a/src/gateway/probe.rs
+++ b/src/gateway/probe.rs
@@ -9,7 +9,7 @@
 
 use super::Gateway;
 use super::connection::{ProbeResult, probe_target};
-use super::exchange::Plan;
+use super::exchange::RequestState;
 use super::target::Target;
 use super::trace::{millis_since, text};
 use crate::clock::Instant;
@@ -28,12 +28,12 @@
     }
 
     /// Probes the target that lost its answer in a separate task, and records the result.
-    pub(super) fn probe(self: &Arc<Self>, plan: &Plan, target: &Arc<Target>) {
+    pub(super) fn probe(self: &Arc<Self>, state: &RequestState, target: &Arc<Target>) {
         let (gateway, target) = (self.clone(), target.clone());
-        let (id, service) = (plan.outgoing.id.clone(), plan.service.clone());
-        let (fingerprint, suspect) = (plan.fingerprint(), plan.suspect());
-        let route = plan.route.name.clone();
-        let counted_under = plan.counted_under.map(|(subject, _)| subject);
+        let (id, service) = (state.outgoing.id.clone(), state.service.clone());
+        let (fingerprint, suspect) = (state.fingerprint(), state.suspect());
+        let route = state.route.name.clone();
+        let counted_under = state.counted_under.map(|(subject, _)| subject);
         // If the target is shutting down as planned, its end is not caused by a request.
         let leaves = target.draining();
         let began = Instant::now();
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -19,7 +19,7 @@
 use super::attempt::Answer;
 use super::body_forwarder::{BodyForwarder, BodySource};
 use super::events::EventSplitter;
-use super::exchange::{Plan, give_up, next_answer};
+use super::exchange::{RequestState, give_up, next_answer};
 use super::health::AttemptOutcome;
 use super::mechanism::Mechanism;
 use super::outgoing::strip_hop_by_hop;
@@ -42,31 +42,39 @@
     /// The response for the client.
     Response(Response<AnswerBody>),
     /// The request is to be sent again.
-    Retry(Box<Plan>),
+    Retry(Box<RequestState>),
 }
 
 /// Relays an answer to the client, or decides that the request is sent again.
-pub(super) async fn relay(gateway: &Arc<Gateway>, mut plan: Plan, answer: Answer) -> Relayed {
-    let again = plan.route.kind.idempotent() && answer.status.is_server_error();
-    if again && gateway.could_retry(&plan) {
-        plan.note_may_have_run(Refusal::AnswerLost);
-        return Relayed::Retry(Box::new(plan));
+pub(super) async fn relay(
+    gateway: &Arc<Gateway>,
+    mut state: RequestState,
+    answer: Answer,
+) -> Relayed {
+    let again = state.route.kind.idempotent() && answer.status.is_server_error();
+    if again && gateway.could_retry(&state) {
+        state.note_may_have_run(Refusal::AnswerLost);
+        return Relayed::Retry(Box::new(state));
     }
     let events = answer.headers.get(CONTENT_TYPE);
     let events = text(events).starts_with("text/event-stream") && answer.status == StatusCode::OK;
-    if events && plan.route.kind.streams() {
-        return start_stream(gateway, plan, answer).await;
+    if events && state.route.kind.streams() {
+        return start_stream(gateway, state, answer).await;
     }
-    relay_buffered(gateway, plan, answer).await
+    relay_buffered(gateway, state, answer).await
 }
 
 /// Reads the complete answer before the client gets any of it, so that a broken one never looks complete. An answer that
 /// is longer than [`MAX_BUFFERED_BYTES`], or for which there is no memory left, is streamed instead.
-async fn relay_buffered(gateway: &Arc<Gateway>, mut plan: Plan, answer: Answer) -> Relayed {
+async fn relay_buffered(
+    gateway: &Arc<Gateway>,
+    mut state: RequestState,
+    answer: Answer,
+) -> Relayed {
     let Answer { target, status, headers, mut body, connection, in_flight } = answer;
-    let mut gathered = plan.holder.new_body();
+    let mut gathered = state.holder.new_body();
     loop {
-        let frame = gateway.run_clock.before(plan.outgoing.deadline, body.frame()).await;
+        let frame = gateway.run_clock.before(state.outgoing.deadline, body.frame()).await;
         let refusal = match frame {
             Some(Some(Ok(frame))) => {
                 let chunk = frame.into_data().unwrap_or_default();
@@ -74,12 +82,12 @@
                 if pushed.is_ok() && gathered.length() <= MAX_BUFFERED_BYTES {
                     continue;
                 }
-                trace::answered(gateway, &plan, &target, status);
-                plan.disconnect_guard.finish();
-                let deadline = plan.outgoing.deadline;
+                trace::answered(gateway, &state, &target, status);
+                state.disconnect_guard.finish();
+                let deadline = state.outgoing.deadline;
                 let (clock, _in_flight) = (gateway.run_clock.clone(), in_flight);
                 let rest = AnswerRest { body, connection, headers, _in_flight, deadline, clock };
-                let forwarder = BodyForwarder::new(gateway, &plan);
+                let forwarder = BodyForwarder::new(gateway, &state);
                 let first = gathered.into_bytes(pushed.err());
                 return Relayed::Response(stream_long(status, forwarder, first, rest));
             }
@@ -88,29 +96,29 @@
             None => Refusal::AnswerLate,
         };
         gateway.note_outcome(&target, AttemptOutcome::Failed);
-        trace::broke_off(gateway, &plan, &target, refusal, "");
+        trace::broke_off(gateway, &state, &target, refusal, "");
         match refusal {
-            Refusal::AnswerLost => gateway.probe(&plan, &target),
-            _ => gateway.note_version_failure(&plan),
+            Refusal::AnswerLost => gateway.probe(&state, &target),
+            _ => gateway.note_version_failure(&state),
         }
-        plan.note_may_have_run(refusal);
-        if plan.route.kind.idempotent() && gateway.could_retry(&plan) {
-            return Relayed::Retry(Box::new(plan));
+        state.note_may_have_run(refusal);
+        if state.route.kind.idempotent() && gateway.could_retry(&state) {
+            return Relayed::Retry(Box::new(state));
         }
-        return Relayed::Response(give_up(gateway, plan, refusal));
+        return Relayed::Response(give_up(gateway, state, refusal));
     }
     connection.keep(&headers);
     if implies_not_run(status) {
         // The answer lacks the header by which a target states that it did not run the request, so the client must
         // not get a status that says so.
-        return Relayed::Response(give_up(gateway, plan, Refusal::WrongAnswer));
+        return Relayed::Response(give_up(gateway, state, Refusal::WrongAnswer));
     }
-    trace::answered(gateway, &plan, &target, status);
+    trace::answered(gateway, &state, &target, status);
     if status.is_success() {
-        gateway.note_version_answer(&plan);
-        gateway.note_not_poison(&plan);
+        gateway.note_version_answer(&state);
+        gateway.note_not_poison(&state);
     }
-    trace::ended(gateway, &mut plan);
+    trace::ended(gateway, &mut state);
     let mut response = Response::new(AnswerBody::Buffered(Some(gathered.into_answer())));
     *response.status_mut() = status;
     *response.headers_mut() = client_headers(headers);
@@ -186,7 +194,7 @@
 /// A stream of server-sent events that is being relayed to the client.
 struct EventRelay {
     gateway: Arc<Gateway>,
-    plan: Plan,
+    state: RequestState,
     answer: Answer,
     splitter: EventSplitter,
     /// Whether any event was forwarded to the client.
@@ -208,11 +216,11 @@
 
 /// Starts to relay a stream. The response head is sent only once the first event has arrived, so that the request can
 /// still be retried or refused until then.
-async fn start_stream(gateway: &Arc<Gateway>, plan: Plan, answer: Answer) -> Relayed {
+async fn start_stream(gateway: &Arc<Gateway>, state: RequestState, answer: Answer) -> Relayed {
     let (status, headers) = (answer.status, client_headers(answer.headers.clone()));
     let mut relay = EventRelay {
         gateway: gateway.clone(),
-        plan,
+        state,
         answer,
         splitter: EventSplitter::default(),
         begun: false,
@@ -220,10 +228,10 @@
     };
     let first = match relay.next_events().await {
         Ok(first) => first,
-        Err(refusal) => return Relayed::Response(give_up(gateway, relay.plan, refusal)),
+        Err(refusal) => return Relayed::Response(give_up(gateway, relay.state, refusal)),
     };
-    gateway.note_version_answer(&relay.plan);
-    trace::answered(gateway, &relay.plan, &relay.answer.target, status);
+    gateway.note_version_answer(&relay.state);
+    trace::answered(gateway, &relay.state, &relay.answer.target, status);
     let Some(first) = first else {
         relay.finish();
         let mut response = Response::new(AnswerBody::Buffered(None));
@@ -232,7 +240,7 @@
         return Relayed::Response(response);
     };
     let open = gateway.open_request();
-    let forwarder = BodyForwarder::new(gateway, &relay.plan);
+    let forwarder = BodyForwarder::new(gateway, &relay.state);
     let chunks = forwarder.start(first, relay, Some(open));
     let mut response = Response::new(AnswerBody::Streamed(chunks));
     *response.status_mut() = status;
@@ -254,8 +262,8 @@
     }
 
     fn abort(&mut self, why: Refusal) {
-        trace::stream_cut(&self.gateway, &self.plan, why);
-        self.plan.disconnect_guard.finish();
+        trace::stream_cut(&self.gateway, &self.state, why);
+        self.state.disconnect_guard.finish();
     }
 }
 
@@ -295,19 +303,19 @@
     /// Waits for the next frame: until the stall timeout if another target could take over the stream, else until the
     /// deadline.
     async fn next_frame(&mut self) -> Result<Option<FrameResult>, Interrupted> {
-        let route = &self.plan.route;
+        let route = &self.state.route;
         let timeout = match self.begun {
             true => stall::next_event_timeout(route),
             false => stall::answer_timeout(route),
         };
         let watch = StallGuard::start(&self.gateway, &self.answer.target, timeout);
-        let (deadline, clock) = (self.plan.outgoing.deadline, &self.gateway.run_clock);
+        let (deadline, clock) = (self.state.outgoing.deadline, &self.gateway.run_clock);
         let mut frame = pin!(self.answer.body.frame());
         let mut received = clock.within(timeout, deadline, &mut frame).await;
         let may_switch = || {
             self.gateway.uses(Mechanism::Silence)
                 && route.kind.idempotent()
-                && self.gateway.could_retry(&self.plan)
+                && self.gateway.could_retry(&self.state)
         };
         if received.is_none() && !may_switch() {
             watch.count_if_stalled();
@@ -325,42 +333,42 @@
         };
         let gateway = self.gateway.clone();
         let last = self.splitter.last_id().unwrap_or("");
-        trace::broke_off(&gateway, &self.plan, &self.answer.target, refusal, last);
+        trace::broke_off(&gateway, &self.state, &self.answer.target, refusal, last);
         if self.client_stalled {
             return Err(refusal);
         }
         gateway.note_outcome(&self.answer.target, AttemptOutcome::Failed);
         match refusal {
-            Refusal::AnswerLost => gateway.probe(&self.plan, &self.answer.target),
-            _ => gateway.note_version_failure(&self.plan),
+            Refusal::AnswerLost => gateway.probe(&self.state, &self.answer.target),
+            _ => gateway.note_version_failure(&self.state),
         }
-        self.plan.note_may_have_run(refusal);
-        if !self.plan.route.kind.idempotent() {
+        self.state.note_may_have_run(refusal);
+        if !self.state.route.kind.idempotent() {
             return Err(refusal);
         }
         self.splitter.drop_partial();
         if let Some(last) = self.splitter.last_id()
             && let Ok(last) = HeaderValue::from_str(last)
         {
-            self.plan.outgoing.resume_after(gateway.header_names(), last);
+            self.state.outgoing.resume_after(gateway.header_names(), last);
         } else if self.begun {
             return Err(refusal);
         }
-        let answer = next_answer(&gateway, &mut self.plan).await?;
+        let answer = next_answer(&gateway, &mut self.state).await?;
         let content_type = text(answer.headers.get(CONTENT_TYPE));
         if answer.status != StatusCode::OK || !content_type.starts_with("text/event-stream") {
             return Err(refusal);
         }
         let last = self.splitter.last_id().unwrap_or("");
-        trace::resumed(&gateway, &self.plan, &answer.target, last);
+        trace::resumed(&gateway, &self.state, &answer.target, last);
         self.answer = answer;
         Ok(())
     }
 
     /// Records that the stream was relayed to its end, and keeps the target's connection for later requests.
     fn finish(mut self) {
-        self.gateway.note_not_poison(&self.plan);
-        trace::ended(&self.gateway, &mut self.plan);
+        self.gateway.note_not_poison(&self.state);
+        trace::ended(&self.gateway, &mut self.state);
         self.answer.connection.keep(&self.answer.headers);
     }
 }
--- a/src/gateway/retries.rs
+++ b/src/gateway/retries.rs
@@ -4,7 +4,7 @@
 
 use super::Gateway;
 use super::budget::{BudgetRule, ServiceBudget, USED_FRACTION};
-use super::exchange::Plan;
+use super::exchange::RequestState;
 use super::mechanism::Mechanism;
 use crate::clock::Instant;
 use crate::sync::lock;
@@ -36,32 +36,32 @@
     }
 
     /// Whether the request could be sent to one more target if the attempt under way is given up.
-    pub(super) fn could_retry_after_current(&self, plan: &Plan) -> bool {
+    pub(super) fn could_retry_after_current(&self, state: &RequestState) -> bool {
         let (now, gateways) = (self.now(), self.sharing_gateways());
         self.uses(Mechanism::Silence)
-            && plan.sends + 1 < plan.route.max_attempts
-            && self.with_budget(&plan.service, |budget| budget.remaining(now, gateways) >= 1.0)
-            && self.choose(plan).is_some_and(|choice| choice.last_resort < choice.candidates)
+            && state.sends + 1 < state.route.max_attempts
+            && self.with_budget(&state.service, |budget| budget.remaining(now, gateways) >= 1.0)
+            && self.choose(state).is_some_and(|choice| choice.last_resort < choice.candidates)
     }
 
     /// Whether the request could be sent to one more target now.
-    pub(super) fn could_retry(&self, plan: &Plan) -> bool {
+    pub(super) fn could_retry(&self, state: &RequestState) -> bool {
         let (now, gateways) = (self.now(), self.sharing_gateways());
-        plan.sends < plan.route.max_attempts
-            && Instant::now() < plan.outgoing.deadline
-            && self.with_budget(&plan.service, |budget| budget.remaining(now, gateways) >= 1.0)
-            && self.choose(plan).is_some()
+        state.sends < state.route.max_attempts
+            && Instant::now() < state.outgoing.deadline
+            && self.with_budget(&state.service, |budget| budget.remaining(now, gateways) >= 1.0)
+            && self.choose(state).is_some()
     }
 
     /// Takes one retry out of the budget, if the route's maximum number of attempts and the budget
     /// allow it.
-    pub(super) fn try_spend_retry(&self, plan: &Plan) -> bool {
-        if plan.sends >= plan.route.max_attempts {
+    pub(super) fn try_spend_retry(&self, state: &RequestState) -> bool {
+        if state.sends >= state.route.max_attempts {
             return false;
         }
         let (now, gateways) = (self.now(), self.sharing_gateways());
-        let allowed = self.with_budget(&plan.service, |budget| budget.try_spend(now, gateways));
-        self.metrics.retried(&plan.service, allowed);
+        let allowed = self.with_budget(&state.service, |budget| budget.try_spend(now, gateways));
+        self.metrics.retried(&state.service, allowed);
         allowed
     }
 
--- a/src/gateway/trace.rs
+++ b/src/gateway/trace.rs
@@ -9,7 +9,7 @@
 use super::Gateway;
 use super::attempt::AttemptError;
 use super::choice::Choice;
-use super::exchange::Plan;
+use super::exchange::RequestState;
 use super::refusal::Refusal;
 use super::target::Target;
 use crate::clock::Instant;
@@ -25,8 +25,8 @@
     at.elapsed().as_millis() as u64
 }
 
-fn millis_left(plan: &Plan) -> u64 {
-    plan.outgoing.deadline.saturating_duration_since(Instant::now()).as_millis() as u64
+fn millis_left(state: &RequestState) -> u64 {
+    state.outgoing.deadline.saturating_duration_since(Instant::now()).as_millis() as u64
 }
 
 /// A request was refused before it was sent to any target.
@@ -41,34 +41,34 @@
 /// A request was given up on after its route was found.
 pub(super) fn given_up(
     gateway: &Gateway,
-    plan: &Plan,
+    state: &RequestState,
     refusal: Refusal,
     backoff_left: Option<Duration>,
 ) {
     gateway.metrics.refused(refusal);
-    info!(gateway.log, "request given up"; "event" => "given_up", "id" => text(Some(&plan.outgoing.id)),
+    info!(gateway.log, "request given up"; "event" => "given_up", "id" => text(Some(&state.outgoing.id)),
         "reason" => refusal.code(), "status" => refusal.status().as_u16(),
-        "route" => &plan.route.name, "service" => &plan.service, "kind" => ?plan.route.kind,
-        "sends" => plan.sends, "max_attempts" => plan.route.max_attempts,
-        "budget_left" => gateway.budget_left(&plan.service), "gateways" => gateway.gateways(),
-        "version" => plan.version, "targets" => gateway.target_count(&plan.service),
-        "news_age_ms" => gateway.update_age_ms(), "elapsed_ms" => millis_since(plan.arrived),
-        "fingerprint" => plan.known_fingerprint().map(|one| one.to_string()),
+        "route" => &state.route.name, "service" => &state.service, "kind" => ?state.route.kind,
+        "sends" => state.sends, "max_attempts" => state.route.max_attempts,
+        "budget_left" => gateway.budget_left(&state.service), "gateways" => gateway.gateways(),
+        "version" => state.version, "targets" => gateway.target_count(&state.service),
+        "news_age_ms" => gateway.update_age_ms(), "elapsed_ms" => millis_since(state.arrived),
+        "fingerprint" => state.known_fingerprint().map(|one| one.to_string()),
         "rest_left_ms" => backoff_left.map(|left| left.as_millis() as u64),
-        "left_ms" => millis_left(plan));
+        "left_ms" => millis_left(state));
 }
 
 /// An attempt ended, with the head of an answer or with an error.
 pub(super) fn attempt(
     gateway: &Gateway,
-    plan: &Plan,
+    state: &RequestState,
     choice: &Choice,
     began: Instant,
     outcome: Result<StatusCode, (Refusal, AttemptError)>,
 ) {
     let failed = outcome.is_err();
     let code = outcome.as_ref().map_or_else(|(refusal, _)| refusal.code(), StatusCode::as_str);
-    gateway.metrics.attempt_ended(&plan.service, code);
+    gateway.metrics.attempt_ended(&state.service, code);
     let kept = lock(&gateway.attempt_sampler).sample(gateway.now());
     // Attempts at cold targets are always logged: they are few, and logs have to show all requests that such a target
     // got.
@@ -80,38 +80,43 @@
         Ok(status) => ("answered", String::new(), status.as_u16()),
         Err((refusal, error)) => (refusal.code(), format!("{error:?}"), 0),
     };
-    info!(gateway.log, "attempt"; "event" => "attempt", "id" => text(Some(&plan.outgoing.id)),
+    info!(gateway.log, "attempt"; "event" => "attempt", "id" => text(Some(&state.outgoing.id)),
         "outcome" => result, "error" => error, "status" => status,
         "target" => &target.announcement.id, "addr" => %target.announcement.addr,
-        "service" => &plan.service, "route" => &plan.route.name, "sends" => plan.sends,
+        "service" => &state.service, "route" => &state.route.name, "sends" => state.sends,
         "home" => ?target.home(), "software" => &target.announcement.version,
-        "affinity" => plan.affinity.map_or_else(String::new, |affinity| format!("{:016x}", affinity.hash)),
-        "shared_tokens" => plan.affinity.map_or(0, |affinity| affinity.tokens),
+        "affinity" => state.affinity.map_or_else(String::new, |affinity| format!("{:016x}", affinity.hash)),
+        "shared_tokens" => state.affinity.map_or(0, |affinity| affinity.tokens),
         "fetch_from" => ?choice.fetch_from, "load" => format!("{:.1}", choice.load), "in_flight" => target.in_flight(),
         "candidates" => choice.candidates, "cold" => choice.cold, "doubtful" => choice.last_resort,
-        "list" => choice.list_revision, "version" => plan.version,
-        "budget_left" => gateway.budget_left(&plan.service), "took_ms" => millis_since(began),
-        "left_ms" => millis_left(plan), "stands_for" => kept.unwrap_or(1));
+        "list" => choice.list_revision, "version" => state.version,
+        "budget_left" => gateway.budget_left(&state.service), "took_ms" => millis_since(began),
+        "left_ms" => millis_left(state), "stands_for" => kept.unwrap_or(1));
 }
 
 /// An answer is being sent to the client; of a stream, at least the first event has arrived.
-pub(super) fn answered(gateway: &Gateway, plan: &Plan, target: &Target, status: StatusCode) {
+pub(super) fn answered(
+    gateway: &Gateway,
+    state: &RequestState,
+    target: &Target,
+    status: StatusCode,
+) {
     gateway.metrics.answered(status);
-    gateway.metrics.answer_started(&plan.service, plan.arrived.elapsed());
+    gateway.metrics.answer_started(&state.service, state.arrived.elapsed());
     let kept = lock(&gateway.answer_sampler).sample(gateway.now());
     let Some(stands_for) = kept else {
         return;
     };
-    info!(gateway.log, "request answered"; "event" => "answered", "id" => text(Some(&plan.outgoing.id)),
+    info!(gateway.log, "request answered"; "event" => "answered", "id" => text(Some(&state.outgoing.id)),
         "status" => status.as_u16(), "target" => &target.announcement.id,
-        "route" => &plan.route.name, "sends" => plan.sends, "version" => plan.version,
-        "elapsed_ms" => millis_since(plan.arrived), "stands_for" => stands_for);
+        "route" => &state.route.name, "sends" => state.sends, "version" => state.version,
+        "elapsed_ms" => millis_since(state.arrived), "stands_for" => stands_for);
 }
 
 /// An answer was relayed to its end.
-pub(super) fn ended(gateway: &Gateway, plan: &mut Plan) {
-    gateway.metrics.answer_ended(&plan.service, plan.arrived.elapsed());
-    plan.disconnect_guard.finish();
+pub(super) fn ended(gateway: &Gateway, state: &mut RequestState) {
+    gateway.metrics.answer_ended(&state.service, state.arrived.elapsed());
+    state.disconnect_guard.finish();
 }
 
 /// An answer states that its target is shutting down. `first`: no earlier answer of this incarnation of the target did.
@@ -140,37 +145,37 @@
 /// An answer or stream from a target broke off or stalled.
 pub(super) fn broke_off(
     gateway: &Gateway,
-    plan: &Plan,
+    state: &RequestState,
     target: &Target,
     refusal: Refusal,
     last_event: &str,
 ) {
     gateway.metrics.attempt_failed(refusal);
     info!(gateway.log, "answer from target broke off"; "event" => "broke_off",
-        "id" => text(Some(&plan.outgoing.id)), "reason" => refusal.code(),
-        "target" => &target.announcement.id, "route" => &plan.route.name,
-        "kind" => ?plan.route.kind, "last_event" => last_event, "sends" => plan.sends,
-        "max_attempts" => plan.route.max_attempts, "version" => plan.version,
-        "budget_left" => gateway.budget_left(&plan.service),
-        "elapsed_ms" => millis_since(plan.arrived), "left_ms" => millis_left(plan));
+        "id" => text(Some(&state.outgoing.id)), "reason" => refusal.code(),
+        "target" => &target.announcement.id, "route" => &state.route.name,
+        "kind" => ?state.route.kind, "last_event" => last_event, "sends" => state.sends,
+        "max_attempts" => state.route.max_attempts, "version" => state.version,
+        "budget_left" => gateway.budget_left(&state.service),
+        "elapsed_ms" => millis_since(state.arrived), "left_ms" => millis_left(state));
 }
 
 /// The stream to a client was cut, since it could not be continued.
-pub(super) fn stream_cut(gateway: &Gateway, plan: &Plan, refusal: Refusal) {
+pub(super) fn stream_cut(gateway: &Gateway, state: &RequestState, refusal: Refusal) {
     gateway.metrics.stream_cut(refusal);
     info!(gateway.log, "stream to client cut"; "event" => "stream_cut",
-        "id" => text(Some(&plan.outgoing.id)), "reason" => refusal.code(),
-        "route" => &plan.route.name, "sends" => plan.sends, "version" => plan.version,
-        "elapsed_ms" => millis_since(plan.arrived), "left_ms" => millis_left(plan));
+        "id" => text(Some(&state.outgoing.id)), "reason" => refusal.code(),
+        "route" => &state.route.name, "sends" => state.sends, "version" => state.version,
+        "elapsed_ms" => millis_since(state.arrived), "left_ms" => millis_left(state));
 }
 
 /// A stream was resumed at another target.
-pub(super) fn resumed(gateway: &Gateway, plan: &Plan, target: &Target, last_event: &str) {
+pub(super) fn resumed(gateway: &Gateway, state: &RequestState, target: &Target, last_event: &str) {
     gateway.metrics.stream_resumed();
     info!(gateway.log, "stream resumed at another target"; "event" => "resumed",
-        "id" => text(Some(&plan.outgoing.id)), "target" => &target.announcement.id,
-        "last_event" => last_event, "sends" => plan.sends,
-        "elapsed_ms" => millis_since(plan.arrived), "left_ms" => millis_left(plan));
+        "id" => text(Some(&state.outgoing.id)), "target" => &target.announcement.id,
+        "last_event" => last_event, "sends" => state.sends,
+        "elapsed_ms" => millis_since(state.arrived), "left_ms" => millis_left(state));
 }
 
 /// Why the gateway closed the connection of a client that sends or reads slowly.
--- a/src/gateway/versions.rs
+++ b/src/gateway/versions.rs
@@ -7,7 +7,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 use super::Gateway;
-use super::exchange::Plan;
+use super::exchange::RequestState;
 use super::target::Target;
 use super::targets::Targets;
 use crate::clock::Instant;
@@ -65,9 +65,9 @@
 
 impl<'a> Versions<'a> {
     /// The targets of the request's service, and the stage on its route.
-    pub(super) fn new(now: Duration, known: &'a Targets, plan: &Plan) -> Self {
-        let (of_service, rollout) = (known.of(&plan.service), known.rollout(&plan.service));
-        let stage = rollout.map(|rollout| known.stage_on_route(now, rollout, &plan.route.name));
+    pub(super) fn new(now: Duration, known: &'a Targets, state: &RequestState) -> Self {
+        let (of_service, rollout) = (known.of(&state.service), known.rollout(&state.service));
+        let stage = rollout.map(|rollout| known.stage_on_route(now, rollout, &state.route.name));
         let mut versions = Versions { of_service, rollout, stage, trial_ranks_below: 0 };
         if let Some(rollout) = rollout.filter(|rollout| matches!(rollout.stage, Stage::Part(_))) {
             versions.trial_ranks_below = versions.trial_end(rollout);
@@ -116,15 +116,20 @@
 impl Gateway {
     /// What outcomes of a request at a target are counted under. `None` if no roll-out is under
     /// way, or if the target is cold and therefore slow.
-    pub(super) fn subject(&self, known: &Targets, plan: &Plan, target: &Target) -> Option<Subject> {
-        let rollout = known.rollout(&plan.service).filter(|rollout| rollout.stage.under_way())?;
-        let cold = self.cold_limit(&plan.service);
+    pub(super) fn subject(
+        &self,
+        known: &Targets,
+        state: &RequestState,
+        target: &Target,
+    ) -> Option<Subject> {
+        let rollout = known.rollout(&state.service).filter(|rollout| rollout.stage.under_way())?;
+        let cold = self.cold_limit(&state.service);
         if cold.is_some_and(|limit| limit.cold(self.now(), target)) {
             return None;
         }
         let new = rollout.version == target.announcement.version;
         let side = if new { Side::New } else { Side::Old };
-        Some(Subject { rollout: rollout.at, route: RouteKey::of(&plan.route.name), side })
+        Some(Subject { rollout: rollout.at, route: RouteKey::of(&state.route.name), side })
     }
 
     /// Whether the roll-out of its service allows sending requests to a target.
@@ -137,15 +142,15 @@
     }
 
     /// Counts a request that failed because of its target.
-    pub(super) fn note_version_failure(&self, plan: &Plan) {
-        if let Some((subject, _)) = plan.counted_under {
+    pub(super) fn note_version_failure(&self, state: &RequestState) {
+        if let Some((subject, _)) = state.counted_under {
             lock(&self.tallies).record_failure(subject);
         }
     }
 
     /// Counts a request whose answer has begun or is complete, with the time it took.
-    pub(super) fn note_version_answer(&self, plan: &Plan) {
-        if let Some((subject, began)) = plan.counted_under {
+    pub(super) fn note_version_answer(&self, state: &RequestState) {
+        if let Some((subject, began)) = state.counted_under {
             let took = Instant::now().saturating_duration_since(began);
             lock(&self.tallies).record_answer(subject, took);
         }
