--- a/src/availability.rs
+++ b/src/availability.rs
@@ -105,8 +105,8 @@
         !std::mem::replace(&mut self.reported.shutting_down, true)
     }
 
-    /// Records that the target asked for a back-off. Answers may arrive out of order, so the latest end of all back-offs
-    /// applies. The return begins after a further fraction `chance` (random, from 0 to 1) of `spread`.
+    /// Records that the target asked for a back-off. Answers may arrive out of order, so the latest end of all
+    /// back-offs applies. The return begins after a further fraction `chance` (random, from 0 to 1) of `spread`.
     pub fn back_off(
         &mut self,
         now: Duration,
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -1,8 +1,8 @@
 //! Chooses a target by rendezvous hashing with bounded loads.
 //!
-//! The order of targets for a chat depends only on the chat and the targets' names. So any router sends a returning chat
-//! to the target that has its prefix cached, and a target that is added or removed moves only its own chats. A target
-//! that has reached its load bound is skipped for the next in the order.
+//! The order of targets for a chat depends only on the chat and the targets' names. So any router sends a returning
+//! chat to the target that has its prefix cached, and a target that is added or removed moves only its own chats. A
+//! target that has reached its load bound is skipped for the next in the order.
 
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -47,8 +47,8 @@
     mixed ^ (mixed >> 31)
 }
 
-/// Maximum number of requests in flight at each of `targets` targets when `total` are in flight at all of them, including
-/// the new one. `bound` is the allowed multiple of the mean.
+/// Maximum number of requests in flight at each of `targets` targets when `total` are in flight at all of them,
+/// including the new one. `bound` is the allowed multiple of the mean.
 pub fn cap(total: usize, targets: usize, bound: f64) -> usize {
     if targets == 0 {
         return 0;
--- a/src/claims.rs
+++ b/src/claims.rs
@@ -1,7 +1,7 @@
 //! Claims on request keys: decide which router may run a request that must run at most once.
 //!
-//! A request key is a UUID of version 7, which contains the time at which it was made. Claims are kept for [`CLAIM_WINDOW`]
-//! after that time. An older key is refused, since a claim on it may have been dropped.
+//! A request key is a UUID of version 7, which contains the time at which it was made. Claims are kept for
+//! [`CLAIM_WINDOW`] after that time. An older key is refused, since a claim on it may have been dropped.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/src/compat/mod.rs
+++ b/src/compat/mod.rs
@@ -1,7 +1,7 @@
 //! Encodings shared with other builds.
 //!
-//! Whatever a released build has written to disk or sent on a connection must stay readable, and a process may connect to
-//! one of an earlier or a later build at any time. So encodings are only extended:
+//! Whatever a released build has written to disk or sent on a connection must stay readable, and a process may connect
+//! to one of an earlier or a later build at any time. So encodings are only extended:
 //!
 //! - [`base`] has the types of the first build, the one that ran in production first. They never change, and are used for
 //!   everything that they can express.
--- a/src/control/registry.rs
+++ b/src/control/registry.rs
@@ -44,8 +44,8 @@
 
     /// Whether `revision` is in force at every router that may be admitting requests.
     ///
-    /// A router may hold a lease from an earlier leader that this one, elected at `leading_since`, has not received a call
-    /// from yet. After a whole lease every router that still admits requests has called this leader.
+    /// A router may hold a lease from an earlier leader that this one, elected at `leading_since`, has not received a
+    /// call from yet. After a whole lease every router that still admits requests has called this leader.
     pub(super) fn in_force(&self, now: Time, leading_since: Time, revision: Revision) -> WaitReply {
         let live = self.routers.iter().filter(|(_, state)| now <= state.at + self.lease);
         let (ready, behind): (Vec<_>, Vec<_>) =
--- a/src/directory/entry.rs
+++ b/src/directory/entry.rs
@@ -71,8 +71,8 @@
     }
 }
 
-/// When a target started, by its own clock, in milliseconds since 1970; `None` if the target does not send it. The clock
-/// may step back, so that a later incarnation can have an earlier time.
+/// When a target started, by its own clock, in milliseconds since 1970; `None` if the target does not send it. The
+/// clock may step back, so that a later incarnation can have an earlier time.
 ///
 /// The name of this type is part of log events (`ids` of `targets_settled` and `targets_silent`) and of serde's errors.
 #[derive(
@@ -96,8 +96,8 @@
     pub announcement: Announcement,
     /// Revision of the last change of the entry.
     pub revision: Revision,
-    /// Revision of the last change of anything besides state, remaining cold time and home. Gateways with an older revision
-    /// need the whole entry.
+    /// Revision of the last change of anything besides state, remaining cold time and home. Gateways with an older
+    /// revision need the whole entry.
     pub since: Revision,
     /// Its home, if it has one.
     pub home: Option<u32>,
--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Assigns the lowest free home of the service to each of the targets that is ready and has none. Called for targets
-    /// that have waited long enough to inherit a home.
+    /// Assigns the lowest free home of the service to each of the targets that is ready and has none. Called for
+    /// targets that have waited long enough to inherit a home.
     pub fn assign_homes(&mut self, index: Revision, targets: &[Incarnation]) {
         for target in targets {
             let Some(entry) = self.current_entry(target) else {
@@ -223,8 +223,8 @@
         Directory { undated: undated.into_iter().map(Id::from).collect(), ..self }
     }
 
-    /// Whether a heartbeat is from the incarnation in the directory and adds its start time. One whose sequence starts anew
-    /// is from the next incarnation.
+    /// Whether a heartbeat is from the incarnation in the directory and adds its start time. One whose sequence starts
+    /// anew is from the next incarnation.
     fn adds_start_time(&self, known: &Announcement, heartbeat: &Announcement) -> bool {
         self.undated.contains(known.id.as_str())
             && heartbeat.born.0.is_some()
@@ -401,8 +401,8 @@
         self.targets.values().map(|entry| entry.listed()).collect()
     }
 
-    /// Entries changed after a revision: those to be sent whole, and those of which only state, remaining cold time or home
-    /// changed.
+    /// Entries changed after a revision: those to be sent whole, and those of which only state, remaining cold time or
+    /// home changed.
     fn changes_after(&self, known: Revision) -> (Vec<Listed>, Vec<Moved>) {
         let changed = self.by_revision.range((known + 1, Id::from(""))..);
         let entries = changed.filter_map(|(_, id)| self.targets.get(id));
@@ -412,11 +412,11 @@
     }
 }
 
-/// Classifies a heartbeat from another incarnation than the one in the directory: [`Changed`](HeartbeatClass::Changed) if
-/// that incarnation is the later one.
+/// Classifies a heartbeat from another incarnation than the one in the directory: [`Changed`](HeartbeatClass::Changed)
+/// if that incarnation is the later one.
 ///
-/// It is if its start time is later. An earlier start time may be that of a former incarnation whose first heartbeat was
-/// delayed, or of a later one whose clock has stepped back; in the second case the incarnation in the directory is
+/// It is if its start time is later. An earlier start time may be that of a former incarnation whose first heartbeat
+/// was delayed, or of a later one whose clock has stepped back; in the second case the incarnation in the directory is
 /// unresponsive.
 fn classify_other_incarnation(known: &Announcement, heartbeat: &Announcement) -> HeartbeatClass {
     let later = heartbeat.born > known.born;
--- a/src/evacuations.rs
+++ b/src/evacuations.rs
@@ -1,10 +1,10 @@
 //! Evacuated data halls, whose targets are sent no new requests.
 //!
-//! An order and its withdrawal do not commute: an older command that is applied after a newer one would undo it. Callers
-//! repeat an order whose answer was lost, and give it no number. So the member that receives a call first reads at the
-//! leader which order was the hall's last, and its command names that order. A command takes effect only if the order it
-//! names is still the last one. So a command that is repeated, delayed or committed late has no effect once a newer
-//! order was applied.
+//! An order and its withdrawal do not commute: an older command that is applied after a newer one would undo it.
+//! Callers repeat an order whose answer was lost, and give it no number. So the member that receives a call first reads
+//! at the leader which order was the hall's last, and its command names that order. A command takes effect only if the
+//! order it names is still the last one. So a command that is repeated, delayed or committed late has no effect once a
+//! newer order was applied.
 
 use std::collections::BTreeMap;
 
--- a/src/gateway/body_forwarder.rs
+++ b/src/gateway/body_forwarder.rs
@@ -48,14 +48,14 @@
 /// Forwards the body of one answer to one client.
 pub(super) struct BodyForwarder {
     gateway: Arc<Gateway>,
-    holder: Arc<ClientBuffer>,
+    client_buffer: Arc<ClientBuffer>,
     deadline: Instant,
 }
 
 impl BodyForwarder {
     pub(super) fn new(gateway: &Arc<Gateway>, state: &RequestState) -> Self {
-        let (gateway, holder) = (gateway.clone(), state.holder.clone());
-        BodyForwarder { gateway, holder, deadline: state.outgoing.deadline }
+        let (gateway, client_buffer) = (gateway.clone(), state.client_buffer.clone());
+        BodyForwarder { gateway, client_buffer, deadline: state.outgoing.deadline }
     }
 
     /// Starts a task that forwards the chunk `first` and all that follow from `source`, and returns the body of the
@@ -126,7 +126,7 @@
         let mut read_at = began;
         loop {
             if self.fits(&chunk) {
-                match self.holder.hold_unread(chunk) {
+                match self.client_buffer.hold_unread(chunk) {
                     Ok(held) => {
                         source.note_client_delay(clock.ran().saturating_sub(began));
                         return sender.send(Message::Chunk(held)).is_ok();
@@ -135,13 +135,13 @@
                 }
             }
             if clock.ran() >= read_at + timeout || clock.is_past(self.deadline) {
-                trace::client_cut(&self.gateway, self.holder.unread(), ClientCut::Unread);
+                trace::client_cut(&self.gateway, self.client_buffer.unread(), ClientCut::Unread);
                 source.abort(Refusal::AnswerLate);
                 return false;
             }
             tokio::select! {
                 biased;
-                () = self.holder.wait_for_read() => read_at = clock.ran(),
+                () = self.client_buffer.wait_for_read() => read_at = clock.ran(),
                 () = sender.closed() => return false,
                 () = tokio::time::sleep(ROOM_CHECK_INTERVAL) => {}
             }
@@ -150,7 +150,7 @@
 
     /// Whether the client's buffer has room for a chunk. A chunk larger than the buffer is accepted when it is empty.
     fn fits(&self, chunk: &Bytes) -> bool {
-        let unread = self.holder.unread();
+        let unread = self.client_buffer.unread();
         unread == 0 || unread + chunk.len() <= self.gateway.settings.client_buffer_bytes()
     }
 }
--- a/src/gateway/config_delay.rs
+++ b/src/gateway/config_delay.rs
@@ -15,7 +15,7 @@
 
 impl ConfigDelay {
     /// Records the version that a member reports while the gateway holds version `held`. `fresh`
-    /// tells whether the member has contact with a leader: without a leader, newer versions may
+    /// is whether the member has contact with a leader: without a leader, newer versions may
     /// exist that it has not received.
     pub fn note_update(&mut self, now: Duration, fresh: bool, version: u64, held: u64) {
         self.newest_version = self.newest_version.max(version);
--- a/src/gateway/evidence.rs
+++ b/src/gateway/evidence.rs
@@ -56,7 +56,7 @@
     Tally::of(now, failed, failed + f64::from(evidence.answered))
 }
 
-/// Compares a target with the others of its service. `keeps_prompts` tells whether these cache
+/// Compares a target with the others of its service. `keeps_prompts` is whether these cache
 /// prompts.
 pub fn judge(now: Duration, evidence: &Evidence, others: &[Tally], keeps_prompts: bool) -> Verdict {
     let tally = tally(now, Some(evidence));
--- a/src/gateway/exchange.rs
+++ b/src/gateway/exchange.rs
@@ -70,7 +70,7 @@
     /// During a roll-out: what the current attempt's outcome is counted for, and when the attempt began.
     pub(super) counted_under: Option<(Subject, Instant)>,
     /// The client's connection, to which buffered bytes are charged.
-    pub(super) holder: Arc<ClientBuffer>,
+    pub(super) client_buffer: Arc<ClientBuffer>,
     /// The first failure after which a target may have run the request.
     may_have_run: Option<Refusal>,
     /// Fingerprint of the request, computed on first use.
@@ -80,13 +80,13 @@
 /// Serves one request and returns the answer for the client.
 pub(super) async fn serve(
     gateway: &Arc<Gateway>,
-    holder: &Arc<ClientBuffer>,
+    client_buffer: &Arc<ClientBuffer>,
     request: Request<Incoming>,
 ) -> Response<AnswerBody> {
     let arrived = Instant::now();
     let _open = gateway.open_request();
     let (head, body) = request.into_parts();
-    let mut response = match prepare(gateway, holder, &head, body, arrived).await {
+    let mut response = match prepare(gateway, client_buffer, &head, body, arrived).await {
         Ok(state) => run(gateway, state).await,
         Err(refusal) => {
             let id = text(head.headers.get(&gateway.header_names().request_id));
@@ -105,7 +105,7 @@
 /// Finds the request's route, checks the client's key and the limits, and reads the body.
 async fn prepare(
     gateway: &Arc<Gateway>,
-    holder: &Arc<ClientBuffer>,
+    client_buffer: &Arc<ClientBuffer>,
     head: &Parts,
     body: Incoming,
     arrived: Instant,
@@ -134,7 +134,7 @@
         return Err(Refusal::HeadTooLarge);
     }
     let deadline = arrived + timeout.min(route.timeout);
-    let body = read_body(gateway, holder, body, limits.max_body_bytes, deadline).await?;
+    let body = read_body(gateway, client_buffer, body, limits.max_body_bytes, deadline).await?;
     let service = draw_service(&route);
     gateway.count_request(&service);
     let outgoing = Outgoing::new(names, head, body, &caller, &route, id, deadline);
@@ -158,7 +158,7 @@
         disconnect_guard,
         version_draw: rand::random(),
         counted_under: None,
-        holder: holder.clone(),
+        client_buffer: client_buffer.clone(),
         may_have_run: None,
         fingerprint: OnceLock::new(),
     })
@@ -176,28 +176,28 @@
 /// Reads a client's body into memory, where it is kept until no further attempt needs it.
 async fn read_body(
     gateway: &Gateway,
-    holder: &Arc<ClientBuffer>,
+    client_buffer: &Arc<ClientBuffer>,
     body: Incoming,
     max_bytes: usize,
     deadline: Instant,
 ) -> Result<Bytes, Refusal> {
-    let _waiting = holder.start_waiting();
-    let gathering = gather(holder, body, max_bytes);
+    let _waiting = client_buffer.start_waiting();
+    let gathering = gather(client_buffer, body, max_bytes);
     tokio::select! {
         read = gateway.run_clock.within(BODY_TIMEOUT, deadline, gathering) => {
             read.unwrap_or(Err(Refusal::BodyTooSlow))
         }
         // The memory is needed for other clients.
-        () = holder.wait_for_cut() => Err(Refusal::BodyTooSlow),
+        () = client_buffer.wait_for_cut() => Err(Refusal::BodyTooSlow),
     }
 }
 
 async fn gather(
-    holder: &Arc<ClientBuffer>,
+    client_buffer: &Arc<ClientBuffer>,
     mut body: Incoming,
     max_bytes: usize,
 ) -> Result<Bytes, Refusal> {
-    let mut gathered = holder.new_body();
+    let mut gathered = client_buffer.new_body();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|_| Refusal::BadRequest)?;
         let chunk = frame.into_data().unwrap_or_default();
@@ -339,7 +339,7 @@
     gateway: &'a Gateway,
     state: &'a RequestState,
     target: &'a Target,
-    watch: &'a StallGuard,
+    stall_guard: &'a StallGuard,
 }
 
 impl Supervisor for AttemptSupervisor<'_> {
@@ -357,7 +357,7 @@
     }
 
     fn on_stall(&self) {
-        self.watch.count_if_stalled();
+        self.stall_guard.count_if_stalled();
     }
 
     fn on_answer_head(&self, status: StatusCode, headers: &HeaderMap) {
@@ -378,13 +378,13 @@
     let began = Instant::now();
     state.counted_under = choice.counted_under.map(|subject| (subject, began));
     let timeout = stall::answer_timeout(&state.route);
-    let watch = StallGuard::start(gateway, target, timeout);
-    let supervisor = AttemptSupervisor { gateway, state, target, watch: &watch };
+    let stall_guard = StallGuard::start(gateway, target, timeout);
+    let supervisor = AttemptSupervisor { gateway, state, target, stall_guard: &stall_guard };
     let (from, names) = (choice.fetch_from, gateway.header_names());
     let sent =
         attempt::send(target, from, &state.outgoing, names, limits, timeout, &supervisor).await;
-    let blamed = watch.failure_counted();
-    watch.finish();
+    let already_counted = stall_guard.failure_counted();
+    stall_guard.finish();
     gateway.note_reachability(target, reachability(&sent));
     if !matches!(sent, Err(AttemptError::NotSent(_))) {
         state.arrivals += 1;
@@ -409,7 +409,7 @@
             if outcome == Some(AttemptOutcome::Failed) && error != AttemptError::Lost {
                 gateway.note_version_failure(state);
             }
-            if let Some(outcome) = outcome.filter(|_| !blamed) {
+            if let Some(outcome) = outcome.filter(|_| !already_counted) {
                 gateway.note_outcome(target, outcome);
             }
             gateway.metrics.attempt_failed(refusal);
--- a/src/gateway/listener.rs
+++ b/src/gateway/listener.rs
@@ -63,10 +63,10 @@
     // On systems without this option the gateway only notices later that the client reads.
     let _ = SockRef::from(&stream).set_tcp_notsent_lowat(MAX_UNSENT_BYTES);
     let limits = gateway.table().map_or_else(ClientLimits::default, |table| table.limits());
-    let holder = gateway.holdings.open();
+    let client_buffer = gateway.holdings.open();
     let service = service_fn(|request: Request<Incoming>| {
-        let (gateway, holder) = (gateway.clone(), holder.clone());
-        async move { Ok::<_, Infallible>(exchange::serve(&gateway, &holder, request).await) }
+        let (gateway, client_buffer) = (gateway.clone(), client_buffer.clone());
+        async move { Ok::<_, Infallible>(exchange::serve(&gateway, &client_buffer, request).await) }
     });
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
@@ -81,9 +81,9 @@
         // Closes the connection when it is idle, or after the current answer. A client whose request was not read
         // sends it to another gateway at once, whereas a refusal would make it wait before it retries.
         _ = stage.wait_for(|stage| *stage == Stage::Closed) => {}
-        () = holder.wait_for_cut() => {
-            trace::client_cut(&gateway, holder.unread(), ClientCut::NoRoom);
-            if holder.unread() > 0 {
+        () = client_buffer.wait_for_cut() => {
+            trace::client_cut(&gateway, client_buffer.unread(), ClientCut::NoRoom);
+            if client_buffer.unread() > 0 {
                 return;
             }
         }
--- a/src/gateway/mechanism.rs
+++ b/src/gateway/mechanism.rs
@@ -16,8 +16,8 @@
     Fetch,
     /// Exchange among gateways which targets hold a prompt prefix, where that is not the expected target.
     Keepers,
-    /// Let targets fetch prompt parts from targets in an evacuated data hall and, once the hall is back in use, from the
-    /// targets that replaced them.
+    /// Let targets fetch prompt parts from targets in an evacuated data hall and, once the hall is back in use, from
+    /// the targets that replaced them.
     FetchOut,
     /// Eject failing and unreachable targets for a while.
     Pauses,
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -64,15 +64,15 @@
     relay_buffered(gateway, state, answer).await
 }
 
-/// Reads the complete answer before the client gets any of it, so that a broken one never looks complete. An answer that
-/// is longer than [`MAX_BUFFERED_BYTES`], or for which there is no memory left, is streamed instead.
+/// Reads the complete answer before the client gets any of it, so that a broken one never looks complete. An answer
+/// that is longer than [`MAX_BUFFERED_BYTES`], or for which there is no memory left, is streamed instead.
 async fn relay_buffered(
     gateway: &Arc<Gateway>,
     mut state: RequestState,
     answer: Answer,
 ) -> Relayed {
     let Answer { target, status, headers, mut body, connection, in_flight } = answer;
-    let mut gathered = state.holder.new_body();
+    let mut gathered = state.client_buffer.new_body();
     loop {
         let frame = gateway.run_clock.before(state.outgoing.deadline, body.frame()).await;
         let refusal = match frame {
@@ -308,7 +308,7 @@
             true => stall::next_event_timeout(route),
             false => stall::answer_timeout(route),
         };
-        let watch = StallGuard::start(&self.gateway, &self.answer.target, timeout);
+        let stall_guard = StallGuard::start(&self.gateway, &self.answer.target, timeout);
         let (deadline, clock) = (self.state.outgoing.deadline, &self.gateway.run_clock);
         let mut frame = pin!(self.answer.body.frame());
         let mut received = clock.within(timeout, deadline, &mut frame).await;
@@ -318,10 +318,10 @@
                 && self.gateway.could_retry(&self.state)
         };
         if received.is_none() && !may_switch() {
-            watch.count_if_stalled();
+            stall_guard.count_if_stalled();
             received = clock.before(deadline, frame).await;
         }
-        watch.finish();
+        stall_guard.finish();
         received.ok_or(Interrupted::TimedOut)
     }
 
--- a/src/gateway/startup.rs
+++ b/src/gateway/startup.rs
@@ -1,9 +1,9 @@
 //! Decides when a gateway that has just started begins to listen for clients.
 //!
-//! Without a configuration it can't serve requests; they wait for the first one. Normally a member sends it at once, and
-//! after a power loss all gateways get it late. But if a member accepts connections and sends nothing, the wait may be
-//! long while other gateways serve, and a client whose connection is refused tries those at once. So a gateway does not
-//! listen while it can connect to members but has received nothing from any of them, for up to 5 s.
+//! Without a configuration it can't serve requests; they wait for the first one. Normally a member sends it at once,
+//! and after a power loss all gateways get it late. But if a member accepts connections and sends nothing, the wait may
+//! be long while other gateways serve, and a client whose connection is refused tries those at once. So a gateway does
+//! not listen while it can connect to members but has received nothing from any of them, for up to 5 s.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -61,8 +61,8 @@
 }
 
 impl Gateway {
-    /// Waits until the gateway should listen for clients: at once if no member accepts a connection, else when the first
-    /// update has arrived or [`MAX_LISTEN_DELAY`] has passed.
+    /// Waits until the gateway should listen for clients: at once if no member accepts a connection, else when the
+    /// first update has arrived or [`MAX_LISTEN_DELAY`] has passed.
     pub(super) async fn wait_before_listening(&self) {
         if !self.can_reach_member().await {
             return;
--- a/src/gateway/target.rs
+++ b/src/gateway/target.rs
@@ -23,7 +23,7 @@
 const NO_HOME: u32 = u32::MAX;
 /// How long a load from the members takes precedence over one from the target itself: the target's
 /// figure is a snapshot of a single moment.
-const MEMBER_LOAD_PREFERRED_FOR: Duration = Duration::from_secs(1);
+const MEMBER_LOAD_PREFERENCE_WINDOW: Duration = Duration::from_secs(1);
 /// Weight of the newest reported load in the moving average.
 const NEWEST_LOAD_WEIGHT: f64 = 0.5;
 
@@ -284,14 +284,14 @@
     /// Estimated requests in flight from other gateways, or `None` without a recent figure.
     ///
     /// A figure from the members is preferred while it is younger than
-    /// [`MEMBER_LOAD_PREFERRED_FOR`], after that whichever of the two is newer.
+    /// [`MEMBER_LOAD_PREFERENCE_WINDOW`], after that whichever of the two is newer.
     pub(super) fn others_load(&self, now: Duration) -> Option<f64> {
         let live = |load: &OthersLoad| now < load.expires_at;
         let from_members = lock(&self.others_from_members).filter(live);
         let from_target = lock(&self.others_from_target).filter(live);
         let newest = match (from_members, from_target) {
             (Some(members), Some(target))
-                if now >= members.received_at + MEMBER_LOAD_PREFERRED_FOR =>
+                if now >= members.received_at + MEMBER_LOAD_PREFERENCE_WINDOW =>
             {
                 if target.received_at > members.received_at { Some(target) } else { Some(members) }
             }
--- a/src/gateway/update_receiver.rs
+++ b/src/gateway/update_receiver.rs
@@ -71,8 +71,10 @@
         update: Update,
         sender: &mut FrameSender,
     ) -> Result<(), LinkError> {
-        if let Some(halls) = update.evacuations.clone().filter(|halls| self.needs_halls(halls)) {
-            self.apply_halls(halls, member, sender).await?;
+        if let Some(evacuations) =
+            update.evacuations.clone().filter(|evacuations| self.needs_evacuations(evacuations))
+        {
+            self.apply_evacuations(evacuations, member, sender).await?;
         }
         if let Some(rollouts) = update.rollouts.clone() {
             self.apply_rollouts(rollouts, member);
@@ -167,23 +169,23 @@
     }
 
     /// Whether evacuation orders may be new to this gateway. Members of the first build always send revision 0, which
-    /// stands for no orders.
-    fn needs_halls(&self, halls: &EvacuationsUpdate) -> bool {
-        halls.revision > 0 || read(&self.gateway.targets).evacuations_revision().is_none()
+    /// means that there are none.
+    fn needs_evacuations(&self, evacuations: &EvacuationsUpdate) -> bool {
+        evacuations.revision > 0 || read(&self.gateway.targets).evacuations_revision().is_none()
     }
 
     /// Applies evacuation orders, and reports to the member up to which revision they are applied here.
-    async fn apply_halls(
+    async fn apply_evacuations(
         &self,
-        halls: EvacuationsUpdate,
+        evacuations: EvacuationsUpdate,
         from: SocketAddr,
         sender: &mut FrameSender,
     ) -> Result<(), LinkError> {
-        let revision = halls.revision;
-        let evacuated = halls.halls.iter().filter(|hall| hall.state == Evacuation::InForce);
+        let revision = evacuations.revision;
+        let evacuated = evacuations.halls.iter().filter(|hall| hall.state == Evacuation::InForce);
         let evacuated: Vec<&str> = evacuated.map(|hall| hall.data_hall.as_str()).collect();
         let evacuated = evacuated.join(",");
-        if write(&self.gateway.targets).apply_evacuations(self.gateway.now(), halls) {
+        if write(&self.gateway.targets).apply_evacuations(self.gateway.now(), evacuations) {
             info!(self.gateway.log, "evacuation orders applied"; "event" => "evacuations",
                 "revision" => revision, "evacuated" => evacuated, "from" => %from);
         }
--- a/src/group/background.rs
+++ b/src/group/background.rs
@@ -1,5 +1,5 @@
-//! Background tasks of a member: sends Raft messages, joins the group, reports its gateways and their loads to the other
-//! members, and maintains the targets in the directory.
+//! Background tasks of a member: sends Raft messages, joins the group, reports its gateways and their loads to the
+//! other members, and maintains the targets in the directory.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -106,8 +106,8 @@
     }
 }
 
-/// Reports to the other members what the gateways connected here have reported: requests in flight, outcomes of attempts,
-/// prefix holders, and tallies of roll-outs.
+/// Reports to the other members what the gateways connected here have reported: requests in flight, outcomes of
+/// attempts, prefix holders, and tallies of roll-outs.
 pub(super) async fn send_loads(shared: Arc<Shared>) {
     let mut position = ReadPosition::default();
     loop {
@@ -149,8 +149,8 @@
     }
 }
 
-/// While this member leads, marks unresponsive targets, assigns homes to new ones, and records which data halls are warm
-/// again after an evacuation.
+/// While this member leads, marks unresponsive targets, assigns homes to new ones, and records which data halls are
+/// warm again after an evacuation.
 pub(super) async fn watch_targets(shared: Arc<Shared>) {
     loop {
         tokio::time::sleep(TARGETS_CHECK_INTERVAL).await;
--- a/src/group/batches.rs
+++ b/src/group/batches.rs
@@ -1,8 +1,8 @@
 //! Sends announcements that change the directory to the leader in batches.
 //!
-//! When thousands of targets start at once, a call and a log entry for each would take the leader longer than the targets
-//! wait for the answer; they would then retry and add to the load. While [`CONCURRENT_BATCHES`] calls are in progress, new
-//! announcements queue up for the next batch; otherwise an announcement is sent at once.
+//! When thousands of targets start at once, a call and a log entry for each would take the leader longer than the
+//! targets wait for the answer; they would then retry and add to the load. While [`CONCURRENT_BATCHES`] calls are in
+//! progress, new announcements queue up for the next batch; otherwise an announcement is sent at once.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -117,8 +117,8 @@
     }
 }
 
-/// Outcomes of a batch's first announcements. A leader of the first build in production handles a single one and replies
-/// with [`Reply::Answer`] or [`Reply::Done`].
+/// Outcomes of a batch's first announcements. A leader of the first build in production handles a single one and
+/// replies with [`Reply::Answer`] or [`Reply::Done`].
 fn outcomes(reply: Reply) -> Option<Vec<HeartbeatOutcome>> {
     match reply {
         Reply::Announced(outcomes) => Some(outcomes),
--- a/src/group/deltas.rs
+++ b/src/group/deltas.rs
@@ -11,15 +11,15 @@
 use crate::store::Revision;
 
 /// How long a large blob is reused for all gateways that know the same revision, although the directory has changed
-/// since: peers distribute it already, and the gateways get a small change from there. It is short because a target that
-/// shuts down must be known to all gateways within some seconds.
+/// since: peers distribute it already, and the gateways get a small change from there. It is short because a target
+/// that shuts down must be known to all gateways within some seconds.
 const LARGE_BLOB_TTL: Duration = Duration::from_millis(1_000);
 
 /// Returns the revision to start a change from that brings a gateway from `known` to `newest`: `known` rounded down, so
 /// that many gateways share one change.
 ///
-/// While thousands of targets start, each of a member's gateways knows another revision, and a change packed for each of
-/// them alone is as large as the list. `known` is rounded down to a multiple of the largest power of two that is not
+/// While thousands of targets start, each of a member's gateways knows another revision, and a change packed for each
+/// of them alone is as large as the list. `known` is rounded down to a multiple of the largest power of two that is not
 /// above its distance to `newest`, so there are at most two changes for each doubling of the distance, however many
 /// gateways there are. A shared change carries at most twice as much as the gateway's own, and what the gateway knows
 /// already has no effect. At a start of 10,000 targets, with 100 and 200 gateways up to a hundred batches behind, some
--- a/src/group/endpoints.rs
+++ b/src/group/endpoints.rs
@@ -35,8 +35,8 @@
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Delay after a failed accept, for example for want of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Maximum number of attempts to propose a document as a difference; an attempt fails when another document was committed
-/// in between. After that the whole document is proposed.
+/// Maximum number of attempts to propose a document as a difference; an attempt fails when another document was
+/// committed in between. After that the whole document is proposed.
 const MAX_DIFFERENCE_ATTEMPTS: usize = 6;
 /// Value of `Retry-After` when the group can't answer, in seconds.
 const RETRY_AFTER_S: &str = "0.3";
--- a/src/group/evacuation.rs
+++ b/src/group/evacuation.rs
@@ -1,5 +1,5 @@
-//! Evacuation orders at a member: accepts operators' orders to evacuate data halls or to withdraw an evacuation, sends them
-//! to gateways, and follows them until all gateways apply them.
+//! Evacuation orders at a member: accepts operators' orders to evacuate data halls or to withdraw an evacuation, sends
+//! them to gateways, and follows them until all gateways apply them.
 
 use std::collections::HashMap;
 use std::time::Duration;
@@ -16,8 +16,8 @@
 use crate::store::{Answer, Command, Revision};
 use crate::sync::lock;
 
-/// Time beyond the longest cold start after which all targets of a hall are certainly warm: gateways count the cold start
-/// from when they receive the withdrawal.
+/// Time beyond the longest cold start after which all targets of a hall are certainly warm: gateways count the cold
+/// start from when they receive the withdrawal.
 const WARM_MARGIN: Duration = Duration::from_secs(1);
 
 /// An evacuation order that was not accepted.
@@ -46,8 +46,8 @@
     }
 }
 
-/// The version that [`Propagation`](super::propagation::Propagation) uses for a revision of the evacuation orders: 0 stands
-/// for a gateway that never received any, so the versions of revisions, the first of which is 0, start at 1.
+/// The version that [`Propagation`](super::propagation::Propagation) uses for a revision of the evacuation orders: 0 is
+/// that of a gateway that never received any, so the versions of revisions, the first of which is 0, start at 1.
 pub(super) fn evacuations_version(revision: Option<Revision>) -> u64 {
     revision.map_or(0, |revision| revision + 1)
 }
@@ -92,9 +92,9 @@
 
     /// Reads the hall's last order, once for the whole call, and proposes this one as its successor.
     ///
-    /// The proposal may be repeated safely, since it only takes effect while the order that it names is still the hall's
-    /// last, see [`crate::evacuations`]. A caller that gives up closes its connection, which drops this future: if the read
-    /// is not done by then, the abandoned call proposes nothing, and so can't undo a newer order.
+    /// The proposal may be repeated safely, since it only takes effect while the order that it names is still the
+    /// hall's last, see [`crate::evacuations`]. A caller that gives up closes its connection, which drops this future:
+    /// if the read is not done by then, the abandoned call proposes nothing, and so can't undo a newer order.
     async fn propose_order(&self, data_hall: String, evacuate: bool) -> Result<(), OrderError> {
         let published = self.read().await?;
         self.check_hall(&published, &data_hall)?;
--- a/src/group/evidence.rs
+++ b/src/group/evidence.rs
@@ -20,8 +20,8 @@
 const MAX_FAILURES_PER_GATEWAY: f64 = 3.0;
 /// Decayed number of failures below which a target is no longer reported.
 const MIN_COUNT: f64 = 0.1;
-/// Maximum number of targets in a message, about 10 bytes each. When more fail, the cause is common to many of them, and
-/// avoiding some targets gains nothing.
+/// Maximum number of targets in a message, about 10 bytes each. When more fail, the cause is common to many of them,
+/// and avoiding some targets gains nothing.
 const MAX_TARGETS: usize = 64;
 /// How long the last report of another member counts.
 const MEMBER_REPORT_TTL: Duration = Duration::from_millis(2_000);
--- a/src/group/frames/from_member.rs
+++ b/src/group/frames/from_member.rs
@@ -109,8 +109,8 @@
     encode_with_part(&base::FromMember::Update(Box::new(message)), tag::UPDATE_FIELDS, &added)
 }
 
-/// Decodes an update. One without [`AddedFields`] comes from a member of the first build. Its group can have no evacuation orders and
-/// no roll-outs at that level, so the update counts as saying that there are none.
+/// Decodes an update. One without [`AddedFields`] comes from a member of the first build. Its group can have no
+/// evacuation orders and no roll-outs at that level, so the update counts as saying that there are none.
 fn decode_update(base: base::Update<'static>, parts: Parts<'_>) -> Result<Update, LinkError> {
     let added = parts.get::<AddedFields<'static>>(tag::UPDATE_FIELDS)?;
     let added = added.unwrap_or_else(|| AddedFields {
--- a/src/group/frames/mod.rs
+++ b/src/group/frames/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! A frame is a message of `compat::base`, as the first build in production encodes it, followed by tagged parts that
 //! later builds added and earlier ones skip. A message that the first build does not have is sent as a part behind one
-//! that the first build ignores: from a gateway, a failed fetch of a blob that does not exist; from a member, an empty list
-//! of Raft messages.
+//! that the first build ignores: from a gateway, a failed fetch of a blob that does not exist; from a member, an empty
+//! list of Raft messages.
 
 mod from_member;
 mod to_member;
--- a/src/group/heartbeats.rs
+++ b/src/group/heartbeats.rs
@@ -74,7 +74,8 @@
         &self,
         announcement: Announcement,
     ) -> Result<HeartbeatOutcome, Unavailable> {
-        // The leader gets the whole announcement, and reduces it itself to what the level of the group allows in the log.
+        // The leader gets the whole announcement, and reduces it itself to what the level of the group allows in the
+        // log.
         let supported = announcement.clone().limited_to(self.level());
         if self.can_answer_locally(&supported) {
             lock(&self.pending_report).add(supported.key());
@@ -174,7 +175,8 @@
         Reply::Done
     }
 
-    /// API address of this member. The answer to a heartbeat names it, so that targets send the next one there: they could reach it.
+    /// API address of this member. The answer to a heartbeat names it, so that targets send the next one there: they
+    /// could reach it.
     pub(super) fn own_api_addr(&self) -> Option<SocketAddr> {
         let port = self.settings.listen?.port();
         Some(SocketAddr::new(self.own_addr.ip(), port))
--- a/src/group/listing.rs
+++ b/src/group/listing.rs
@@ -33,8 +33,8 @@
 /// Columns added since the first build in production, which reads only [`Columns`].
 #[derive(Serialize, Deserialize)]
 struct AddedColumns {
-    /// Keys of the incarnations of the targets of [`DirectoryDelta::moved`], of which only state, remaining cold time or home
-    /// changed.
+    /// Keys of the incarnations of the targets of [`DirectoryDelta::moved`], of which only state, remaining cold time
+    /// or home changed.
     moved_targets: Vec<u64>,
     /// Remaining cold times of the moved targets, in milliseconds; those of `cold_left` are in milliseconds too.
     moved_cold_left: Vec<u32>,
--- a/src/group/message.rs
+++ b/src/group/message.rs
@@ -158,8 +158,8 @@
     pub rollouts: Option<Revision>,
     /// Data hall of the gateway.
     pub data_hall: String,
-    /// Whether it only asks for the addresses of members and whether this one has contact with a leader. It is then sent
-    /// neither configurations nor targets.
+    /// Whether it only asks for the addresses of members and whether this one has contact with a leader. It is then
+    /// sent neither configurations nor targets.
     pub status_only: bool,
     /// Address where peer gateways fetch blobs from it; `None` if it takes no part in peer-to-peer distribution.
     pub serves_blobs_at: Option<SocketAddr>,
@@ -197,8 +197,8 @@
     pub fresh: bool,
     /// Version of the configuration that the member holds; 0 for none.
     pub version: u64,
-    /// Evacuation orders, if the gateway lacks the newest. They are sent before or with any blob, so that no gateway has
-    /// targets or a configuration without them.
+    /// Evacuation orders, if the gateway lacks the newest. They are sent before or with any blob, so that no gateway
+    /// has targets or a configuration without them.
     pub evacuations: Option<EvacuationsUpdate>,
     /// Roll-outs, if the gateway lacks the newest; sent before or with any blob too.
     pub rollouts: Option<RolloutsUpdate>,
--- a/src/group/metrics.rs
+++ b/src/group/metrics.rs
@@ -165,8 +165,8 @@
         self.calls.with_label_values(&[call, outcome]).inc();
     }
 
-    /// Counts an invalid announcement by the first part of the path of its faulty field. The path comes from the sender, so
-    /// anything but a short plain name is counted as `other`, which bounds the number of label values.
+    /// Counts an invalid announcement by the first part of the path of its faulty field. The path comes from the
+    /// sender, so anything but a short plain name is counted as `other`, which bounds the number of label values.
     pub(super) fn count_refused_announcement(&self, path: &str) {
         let field = path.split(['.', '[']).next().unwrap_or("");
         let plain = field.bytes().all(|byte| byte.is_ascii_lowercase() || byte == b'-');
--- a/src/group/pacer.rs
+++ b/src/group/pacer.rs
@@ -19,12 +19,13 @@
 pub const LARGE_BLOBS_SHARE: f64 = 0.3;
 
 /// Share of the link for reports of suspected poison requests. In a simulation of 372 gateways and 790 targets, a tenth
-/// of which end each second, each member would send some 2 MB/s of them, over a link of 6 Mbit/s that carries 0.75 MB/s.
+/// of which end each second, each member would send some 2 MB/s of them, over a link of 6 Mbit/s that carries 0.75
+/// MB/s.
 pub const POISON_SHARE: f64 = 0.1;
 
 /// What may be sent of large blobs at once after an idle time, as the time that it takes at their share of the link.
-/// After a power loss many gateways start together, and refuse their clients until some have everything and relay it. It
-/// is 22 KB on 6 Mbit/s; a larger burst would delay the messages that name peers to fetch from.
+/// After a power loss many gateways start together, and refuse their clients until some have everything and relay it.
+/// It is 22 KB on 6 Mbit/s; a larger burst would delay the messages that name peers to fetch from.
 pub const LARGE_BLOBS_BURST: Duration = Duration::from_millis(100);
 
 /// Lets senders go one after the other, as fast as the rate allows.
--- a/src/group/prefix_holders.rs
+++ b/src/group/prefix_holders.rs
@@ -21,8 +21,8 @@
 /// Maximum number of entries that a member retains for readers that do not have them yet: 32 messages, more than a
 /// member sends within [`RETENTION`] when there are many gateways.
 const MAX_RETAINED: usize = 1_024;
-/// How long a member retains an entry. A reader that has not received it by then gets the report of the next request for
-/// the prompt.
+/// How long a member retains an entry. A reader that has not received it by then gets the report of the next request
+/// for the prompt.
 const RETENTION: Duration = Duration::from_secs(5);
 
 /// The part of a prompt's hash that identifies the prompt in messages.
--- a/src/group/propagation.rs
+++ b/src/group/propagation.rs
@@ -90,7 +90,8 @@
     /// Records that `version` is now in force at a gateway. Returns how long the gateway waited for the oldest version
     /// that it lacked until now, counted from when the member held that version or the gateway connected.
     ///
-    /// `None` if it lacked no version, or had none before: the version was there before the gateway, which did not wait.
+    /// `None` if it lacked no version, or had none before: the version was there before the gateway, which did not
+    /// wait.
     pub fn set_in_force(
         &mut self,
         now: Duration,
--- a/src/group/rollout.rs
+++ b/src/group/rollout.rs
@@ -25,7 +25,8 @@
 
 /// Interval at which roll-outs under way are checked.
 const CHECK_INTERVAL: Duration = Duration::from_millis(100);
-/// Fraction of `expose_share` that the new version gets in the first stage, which leaves room for the steps that follow.
+/// Fraction of `expose_share` that the new version gets in the first stage, which leaves room for the steps that
+/// follow.
 const TRIAL_FRACTION: f64 = 0.7;
 /// Interval at which the time since the order is stored in the replicated log.
 const ELAPSED_INTERVAL: Duration = Duration::from_secs(1);
@@ -60,7 +61,8 @@
     }
 }
 
-/// What a member knows of roll-outs besides the replicated log. Roll-outs are identified by the revision of their order.
+/// What a member knows of roll-outs besides the replicated log. Roll-outs are identified by the revision of their
+/// order.
 #[derive(Debug, Default)]
 pub(super) struct RolloutTracker {
     /// What this member observed of each roll-out.
@@ -278,8 +280,8 @@
         self.member.published().borrow().rollouts.update()
     }
 
-    /// The commands that are due for roll-outs under way, by what this member knows: the next stage, or else storing the
-    /// elapsed time.
+    /// The commands that are due for roll-outs under way, by what this member knows: the next stage, or else storing
+    /// the elapsed time.
     fn due_steps(&self, published: &Published) -> Vec<DueStep> {
         let now = self.now();
         let mut tracker = lock(&self.rollouts);
--- a/src/group/update_sender.rs
+++ b/src/group/update_sender.rs
@@ -310,8 +310,8 @@
         Ok(())
     }
 
-    /// Builds an update without blobs: the state of this member, orders that the gateway lacks, and if they are due, the
-    /// loads and the fields that are sent with them.
+    /// Builds an update without blobs: the state of this member, orders that the gateway lacks, and if they are due,
+    /// the loads and the fields that are sent with them.
     fn periodic_update(&mut self) -> Update {
         let now = self.shared.now();
         let gateways = self.shared.gateways_alive();
@@ -369,8 +369,8 @@
         }
     }
 
-    /// Removes the gateway from the fan-out when its connection has ended: it is no source any more, and the upload that
-    /// it used at another source is free.
+    /// Removes the gateway from the fan-out when its connection has ended: it is no source any more, and the upload
+    /// that it used at another source is free.
     pub(super) fn close(&mut self) {
         let mut fan_out = lock(&self.shared.fan_out);
         if let Some(fetch) = self.cursor.peer_fetch.take() {
--- a/src/group/upgrade.rs
+++ b/src/group/upgrade.rs
@@ -18,8 +18,8 @@
 const CHECK_INTERVAL: Duration = Duration::from_millis(200);
 /// The same while a newly formed group waits for its level.
 const FORMING_INTERVAL: Duration = Duration::from_millis(5);
-/// Time from the start of a process that forms a group during which proposals wait for the group's level, so that nothing
-/// has to be sent twice, before and after the level is raised.
+/// Time from the start of a process that forms a group during which proposals wait for the group's level, so that
+/// nothing has to be sent twice, before and after the level is raised.
 const FORMING_WAIT: Duration = Duration::from_secs(2);
 /// How long a gateway of an earlier build counts after its connection ended: it may be reconnecting to another member.
 const DISCONNECTED_RETENTION: Duration = Duration::from_secs(15);
@@ -98,8 +98,8 @@
         supported >= level
     }
 
-    /// Whether proposals have to wait: this process has just formed the group, which may still be raised above the lowest
-    /// level.
+    /// Whether proposals have to wait: this process has just formed the group, which may still be raised above the
+    /// lowest level.
     pub(super) fn awaits_level(&self) -> bool {
         if !self.formed_here || self.now() >= FORMING_WAIT || self.level() > Level::BASE {
             return false;
--- a/src/level.rs
+++ b/src/level.rs
@@ -1,9 +1,10 @@
 //! The level of a group: the features that all its processes support.
 //!
 //! Builds of different age run side by side while machines are replaced one by one, and a machine may be rolled back to
-//! the earlier build. So a member writes and proposes only what the level of its group allows, even if it supports more.
-//! The level is part of the replicated store. The leader raises it by a command once every member has reported that it,
-//! and each gateway connected to it, supports the next one. From then on no process of an earlier build can take part.
+//! the earlier build. So a member writes and proposes only what the level of its group allows, even if it supports
+//! more. The level is part of the replicated store. The leader raises it by a command once every member has reported
+//! that it, and each gateway connected to it, supports the next one. From then on no process of an earlier build can
+//! take part.
 
 use std::collections::HashMap;
 use std::fmt;
--- a/src/orders.rs
+++ b/src/orders.rs
@@ -1,8 +1,8 @@
 //! Fenced orders to engines: decides which order may be sent now, and numbers it.
 //!
-//! Each order has the leader's term and a sequence number. An engine that checks them refuses an order older than one it
-//! has seen. Before a new leader sends orders to an engine that does not check them, it waits until no order of an earlier
-//! leader can be in flight any more. Each engine gets one order at a time.
+//! Each order has the leader's term and a sequence number. An engine that checks them refuses an order older than one
+//! it has seen. Before a new leader sends orders to an engine that does not check them, it waits until no order of an
+//! earlier leader can be in flight any more. Each engine gets one order at a time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -41,8 +41,8 @@
 }
 
 impl Orders {
-    /// Creates the state of a leader elected at `now` in `term`. Its predecessor's lease may last for another `lease`, and
-    /// the weight store allows `loads_per_minute`.
+    /// Creates the state of a leader elected at `now` in `term`. Its predecessor's lease may last for another `lease`,
+    /// and the weight store allows `loads_per_minute`.
     pub fn new(term: u64, now: Duration, lease: Duration, loads_per_minute: u32) -> Self {
         Orders {
             term,
@@ -60,7 +60,8 @@
         self.term
     }
 
-    /// Returns the order to send to `engine` now, or `None` if it must wait. `fenced` is whether the engine checks terms.
+    /// Returns the order to send to `engine` now, or `None` if it must wait. `fenced` is whether the engine checks
+    /// terms.
     pub fn send(
         &mut self,
         now: Duration,
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -66,8 +66,8 @@
         wanted.specs.insert(spec);
     }
 
-    /// Number of engines for each model and version, by the Sainte-Laguë method. If there are enough engines, each model
-    /// gets one before any gets a second.
+    /// Number of engines for each model and version, by the Sainte-Laguë method. If there are enough engines, each
+    /// model gets one before any gets a second.
     pub fn quotas(&self, engines: usize) -> BTreeMap<Spec, usize> {
         let mut quotas: BTreeMap<Spec, usize> =
             self.0.keys().map(|base| (base.clone(), 0)).collect();
@@ -101,8 +101,8 @@
 /// The changes that adapt `engines` to the demand, with as few unloads as possible.
 ///
 /// An unload loses the engine's caches. So an engine keeps its model while the model does not exceed its quota. A model
-/// keeps a surplus engine too, unless another model lacks more than one engine or has none. At most `max_unloads` changes
-/// unload a model.
+/// keeps a surplus engine too, unless another model lacks more than one engine or has none. At most `max_unloads`
+/// changes unload a model.
 pub fn plan(demand: &Demand, engines: &[Engine], max_unloads: usize) -> Vec<Change> {
     let mut missing = demand.quotas(engines.len());
     let mut spare = Vec::new();
--- a/src/poison/identity.rs
+++ b/src/poison/identity.rs
@@ -28,8 +28,8 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Fingerprint([u8; FINGERPRINT_BYTES]);
 
-/// Hash of an [`Identity`] with the length of the body but not its content. It is cheap to compute; different requests may
-/// share it.
+/// Hash of an [`Identity`] with the length of the body but not its content. It is cheap to compute; different requests
+/// may share it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct QuickHash(u64);
 
--- a/src/poison/report.rs
+++ b/src/poison/report.rs
@@ -7,8 +7,8 @@
 
 use super::{Fingerprint, Identity, QuickHash};
 
-/// Maximum number of reports in a message. A report has about 100 bytes, so a message takes about 10 ms on a member's link
-/// of 6 Mbit/s.
+/// Maximum number of reports in a message. A report has about 100 bytes, so a message takes about 10 ms on a member's
+/// link of 6 Mbit/s.
 pub const MAX_REPORTS_PER_MESSAGE: usize = 64;
 /// Names of teams and routes are cut to this many characters.
 const MAX_NAME_CHARS: usize = 64;
@@ -23,7 +23,8 @@
         Reporter(xxh3_64(gateway.as_bytes()) as u32)
     }
 
-    /// Position of this gateway's trial among those of all gateways, from 0 to 1: a hash of the reporter and the request.
+    /// Position of this gateway's trial among those of all gateways, from 0 to 1: a hash of the reporter and the
+    /// request.
     pub(super) fn trial_position(self, fingerprint: Fingerprint) -> f64 {
         let text = format!("{} {fingerprint}", self.0);
         xxh3_64(text.as_bytes()) as f64 / u64::MAX as f64
--- a/src/poison/tracker.rs
+++ b/src/poison/tracker.rs
@@ -15,8 +15,8 @@
 /// request after 376 ms instead of 54, and each of six simultaneous requests would crash 3.2 targets instead of 3.0 (a
 /// trial in virtual time with one seed).
 const MAX_BLOCKS_PER_REPORTER: usize = 4;
-/// Two reports that a request was cleared count as one if their times differ by less than this: they are the same report,
-/// received over two paths with different delays.
+/// Two reports that a request was cleared count as one if their times differ by less than this: they are the same
+/// report, received over two paths with different delays.
 const SAME_CLEARING_WINDOW: Duration = Duration::from_secs(1);
 /// An eviction removes one in so many of the matching records, so that evictions are rare.
 const EVICTION_DIVISOR: usize = 8;
@@ -24,8 +24,8 @@
 /// When a request is blocked and for how long, and how many records are kept.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Rule {
-    /// Number of targets that must have crashed under a request before it is blocked: the limit that the users' platform
-    /// sets.
+    /// Number of targets that must have crashed under a request before it is blocked: the limit that the users'
+    /// platform sets.
     pub crashes_to_block: usize,
     /// Whether a request that succeeds is cleared.
     pub clears: bool,
@@ -141,7 +141,8 @@
 }
 
 impl PoisonTracker {
-    /// Creates an empty tracker. `own` is the gateway that uses it; `None` for a member, which sends no requests itself.
+    /// Creates an empty tracker. `own` is the gateway that uses it; `None` for a member, which sends no requests
+    /// itself.
     pub fn new(rule: Rule, own: Option<Reporter>) -> Self {
         PoisonTracker {
             rule,
@@ -268,14 +269,15 @@
         self.records.values().filter(|record| record.blocked).count()
     }
 
-    /// Reports of [`Origin::Local`] that changed after change `known`, and the number of the change up to which they go.
+    /// Reports of [`Origin::Local`] that changed after change `known`, and the number of the change up to which they
+    /// go.
     pub fn local_updates(&self, now: Duration, known: u64) -> (Vec<Report>, u64) {
         self.changes_since(now, &self.local_changes, known)
     }
 
-    /// Reports for gateways that changed after change `known`, and the number of the change up to which they go: requests
-    /// that are one crash short of a block (two crashes by default) or have more, and those of them that were cleared
-    /// since.
+    /// Reports for gateways that changed after change `known`, and the number of the change up to which they go:
+    /// requests that are one crash short of a block (two crashes by default) or have more, and those of them that were
+    /// cleared since.
     pub fn gateway_updates(&self, now: Duration, known: u64) -> (Vec<Report>, u64) {
         self.changes_since(now, &self.gateway_changes, known)
     }
@@ -472,7 +474,8 @@
         true
     }
 
-    /// Adds a crash. Returns whether it is new: not before the last clearing, and of another target than those recorded.
+    /// Adds a crash. Returns whether it is new: not before the last clearing, and of another target than those
+    /// recorded.
     fn add(&mut self, crash: Crash) -> bool {
         if self.cleared.is_some_and(|cleared| crash.at <= cleared) {
             return false;
--- a/src/retry_after.rs
+++ b/src/retry_after.rs
@@ -22,8 +22,8 @@
         RetryAfter::of(headers).filter(|_| refusal)
     }
 
-    /// The value of the header; `None` without it. If it occurs several times, the longest duration applies, so that each
-    /// of them is respected.
+    /// The value of the header; `None` without it. If it occurs several times, the longest duration applies, so that
+    /// each of them is respected.
     pub fn of(headers: &HeaderMap) -> Option<Self> {
         let values = headers.get_all(RETRY_AFTER).into_iter();
         let parsed = values.map(|value| value.to_str().ok().and_then(parse_seconds));
--- a/src/rollout/judge.rs
+++ b/src/rollout/judge.rs
@@ -1,8 +1,8 @@
 //! Judges from the outcomes on each route whether a new version does worse than the old one.
 //!
 //! The versions are compared on each route, since some faults show on one route only, and over all routes together,
-//! since few outcomes of each may add up. They are also compared within slices of time: the new version gets more of the
-//! later requests, so trouble of both versions would otherwise look like its own. A version is bad if it has more
+//! since few outcomes of each may add up. They are also compared within slices of time: the new version gets more of
+//! the later requests, so trouble of both versions would otherwise look like its own. A version is bad if it has more
 //! failures, or more answers that take much longer than is usual for the old one, than chance explains.
 
 use super::tally::{Compared, LatencyHistogram};
@@ -99,8 +99,8 @@
     suspect(&failures(slices)) || suspect(&slow(slices))
 }
 
-/// Whether the outcomes on one route prove that the new version is healthy there: they are sufficiently more likely at the
-/// baseline rates than with the mildest fault to be detected (Wald's sequential probability ratio test).
+/// Whether the outcomes on one route prove that the new version is healthy there: they are sufficiently more likely at
+/// the baseline rates than with the mildest fault to be detected (Wald's sequential probability ratio test).
 pub fn proven_healthy(slices: &[Compared]) -> bool {
     let threshold = -MISS_PROBABILITY.ln();
     health_evidence(&failures(slices)) >= threshold && health_evidence(&slow(slices)) >= threshold
--- a/src/rollout/mod.rs
+++ b/src/rollout/mod.rs
@@ -38,8 +38,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Stage {
-    /// The new version gets this fraction of the requests, in thousandths. They go to so few of its targets that each is
-    /// as loaded as those of the old version.
+    /// The new version gets this fraction of the requests, in thousandths. They go to so few of its targets that each
+    /// is as loaded as those of the old version.
     Part(u16),
     /// The new version gets all requests, while those in flight at the old one finish.
     Shifted,
@@ -179,8 +179,8 @@
 }
 
 impl Rollout {
-    /// Whether an order repeats this one. An order of the same version has no effect while the roll-out is under way and
-    /// once it is completed. After a roll-back it starts a new roll-out, unless it came so soon that it counts as a
+    /// Whether an order repeats this one. An order of the same version has no effect while the roll-out is under way
+    /// and once it is completed. After a roll-back it starts a new roll-out, unless it came so soon that it counts as a
     /// repetition.
     fn repeated_by(&self, order: &RolloutOrder) -> bool {
         let same_version = self.order.version == order.version;
--- a/src/rollout/route_mix.rs
+++ b/src/rollout/route_mix.rs
@@ -2,7 +2,8 @@
 //!
 //! A stage limits the new version's fraction of all requests of the service. The same fraction of each route would give
 //! the fewest outcomes on the rarest routes. So one half is divided in proportion to each route's requests, and the
-//! other half as the same number of requests from each route. The sum over all routes stays within the stage's fraction.
+//! other half as the same number of requests from each route. The sum over all routes stays within the stage's
+//! fraction.
 
 use serde::{Deserialize, Serialize};
 
@@ -10,10 +11,11 @@
 use super::tally::RouteKey;
 use crate::store::Revision;
 
-/// Fraction that is divided as the same number of requests from each route; the rest is the same fraction of each route.
+/// Fraction that is divided as the same number of requests from each route; the rest is the same fraction of each
+/// route.
 const EVEN_FRACTION: f64 = 0.5;
-/// Maximum fraction of a route's requests for the new version until a stage allows it that fraction of all requests: the
-/// old version needs some requests on each route for the comparison.
+/// Maximum fraction of a route's requests for the new version until a stage allows it that fraction of all requests:
+/// the old version needs some requests on each route for the comparison.
 const MAX_ROUTE_FRACTION: f64 = 0.5;
 
 /// One route's share of all requests of a service.
--- a/src/rollout/steps.rs
+++ b/src/rollout/steps.rs
@@ -11,8 +11,8 @@
 use super::judge::{Fault, judge_all, proven_healthy, suspected};
 use super::tally::Compared;
 
-/// Fraction of a roll-out's time for which the new version stays in the first stage. If it turns bad later, all requests
-/// that it got since the order count as harm, so it gets few until then.
+/// Fraction of a roll-out's time for which the new version stays in the first stage. If it turns bad later, all
+/// requests that it got since the order count as harm, so it gets few until then.
 const TRIAL_FRACTION: f64 = 0.55;
 /// Minimum time between two later steps, as a fraction of the roll-out's time.
 const STEP_FRACTION: f64 = 0.07;
@@ -27,8 +27,8 @@
 const ALL_PERMILLE: u16 = 1_000;
 /// Minimum number of answers of the new version in a stage before the next one.
 const MIN_STEP_ANSWERS: u32 = 30;
-/// Minimum number of outcomes of the new version on each route before the next stage, since some faults show on one route
-/// only.
+/// Minimum number of outcomes of the new version on each route before the next stage, since some faults show on one
+/// route only.
 const MIN_ROUTE_OUTCOMES: u32 = 8;
 /// Minimum fraction of all outcomes for a route to be required to prove healthy; a version that is bad on a rarer route
 /// does little harm.
@@ -142,8 +142,8 @@
         required.filter(|(_, slices)| !self.proven(slices)).map(|(at, _)| at)
     }
 
-    /// Whether the outcomes on a route allow the next stage. In the first stage a few outcomes are enough, since the second
-    /// one risks little more and gives more evidence.
+    /// Whether the outcomes on a route allow the next stage. In the first stage a few outcomes are enough, since the
+    /// second one risks little more and gives more evidence.
     fn proven(&self, slices: &[Compared]) -> bool {
         let new: u32 = slices.iter().map(|slice| slice.new.count()).sum();
         let first_stage = self.stage == Stage::Part(self.trial_permille);
--- a/src/rollout/tally.rs
+++ b/src/rollout/tally.rs
@@ -228,8 +228,8 @@
 const INITIAL_SLICE: Duration = Duration::from_secs(1);
 /// Number of latest slices that show whether a route now has more requests than before.
 const RECENT_SLICES: usize = 3;
-/// Standard deviations that are subtracted from a route's recent number of requests, so that its recent share counts only
-/// if it is clearly above the one since the order.
+/// Standard deviations that are subtracted from a route's recent number of requests, so that its recent share counts
+/// only if it is clearly above the one since the order.
 const RECENT_DEVIATIONS: f64 = 2.0;
 /// Number of slices of a route at which each two of them are merged into one.
 const MAX_SLICES: usize = 128;
--- a/src/slots/holder.rs
+++ b/src/slots/holder.rs
@@ -85,7 +85,8 @@
         *self.held.entry(place).or_default() += count;
     }
 
-    /// The next statement to the owner. `receiver_reported` is whether the owner has sent its own statement to this router.
+    /// The next statement to the owner. `receiver_reported` is whether the owner has sent its own statement to this
+    /// router.
     pub fn statement(&mut self, receiver_reported: bool) -> Statement {
         self.sequence += 1;
         let closed_up_to = self.open.keys().next().map_or(self.last_ticket, |first| first - 1);
--- a/src/slots/mod.rs
+++ b/src/slots/mod.rs
@@ -134,8 +134,8 @@
     Granted(u8),
     /// All targets are at their bound, or the team may not have another slot of the pool.
     Full,
-    /// The owner lacks some live router's statement for at least one of the targets, or does not count the asking router
-    /// as live.
+    /// The owner lacks some live router's statement for at least one of the targets, or does not count the asking
+    /// router as live.
     Undecided,
 }
 
--- a/src/slots/owner.rs
+++ b/src/slots/owner.rs
@@ -139,8 +139,8 @@
 impl Owner {
     /// Sets the routers that are live and the targets that this router owns.
     ///
-    /// Slots of routers that are no longer live become free. At a target that is new here no slot is granted until every
-    /// live router has sent a statement.
+    /// Slots of routers that are no longer live become free. At a target that is new here no slot is granted until
+    /// every live router has sent a statement.
     pub fn set_view(&mut self, live: BTreeSet<RouterId>, targets: &BTreeSet<NameHash>) {
         self.targets.retain(|target, _| targets.contains(target));
         for target in targets {
@@ -203,8 +203,8 @@
         target.is_some_and(|target| self.live.is_subset(&target.reported))
     }
 
-    /// The verdict that needs no new decision: on an ask that has been granted and is resent since the answer was lost, or
-    /// on one from a router that is not live.
+    /// The verdict that needs no new decision: on an ask that has been granted and is resent since the answer was lost,
+    /// or on one from a router that is not live.
     pub fn existing_verdict(&self, router: RouterId, ask: &Ask) -> Option<Verdict> {
         if !self.live.contains(&router) {
             return Some(Verdict::Undecided);
--- a/src/slots/rounds.rs
+++ b/src/slots/rounds.rs
@@ -1,9 +1,9 @@
 //! Batches the asks and releases for one owner into datagrams, and resends asks that are not answered.
 //!
-//! A round is a batch of asks in one datagram. Only one round is in flight at a time, so that the owner's receive buffer
-//! holds no more than one datagram with asks from each router, however many requests arrive at once. A round that is not
-//! answered in time is resent, after a multiple of the smoothed round trip: a lost datagram or a busy owner delays asks,
-//! but does not get them refused.
+//! A round is a batch of asks in one datagram. Only one round is in flight at a time, so that the owner's receive
+//! buffer holds no more than one datagram with asks from each router, however many requests arrive at once. A round
+//! that is not answered in time is resent, after a multiple of the smoothed round trip: a lost datagram or a busy owner
+//! delays asks, but does not get them refused.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -106,8 +106,8 @@
         self.waiting.retain(|ask| ask.ticket != ticket);
     }
 
-    /// Puts the asks of the round in flight back into the queue. Called when the owner has restarted: its new process has
-    /// not received them.
+    /// Puts the asks of the round in flight back into the queue. Called when the owner has restarted: its new process
+    /// has not received them.
     pub fn requeue(&mut self) {
         let Some(round) = self.in_flight.take() else {
             return;
--- a/src/slots/table.rs
+++ b/src/slots/table.rs
@@ -1,4 +1,5 @@
-//! Slots as seen by one router: it is the [`Owner`] of some pools, and a [`Holder`] of slots at the targets of every owner.
+//! Slots as seen by one router: it is the [`Owner`] of some pools, and a [`Holder`] of slots at the targets of every
+//! owner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -31,7 +32,8 @@
     Stale,
     /// The datagram was sent by the current process of a router.
     Current {
-        /// Whether nothing was received from this process before. What was sent to that router until now did not reach it.
+        /// Whether nothing was received from this process before. What was sent to that router until now did not reach
+        /// it.
         new_process: bool,
         /// Set if the datagram is not addressed to this process: the reply to send instead of handling the messages.
         reply: Option<Message>,
@@ -75,8 +77,8 @@
         self.owner.load(target)
     }
 
-    /// Sets the live routers and the pool of each known target. Returns whether anything changed; the caller then has to
-    /// send [`statements`](Table::statements) at once.
+    /// Sets the live routers and the pool of each known target. Returns whether anything changed; the caller then has
+    /// to send [`statements`](Table::statements) at once.
     pub fn set_view(
         &mut self,
         routers: &BTreeSet<RouterId>,
@@ -201,8 +203,8 @@
 
     /// Checks by which process a datagram was sent, and for which.
     ///
-    /// The messages of a datagram that is not addressed to this process must not be handled: the sender did not know yet
-    /// that this router has lost the state of its former process.
+    /// The messages of a datagram that is not addressed to this process must not be handled: the sender did not know
+    /// yet that this router has lost the state of its former process.
     pub fn check_datagram(&mut self, now: Duration, datagram: &Datagram) -> DatagramCheck {
         let sender = self.owner.observe_process(now, datagram.from);
         if sender == ProcessStatus::Former {
@@ -227,8 +229,8 @@
         self.holders.entry(to).or_default().statement(receiver_reported)
     }
 
-    /// Whether every live router has sent a statement that covers all targets owned here, so that slots can be granted at
-    /// each of them.
+    /// Whether every live router has sent a statement that covers all targets owned here, so that slots can be granted
+    /// at each of them.
     pub fn has_all_statements(&self) -> bool {
         self.owner.has_all_statements()
     }
