--- a/src/gateway/poison.rs
+++ b/src/gateway/poison.rs
@@ -48,7 +48,7 @@
 
     /// Records that a request was answered completely and successfully, so that it is not the cause
     /// of targets' ends.
-    pub(super) fn note_not_poison(&self, state: &RequestState) {
+    pub(super) fn record_not_poison(&self, state: &RequestState) {
         if !self.may_be_known_poison(state) {
             return;
         }
--- a/src/gateway/relay.rs
+++ b/src/gateway/relay.rs
@@ -116,7 +116,7 @@
     trace::answered(gateway, &state, &target, status);
     if status.is_success() {
         gateway.note_version_answer(&state);
-        gateway.note_not_poison(&state);
+        gateway.record_not_poison(&state);
     }
     trace::ended(gateway, &mut state);
     let mut response = Response::new(AnswerBody::Buffered(Some(gathered.into_answer())));
@@ -367,7 +367,7 @@
 
     /// Records that the stream was relayed to its end, and keeps the target's connection for later requests.
     fn finish(mut self) {
-        self.gateway.note_not_poison(&self.state);
+        self.gateway.record_not_poison(&self.state);
         trace::ended(&self.gateway, &mut self.state);
         self.answer.connection.keep(&self.answer.headers);
     }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -16,7 +16,7 @@
 use crate::gateway::settings::GatewaySettings;
 use crate::group::settings::MemberSettings;
 use crate::jsonc::{self, Fault, Validate};
-use crate::rpc::{ControlClient, ControlError, Group, Status};
+use crate::rpc::{ControlClient, ControlError, MemberClients, Status};
 use crate::settings::Settings;
 use crate::store::{Answer, Change, Drain, Stored};
 use crate::targets::{Listed, Serves};
@@ -236,7 +236,7 @@
 
 /// An operator's client of a control group.
 struct Client {
-    group: Group,
+    group: MemberClients,
     token: String,
     deadline: Instant,
 }
@@ -246,7 +246,7 @@
     fn open(remote: &Remote) -> Result<Self, OperatorError> {
         let timeout = Duration::from_secs(remote.timeout_s);
         Ok(Client {
-            group: Group::new(&remote.control, CALL_TIMEOUT)?,
+            group: MemberClients::new(&remote.control, CALL_TIMEOUT)?,
             token: read(&remote.token_file)?.trim().to_owned(),
             deadline: Instant::now() + timeout,
         })
@@ -373,9 +373,9 @@
     ));
     lines.extend(status.members.iter().map(|status| {
         let member = status.member;
-        let standing = format!("{:?}", member.kind).to_lowercase();
+        let kind = format!("{:?}", member.kind).to_lowercase();
         let (id, addr) = (member.id.to_string(), member.addr.to_string());
-        format!("{id:<18} {addr:<22} {standing:<8} {:<5} {}", status.live, status.matched)
+        format!("{id:<18} {addr:<22} {kind:<8} {:<5} {}", status.live, status.matched)
     }));
     lines.push(format!(
         "\n{:<18} {:<9} {:<9} {:<9} REFUSED",
--- a/src/router/feed.rs
+++ b/src/router/feed.rs
@@ -9,7 +9,7 @@
 use super::{RouterError, Shared, lock};
 use crate::platform::Platform;
 use crate::raft::GroupId;
-use crate::rpc::{ControlClient, ControlError, Group, SyncReply, SyncRequest};
+use crate::rpc::{ControlClient, ControlError, MemberClients, SyncReply, SyncRequest};
 
 /// How long a control member may hold a sync request while the configuration does not change (long poll).
 const SYNC_LONG_POLL: Duration = Duration::from_secs(1);
@@ -20,7 +20,7 @@
 
 /// Starts the tasks that synchronise the configuration and poll the platform's list.
 pub(super) fn start(shared: &Arc<Shared>) -> Result<(), RouterError> {
-    let group = Group::new(&shared.settings.control, SYNC_LONG_POLL + SYNC_TIMEOUT_MARGIN)?;
+    let group = MemberClients::new(&shared.settings.control, SYNC_LONG_POLL + SYNC_TIMEOUT_MARGIN)?;
     tokio::spawn(follow_config(shared.clone(), group));
     tokio::spawn(follow_list(shared.clone()));
     Ok(())
@@ -29,7 +29,7 @@
 /// Synchronises the configuration with the control group and renews the proof that it is the one in force.
 ///
 /// Keeps to the group that answered first; replies of any other group are logged and ignored.
-async fn follow_config(shared: Arc<Shared>, mut members: Group) {
+async fn follow_config(shared: Arc<Shared>, mut members: MemberClients) {
     let mut group = GroupId::default();
     loop {
         let sent_at = shared.now();
--- a/src/router/mod.rs
+++ b/src/router/mod.rs
@@ -30,7 +30,7 @@
 use crate::queue::Queue;
 use crate::reason::Reason;
 use crate::retry::Budget;
-use crate::rpc::{ControlError, Group, Report};
+use crate::rpc::{ControlError, MemberClients, Report};
 use crate::sampler::Sampler;
 use crate::settings::{RouterSettings, Settings};
 use crate::store::Config;
@@ -90,7 +90,7 @@
     /// Base URL at which other routers reach this one.
     url: String,
     /// Control members that take claims; the next claim starts with the one that answered last.
-    claim_members: Mutex<Group>,
+    claim_members: Mutex<MemberClients>,
     answer_cache: Mutex<AnswerCache>,
     metrics: Metrics,
     admitted: AtomicU64,
@@ -154,7 +154,10 @@
                 .or(router.listen)
                 .map(|addr| format!("http://{addr}"))
                 .unwrap_or_default(),
-            claim_members: Mutex::new(Group::new(&router.control, claim::CONTROL_CALL_TIMEOUT)?),
+            claim_members: Mutex::new(MemberClients::new(
+                &router.control,
+                claim::CONTROL_CALL_TIMEOUT,
+            )?),
             answer_cache: Mutex::default(),
             metrics,
             admitted: AtomicU64::new(0),
--- a/src/rpc.rs
+++ b/src/rpc.rs
@@ -308,12 +308,12 @@
 
 /// Clients for all members of a group. Starts with a random member and switches to the leader when an error names it.
 #[derive(Clone)]
-pub struct Group {
+pub struct MemberClients {
     clients: Vec<(SocketAddr, HttpClient)>,
     current: usize,
 }
 
-impl Group {
+impl MemberClients {
     /// Creates clients for the members at `addrs`.
     ///
     /// # Errors
@@ -324,7 +324,7 @@
             .map(|addr| Ok((*addr, connect(*addr, timeout)?)))
             .collect::<Result<Vec<_>, ControlError>>()?;
         let current = rand::random_range(0..clients.len().max(1));
-        Ok(Group { clients, current })
+        Ok(MemberClients { clients, current })
     }
 
     /// Client for the member to call next.
