--- a/src/account.rs
+++ b/src/account.rs
@@ -40,7 +40,7 @@
     /// How the requests ended.
     #[serde(flatten)]
     pub end: End,
-    /// Second, counted from the time of the first line; `None` for requests beyond [`MAX_ROWS`].
+    /// Second, counted from the time of the first line; `None` for requests beyond `MAX_ROWS`.
     pub second: Option<u64>,
     /// Number of requests.
     pub requests: u64,
--- a/src/explain.rs
+++ b/src/explain.rs
@@ -30,7 +30,7 @@
 /// State of one topic that the process had last logged at the time of a decision.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct KnownState {
-    /// The topic, from [`STATE_EVENTS`].
+    /// The topic, from `STATE_EVENTS`.
     #[serde(rename = "matter")]
     pub topic: &'static str,
     /// How long before the decision it was logged, in milliseconds.
--- a/src/gateway/events.rs
+++ b/src/gateway/events.rs
@@ -5,7 +5,7 @@
 /// Largest event, in bytes; a longer one is treated as a broken stream.
 const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// An event is longer than [`MAX_EVENT_BYTES`].
+/// An event is longer than `MAX_EVENT_BYTES`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("server-sent event is longer than {MAX_EVENT_BYTES} bytes")]
 pub struct EventTooLong;
@@ -21,7 +21,7 @@
     /// Adds bytes and returns all events that are complete now; empty if there are none.
     ///
     /// # Errors
-    /// [`EventTooLong`] if an incomplete event exceeds [`MAX_EVENT_BYTES`].
+    /// [`EventTooLong`] if an incomplete event exceeds `MAX_EVENT_BYTES`.
     pub fn push(&mut self, bytes: &[u8]) -> Result<Bytes, EventTooLong> {
         // The blank line that ends an event may have begun in the last 3 bytes of what was pending.
         let from = self.pending.len().saturating_sub(3);
--- a/src/gateway/fleet_size.rs
+++ b/src/gateway/fleet_size.rs
@@ -36,7 +36,7 @@
         self.reported.push_back((now, gateways));
     }
 
-    /// The largest number of the window, or 0 until [`CONFIRMATION_DELAY`] after the first report:
+    /// The largest number of the window, or 0 until `CONFIRMATION_DELAY` after the first report:
     /// members that have just started count too few.
     pub fn confirmed(&mut self, now: Duration) -> u32 {
         let long_enough =
--- a/src/gateway/health.rs
+++ b/src/gateway/health.rs
@@ -62,7 +62,7 @@
         self.newest = now;
     }
 
-    /// The tally, or an empty one if the last outcome is older than [`TALLY_TTL`].
+    /// The tally, or an empty one if the last outcome is older than `TALLY_TTL`.
     pub fn as_of(self, now: Duration) -> Tally {
         if now < self.newest + TALLY_TTL { self } else { Tally::default() }
     }
--- a/src/gateway/prefix_holders.rs
+++ b/src/gateway/prefix_holders.rs
@@ -49,7 +49,7 @@
 
 impl PrefixHolders {
     /// Records that a target has processed a prompt although other gateways do not expect it there,
-    /// and queues a report unless one was made within [`REPORT_INTERVAL`].
+    /// and queues a report unless one was made within `REPORT_INTERVAL`.
     pub fn note_prompt_read(&mut self, now: Duration, holder: PrefixHolder) {
         let known = self.known.get(&holder.prompt).map_or(&[][..], Vec::as_slice);
         let known = known.iter().find(|known| known.target == holder.target);
