--- a/src/compat/base.rs
+++ b/src/compat/base.rs
@@ -8,7 +8,7 @@
 
 use super::command::Encoded;
 use crate::blob::BlobId;
-use crate::directory::{self, Incarnation, StartTime, TargetState};
+use crate::directory::{self, Born, Incarnation, TargetState};
 use crate::group::loads::Loads;
 use crate::group::message::BlobSource;
 use crate::raft::{Envelope, Index, StoreId};
@@ -40,7 +40,7 @@
         let Announcement { id, service, addr, data_hall, slots, state, sequence } = announcement;
         directory::Announcement {
             id,
-            born: StartTime::default(),
+            born: Born::default(),
             service,
             version: String::new(),
             addr,
@@ -100,7 +100,7 @@
         directory::Saved {
             revision: directory.revision,
             entries: directory.entries.into_iter().map(entry).collect(),
-            over: over.map(|(id, revision)| (id, StartTime::default(), revision)).collect(),
+            over: over.map(|(id, revision)| (id, Born::default(), revision)).collect(),
             forgotten: directory.forgotten,
         }
     }
@@ -113,7 +113,7 @@
         && announcement.cold_left.is_zero()
 }
 
-/// Whether the first build can identify the target: it knows no start times, so it can't tell incarnations apart.
+/// Whether the first build can identify the target: it knows no start times, so it can't distinguish incarnations.
 pub fn can_encode_target(target: &Incarnation) -> bool {
     target.born.0.is_none()
 }
@@ -123,9 +123,9 @@
     targets.into_iter().map(|target| target.id).collect()
 }
 
-/// A target without start time, as the first build identifies it. It stands for whichever incarnation is current.
+/// A target without start time, as the first build identifies it. It refers to the current incarnation.
 pub fn incarnation(id: String) -> Incarnation {
-    Incarnation { id, born: StartTime::default() }
+    Incarnation { id, born: Born::default() }
 }
 
 /// A frame to a member.
--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -20,8 +20,8 @@
 use serde::{Deserialize, Serialize};
 
 pub use self::entry::{
-    Announcement, DirectoryDelta, DirectoryEntry, HeartbeatClass, Incarnation, Listed, Moved,
-    StartTime, TargetState, key,
+    Announcement, Born, DirectoryDelta, DirectoryEntry, HeartbeatClass, Incarnation, Listed, Moved,
+    TargetState, key,
 };
 use crate::store::Revision;
 
@@ -37,9 +37,9 @@
     revision: Revision,
     targets: OrdMap<Id, Arc<DirectoryEntry>>,
     /// Ended incarnations with the revision that ended them, oldest first.
-    over: Vector<(Id, StartTime, Revision)>,
+    over: Vector<(Id, Born, Revision)>,
     /// The same by identity.
-    over_by_id: OrdMap<Id, OrdSet<StartTime>>,
+    over_by_id: OrdMap<Id, OrdSet<Born>>,
     /// Revision of the newest ended incarnation that was dropped from `over`; 0 if none was.
     forgotten: Revision,
     /// Targets by the revision that last changed them.
@@ -60,7 +60,7 @@
 pub(crate) struct Saved {
     pub(crate) revision: Revision,
     pub(crate) entries: Vec<DirectoryEntry>,
-    pub(crate) over: Vec<(String, StartTime, Revision)>,
+    pub(crate) over: Vec<(String, Born, Revision)>,
     pub(crate) forgotten: Revision,
 }
 
@@ -127,7 +127,7 @@
     }
 
     /// Whether an incarnation of a target is known to have been removed or replaced.
-    pub fn has_ended(&self, id: &str, born: StartTime) -> bool {
+    pub fn has_ended(&self, id: &str, born: Born) -> bool {
         self.over_by_id.get(id).is_some_and(|over| over.contains(&born))
     }
 
@@ -192,8 +192,8 @@
         }
     }
 
-    /// Assigns the lowest free home of the service to each of the targets that is ready and has none. Called for targets
-    /// that have waited long enough to inherit a home.
+    /// Assigns the lowest free home of the service to each of the targets that is ready and has none. Called for
+    /// targets that have waited long enough to inherit a home.
     pub fn assign_homes(&mut self, index: Revision, targets: &[Incarnation]) {
         for target in targets {
             let Some(entry) = self.current_entry(target) else {
@@ -223,8 +223,8 @@
         Directory { undated: undated.into_iter().map(Id::from).collect(), ..self }
     }
 
-    /// Whether a heartbeat is from the incarnation in the directory and adds its start time. One whose sequence starts anew
-    /// is from the next incarnation.
+    /// Whether a heartbeat is from the incarnation in the directory and adds its start time. One whose sequence starts
+    /// anew is from the next incarnation.
     fn adds_start_time(&self, known: &Announcement, heartbeat: &Announcement) -> bool {
         self.undated.contains(known.id.as_str())
             && heartbeat.born.0.is_some()
@@ -332,7 +332,7 @@
 
     /// Removes a target if `born` is its current incarnation or does not name one. A request to remove an earlier
     /// incarnation removes nothing. If the target is not known, the incarnation is recorded as ended.
-    pub fn remove(&mut self, index: Revision, id: &str, born: StartTime) {
+    pub fn remove(&mut self, index: Revision, id: &str, born: Born) {
         if self.was_removed(id) {
             return;
         }
@@ -361,7 +361,7 @@
     }
 
     /// Records that an incarnation ended, and drops the oldest record beyond [`MAX_ENDED_INCARNATIONS`].
-    fn record_end(&mut self, id: Id, born: StartTime, index: Revision) {
+    fn record_end(&mut self, id: Id, born: Born, index: Revision) {
         self.over_by_id.entry(id.clone()).or_default().insert(born);
         self.over.push_back((id, born, index));
         if self.over.len() > MAX_ENDED_INCARNATIONS
@@ -401,8 +401,8 @@
         self.targets.values().map(|entry| entry.listed()).collect()
     }
 
-    /// Entries changed after a revision: those to be sent whole, and those of which only state, remaining cold time or home
-    /// changed.
+    /// Entries changed after a revision: those to be sent whole, and those of which only state, remaining cold time or
+    /// home changed.
     fn changes_after(&self, known: Revision) -> (Vec<Listed>, Vec<Moved>) {
         let changed = self.by_revision.range((known + 1, Id::from(""))..);
         let entries = changed.filter_map(|(_, id)| self.targets.get(id));
@@ -412,11 +412,11 @@
     }
 }
 
-/// Classifies a heartbeat from another incarnation than the one in the directory: [`Changed`](HeartbeatClass::Changed) if
-/// that incarnation is the later one.
+/// Classifies a heartbeat from another incarnation than the one in the directory: [`Changed`](HeartbeatClass::Changed)
+/// if that incarnation is the later one.
 ///
-/// It is if its start time is later. An earlier start time may be that of a former incarnation whose first heartbeat was
-/// delayed, or of a later one whose clock has stepped back; in the second case the incarnation in the directory is
+/// It is if its start time is later. An earlier start time may be that of a former incarnation whose first heartbeat
+/// was delayed, or of a later one whose clock has stepped back; in the second case the incarnation in the directory is
 /// unresponsive.
 fn classify_other_incarnation(known: &Announcement, heartbeat: &Announcement) -> HeartbeatClass {
     let later = heartbeat.born > known.born;
--- a/src/gateway/prefix_holders.rs
+++ b/src/gateway/prefix_holders.rs
@@ -6,7 +6,7 @@
 
 use super::Gateway;
 use super::choice::Choice;
-use super::exchange::Plan;
+use super::exchange::RequestState;
 use super::mechanism::Mechanism;
 use crate::group::loads::LoadKey;
 use crate::group::prefix_holders::{MAX_HOLDERS_PER_MESSAGE, PrefixHolder, PromptKey};
@@ -49,7 +49,7 @@
 
 impl PrefixHolders {
     /// Records that a target has processed a prompt although other gateways do not expect it there,
-    /// and queues a report unless one was made within [`REPORT_INTERVAL`].
+    /// and queues a report unless one was made within `REPORT_INTERVAL`.
     pub fn note_prompt_read(&mut self, now: Duration, holder: PrefixHolder) {
         let known = self.known.get(&holder.prompt).map_or(&[][..], Vec::as_slice);
         let known = known.iter().find(|known| known.target == holder.target);
@@ -106,8 +106,8 @@
 
 impl Gateway {
     /// Records that a target answered a request and so has its prompt cached.
-    pub(super) fn note_prompt_read(&self, plan: &Plan, choice: &Choice) {
-        let long_enough = plan.affinity.filter(|affinity| affinity.tokens >= MIN_SHARED_TOKENS);
+    pub(super) fn note_prompt_read(&self, state: &RequestState, choice: &Choice) {
+        let long_enough = state.affinity.filter(|affinity| affinity.tokens >= MIN_SHARED_TOKENS);
         let Some(affinity) =
             long_enough.filter(|_| !choice.expected_holder && self.uses(Mechanism::Keepers))
         else {
--- a/src/group/batches.rs
+++ b/src/group/batches.rs
@@ -1,8 +1,8 @@
 //! Sends announcements that change the directory to the leader in batches.
 //!
-//! When thousands of targets start at once, a call and a log entry for each would take the leader longer than the targets
-//! wait for the answer; they would then retry and add to the load. While [`CONCURRENT_BATCHES`] calls are in progress, new
-//! announcements queue up for the next batch; otherwise an announcement is sent at once.
+//! When thousands of targets start at once, a call and a log entry for each would take the leader longer than the
+//! targets wait for the answer; they would then retry and add to the load. While [`CONCURRENT_BATCHES`] calls are in
+//! progress, new announcements queue up for the next batch; otherwise an announcement is sent at once.
 
 use std::collections::VecDeque;
 use std::sync::{Arc, Mutex};
@@ -20,7 +20,7 @@
 /// 6 Mbit/s (computed).
 const MAX_BATCH_LEN: usize = 200;
 /// Queued announcements. With two batches of 200 in progress, a leader that takes 300 ms for each finishes this many in
-/// the second that a target waits. Beyond that, a target is told at once to come back later.
+/// the second that a target waits. Beyond that, a target is refused at once and has to retry later.
 const MAX_QUEUED: usize = 1_400;
 /// Batches that one member has in progress at the leader.
 const CONCURRENT_BATCHES: usize = 2;
@@ -98,7 +98,7 @@
             let reply = self.call_leader(Call::Announce(announcements)).await;
             let outcomes = reply.ok().and_then(outcomes);
             if outcomes.is_some() {
-                lock(&self.heard).confirm(self.now());
+                lock(&self.pending_report).confirm(self.now());
             }
             let Some(outcomes) = outcomes.filter(|outcomes| !outcomes.is_empty()) else {
                 for queued in remaining {
@@ -117,8 +117,8 @@
     }
 }
 
-/// Outcomes of a batch's first announcements. A leader of the first build in production handles a single one and replies
-/// with [`Reply::Answer`] or [`Reply::Done`].
+/// Outcomes of a batch's first announcements. A leader of the first build in production handles a single one and
+/// replies with [`Reply::Answer`] or [`Reply::Done`].
 fn outcomes(reply: Reply) -> Option<Vec<HeartbeatOutcome>> {
     match reply {
         Reply::Announced(outcomes) => Some(outcomes),
--- a/src/group/endpoints.rs
+++ b/src/group/endpoints.rs
@@ -20,7 +20,7 @@
 use super::rollout::RolloutError;
 use super::{Shared, Unavailable};
 use crate::dialect::ApiCall;
-use crate::directory::{Announcement, Incarnation, StartTime};
+use crate::directory::{Announcement, Born, Incarnation};
 use crate::document::{Document, MAX_DOCUMENT_BYTES};
 use crate::jsonc::{Fault, Validate};
 use crate::level::Level;
@@ -35,8 +35,8 @@
 const BODY_TIMEOUT: Duration = Duration::from_secs(10);
 /// Delay after a failed accept, for example for want of file descriptors.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Maximum number of attempts to propose a document as a difference; an attempt fails when another document was committed
-/// in between. After that the whole document is proposed.
+/// Maximum number of attempts to propose a document as a difference; an attempt fails when another document was
+/// committed in between. After that the whole document is proposed.
 const MAX_DIFFERENCE_ATTEMPTS: usize = 6;
 /// Value of `Retry-After` when the group can't answer, in seconds.
 const RETRY_AFTER_S: &str = "0.3";
@@ -78,10 +78,10 @@
 /// Reads a request, executes the call, and counts it in the metrics.
 async fn answer(shared: &Shared, request: Request<Incoming>) -> ApiResponse {
     let (head, body) = request.into_parts();
-    let Some(door) = shared.dialect.api_call(&head.method, head.uri.path()) else {
+    let Some(api_call) = shared.dialect.api_call(&head.method, head.uri.path()) else {
         return fault_response(StatusCode::NOT_FOUND, &[Fault::new("", "no such call")]);
     };
-    let max_bytes = match door {
+    let max_bytes = match api_call {
         ApiCall::PutConfiguration => MAX_DOCUMENT_BYTES,
         _ => MAX_CALL_BYTES,
     };
@@ -98,7 +98,7 @@
             return fault_response(StatusCode::REQUEST_TIMEOUT, &[Fault::new("", "body too slow")]);
         }
     };
-    let (call, response) = match door {
+    let (call, response) = match api_call {
         ApiCall::PutConfiguration => ("put_configuration", put_configuration(shared, body).await),
         ApiCall::GetConfiguration => ("get_configuration", get_configuration(shared).await),
         ApiCall::Announce { id } => ("heartbeat", announce(shared, id, &body).await),
@@ -226,7 +226,7 @@
 fn refuse_announcement(shared: &Shared, id: &str, faults: &[Fault]) -> ApiResponse {
     let faults: Vec<Fault> = faults.iter().map(truncated).collect();
     shared.metrics.count_refused_announcement(&faults[0].path);
-    if let Some(stands_for) = lock(&shared.refused_lines).keep(shared.now()) {
+    if let Some(stands_for) = lock(&shared.refused_lines).sample(shared.now()) {
         let id: String = id.chars().take(MAX_ID_BYTES).collect();
         info!(shared.log, "heartbeat refused"; "event" => "heartbeat_refused",
             "target" => id, "fault" => %faults[0], "stands_for" => stands_for);
@@ -255,7 +255,7 @@
         }
     };
     let published = shared.published();
-    let born = if published.level < Level::INCARNATIONS { StartTime::default() } else { born };
+    let born = if published.level < Level::INCARNATIONS { Born::default() } else { born };
     if published.directory.was_removed(id) || published.directory.has_ended(id, born) {
         return empty_response(StatusCode::OK);
     }
--- a/src/group/listing.rs
+++ b/src/group/listing.rs
@@ -10,7 +10,7 @@
 
 use crate::compat::base::Columns;
 use crate::compat::parts;
-use crate::directory::{Announcement, DirectoryDelta, Listed, Moved, StartTime};
+use crate::directory::{Announcement, Born, DirectoryDelta, Listed, Moved};
 use crate::link::LinkError;
 use crate::store::Revision;
 
@@ -33,11 +33,12 @@
 /// Columns added since the first build in production, which reads only [`Columns`].
 #[derive(Serialize, Deserialize)]
 struct AddedColumns {
-    /// Keys of the incarnations of targets that changed their state or home.
+    /// Keys of the incarnations of the targets of [`DirectoryDelta::moved`], of which only state, remaining cold time
+    /// or home changed.
     moved_targets: Vec<u64>,
-    /// Times until they are no longer cold, in milliseconds; so is `cold_left`.
+    /// Remaining cold times of the moved targets, in milliseconds; those of `cold_left` are in milliseconds too.
     moved_cold_left: Vec<u32>,
-    born: Vec<StartTime>,
+    born: Vec<Born>,
     versions: Vec<String>,
     cold_left: Vec<u32>,
 }
@@ -148,13 +149,13 @@
 }
 
 impl AddedColumns {
-    /// Values for a list of a member of the first build, which tells targets apart by their id alone.
+    /// Values for a list of a member of the first build, which identifies targets by their id alone.
     fn defaults(columns: &Columns) -> Self {
         let (moved, listed) = (columns.moved_targets.len(), columns.ids.len());
         AddedColumns {
             moved_targets: columns.moved_targets.clone(),
             moved_cold_left: vec![0; moved],
-            born: vec![StartTime::default(); listed],
+            born: vec![Born::default(); listed],
             versions: vec![String::new(); listed],
             cold_left: vec![0; listed],
         }
--- a/src/group/metrics.rs
+++ b/src/group/metrics.rs
@@ -8,7 +8,7 @@
 use super::Shared;
 use crate::clock::Instant;
 use crate::metrics::{DURATION_BUCKETS, MetricSet, SHORT_DURATION_BUCKETS};
-use crate::raft::MemberKind;
+use crate::raft::Standing;
 use crate::status_server;
 use crate::sync::lock;
 
@@ -20,7 +20,7 @@
 pub(super) enum BlobDelivery {
     /// This member sent it.
     Sent,
-    /// The gateway was told to fetch it from a peer gateway.
+    /// The member assigned a peer gateway as the source, from which the gateway fetches it.
     FromPeer,
     /// The peer gateway did not provide it.
     PeerFailed,
@@ -165,8 +165,8 @@
         self.calls.with_label_values(&[call, outcome]).inc();
     }
 
-    /// Counts an invalid announcement by the first part of the path of its faulty field. The path comes from the sender, so
-    /// anything but a short plain name is counted as `other`, which bounds the number of label values.
+    /// Counts an invalid announcement by the first part of the path of its faulty field. The path comes from the
+    /// sender, so anything but a short plain name is counted as `other`, which bounds the number of label values.
     pub(super) fn count_refused_announcement(&self, path: &str) {
         let field = path.split(['.', '[']).next().unwrap_or("");
         let plain = field.bytes().all(|byte| byte.is_ascii_lowercase() || byte == b'-');
@@ -186,7 +186,7 @@
 
     fn render(&self, shared: &Shared) -> Vec<u8> {
         let (published, leadership) = (shared.published(), shared.member.leadership());
-        let voters = published.members.0.iter().filter(|one| one.kind == MemberKind::Voter);
+        let voters = published.members.0.iter().filter(|one| one.kind == Standing::Voter);
         let version = published.version();
         let evacuated = published.evacuations.halls().filter(|(_, order)| order.evacuated);
         self.evacuated.set(evacuated.count() as i64);
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -16,9 +16,9 @@
 use crate::gateway::settings::GatewaySettings;
 use crate::group::settings::MemberSettings;
 use crate::jsonc::{self, Fault, Validate};
-use crate::rpc::{ControlClient, ControlError, Group, Status};
+use crate::rpc::{ControlClient, ControlError, MemberClients, Status};
 use crate::settings::Settings;
-use crate::store::{Answer, Change, Drain, StoredTemplate};
+use crate::store::{Answer, Change, Drain, Stored};
 use crate::targets::{Listed, Serves};
 use crate::template::Template;
 
@@ -26,7 +26,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_secs(4);
 /// Maximum time that one call waits for a revision, in milliseconds.
 const MAX_WAIT_MS: u64 = 2_000;
-/// Field that only templates have, to tell them from settings.
+/// Field that only templates have, which distinguishes them from settings.
 const TEMPLATE_FIELD: &str = "teams";
 /// Field that only settings of `member` processes have at the top level.
 const MEMBER_FIELD: &str = "data_dir";
@@ -81,7 +81,7 @@
     Control(#[from] ControlError),
 }
 
-/// Says which version of a template is in force; 0 stands for none.
+/// Text that says which version of a template is in force; 0 means none.
 fn in_force_text(version: u64) -> String {
     match version {
         0 => "the template does not exist yet, submit it".to_owned(),
@@ -236,7 +236,7 @@
 
 /// An operator's client of a control group.
 struct Client {
-    group: Group,
+    group: MemberClients,
     token: String,
     deadline: Instant,
 }
@@ -246,7 +246,7 @@
     fn open(remote: &Remote) -> Result<Self, OperatorError> {
         let timeout = Duration::from_secs(remote.timeout_s);
         Ok(Client {
-            group: Group::new(&remote.control, CALL_TIMEOUT)?,
+            group: MemberClients::new(&remote.control, CALL_TIMEOUT)?,
             token: read(&remote.token_file)?.trim().to_owned(),
             deadline: Instant::now() + timeout,
         })
@@ -319,11 +319,11 @@
         }
     }
 
-    async fn templates(&mut self) -> Result<Vec<StoredTemplate>, OperatorError> {
+    async fn templates(&mut self) -> Result<Vec<Stored>, OperatorError> {
         self.call(async |client, token| client.templates(token).await).await
     }
 
-    async fn stored(&mut self, name: &str) -> Result<StoredTemplate, OperatorError> {
+    async fn stored(&mut self, name: &str) -> Result<Stored, OperatorError> {
         let templates = self.templates().await?;
         let mut named = templates.into_iter().filter(|stored| stored.template.name == name);
         named.next().ok_or_else(|| OperatorError::NoTemplate(name.to_owned()))
@@ -373,9 +373,9 @@
     ));
     lines.extend(status.members.iter().map(|status| {
         let member = status.member;
-        let standing = format!("{:?}", member.kind).to_lowercase();
+        let kind = format!("{:?}", member.kind).to_lowercase();
         let (id, addr) = (member.id.to_string(), member.addr.to_string());
-        format!("{id:<18} {addr:<22} {standing:<8} {:<5} {}", status.live, status.matched)
+        format!("{id:<18} {addr:<22} {kind:<8} {:<5} {}", status.live, status.matched)
     }));
     lines.push(format!(
         "\n{:<18} {:<9} {:<9} {:<9} REFUSED",
--- a/src/raft/format5.rs
+++ b/src/raft/format5.rs
@@ -7,10 +7,10 @@
 use super::{Entry, HardState, Index, Members, Payload, Position, Snapshot, StoreId, Term};
 use crate::claims::{Claim, Release};
 use crate::directory::Incarnation;
-use crate::document::PackedDocument;
+use crate::document::Packed;
 use crate::evacuations::{EvacuationOrder, WarmAgain};
 use crate::rollout::{RolloutOrder, RolloutStep};
-use crate::store::{Change, Command, Drain, Move, NewAnnouncement, StoreFormat5};
+use crate::store::{Change, Command, Drain, Move, Sight, StoreFormat5};
 
 #[derive(Deserialize)]
 pub(super) enum Format5Record {
@@ -51,8 +51,8 @@
     Move(Move),
     Claim(Claim),
     Release(Release),
-    Configure(PackedDocument),
-    Announce(Vec<NewAnnouncement>),
+    Configure(Packed),
+    Announce(Vec<Sight>),
     Remove(Incarnation),
     Silence(Vec<Incarnation>),
     Settle(Vec<Incarnation>),
@@ -104,7 +104,7 @@
             Format5Command::Claim(claim) => Command::Claim(claim),
             Format5Command::Release(release) => Command::Release(release),
             Format5Command::Configure(packed) => Command::Configure(packed),
-            Format5Command::Announce(sights) => Command::Announce(sights),
+            Format5Command::Announce(announcements) => Command::Announce(announcements),
             Format5Command::Remove(target) => Command::Remove(target),
             Format5Command::Silence(targets) => Command::Silence(targets),
             Format5Command::Settle(targets) => Command::Settle(targets),
--- a/tests/agreement/wal.rs
+++ b/tests/agreement/wal.rs
@@ -5,7 +5,7 @@
 
 use latchmount::level::Level;
 use latchmount::raft::{
-    Disk, GroupId, Member, MemberKind, Members, Replica, StoreId, TailPolicy, WalError,
+    Disk, GroupId, Member, Members, Replica, Standing, StoreId, TailPolicy, WalError,
 };
 use latchmount::store::Command;
 use rstest::rstest;
@@ -23,8 +23,7 @@
 fn disk_with_changes(changes: u64) -> (FakeDisk, Replica<FakeDisk>) {
     let disk = FakeDisk::default();
     let mut replica = open(&disk).expect("an empty disk opens");
-    let member =
-        Member { id: StoreId(7), addr: ([10, 0, 0, 1], 1).into(), kind: MemberKind::Voter };
+    let member = Member { id: StoreId(7), addr: ([10, 0, 0, 1], 1).into(), kind: Standing::Voter };
     replica.form(GroupId(1), Members(vec![member]));
     replica.flush().expect("no disk error");
     elect(&mut replica);
--- a/tests/compat/commands.rs
+++ b/tests/compat/commands.rs
@@ -2,18 +2,18 @@
 
 use std::time::Duration;
 
-use latchmount::directory::{Announcement, Incarnation, StartTime, TargetState};
+use latchmount::directory::{Announcement, Born, Incarnation, TargetState};
 use latchmount::evacuations::{EvacuationOrder, WarmAgain};
 use latchmount::level::Level;
 use latchmount::rollout::{RolloutOrder, RolloutStep, Stage};
-use latchmount::store::{Command, NewAnnouncement};
+use latchmount::store::{Command, Sight};
 use proptest::prelude::*;
 
 /// Number of command variants in the encoding of the first build.
 const BASE_VARIANTS: u8 = 10;
 
-fn start_time() -> impl Strategy<Value = StartTime> {
-    prop::option::of(0_u64..5).prop_map(StartTime)
+fn start_time() -> impl Strategy<Value = Born> {
+    prop::option::of(0_u64..5).prop_map(Born)
 }
 
 fn announcement() -> impl Strategy<Value = Announcement> {
@@ -39,7 +39,7 @@
 
 fn command() -> impl Strategy<Value = Command> {
     let new_announcement = (announcement(), any::<bool>())
-        .prop_map(|(announcement, at_once)| NewAnnouncement { announcement, at_once });
+        .prop_map(|(announcement, at_once)| Sight { announcement, at_once });
     let many = || prop::collection::vec(incarnation(), 0..4);
     let order = ("h", any::<bool>(), any::<u64>()).prop_map(|(data_hall, evacuate, after)| {
         Command::Evacuate(EvacuationOrder { data_hall, evacuate, after })
@@ -84,7 +84,7 @@
     fn an_announcement_limited_to_the_base_level_is_readable_by_the_first_build(
         announcement in announcement(),
     ) {
-        let new_announcement = NewAnnouncement { announcement: announcement.limited_to(Level::BASE), at_once: false };
+        let new_announcement = Sight { announcement: announcement.limited_to(Level::BASE), at_once: false };
         prop_assert_eq!(Command::Announce(vec![new_announcement]).level(), Level::BASE);
     }
 }
--- a/tests/directory.rs
+++ b/tests/directory.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 use latchmount::directory::{
-    Announcement, Directory, HeartbeatClass, Incarnation, StartTime, TargetState,
+    Announcement, Born, Directory, HeartbeatClass, Incarnation, TargetState,
 };
 use rand::rngs::StdRng;
 use rand::{RngExt, SeedableRng};
@@ -32,15 +32,14 @@
         let id = heartbeat.id.clone();
         let start = heartbeat.incarnation();
         let unknown_start =
-            start.born == StartTime(None) && self.ended.iter().any(|ended| ended.id == id);
+            start.born == Born(None) && self.ended.iter().any(|ended| ended.id == id);
         if self.ended.contains(&start) || (!self.targets.contains_key(&id) && unknown_start) {
             return;
         }
         if let Some(known) = self.targets.get(&id).map(|entry| entry.announcement.clone())
             && known.born != heartbeat.born
         {
-            let unresponsive =
-                known.state == TargetState::Silent && heartbeat.born != StartTime(None);
+            let unresponsive = known.state == TargetState::Silent && heartbeat.born != Born(None);
             if heartbeat.born < known.born && !unresponsive {
                 return;
             }
@@ -132,7 +131,7 @@
     fn remove(&mut self, index: u64, target: &Incarnation) {
         let known = self.targets.get(&target.id).map(|entry| entry.announcement.clone());
         match known {
-            Some(known) if target.born == StartTime(None) || target.born == known.born => {
+            Some(known) if target.born == Born(None) || target.born == known.born => {
                 self.end_incarnation(index, &known);
             }
             Some(_) => {}
@@ -143,8 +142,8 @@
 }
 
 /// A random start time, or none; not in order, because clocks may step back.
-fn random_start_time(rng: &mut StdRng) -> StartTime {
-    StartTime(rng.random_bool(0.8).then(|| rng.random_range(1..5)))
+fn random_start_time(rng: &mut StdRng) -> Born {
+    Born(rng.random_bool(0.8).then(|| rng.random_range(1..5)))
 }
 
 fn heartbeat(rng: &mut StdRng, state: TargetState, sequence: u64) -> Announcement {
